--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -33,8 +33,9 @@
 impl Http {
     /// A carrier with no connections yet.
     pub fn new(config: Config, boxes: Option<ListFile>, figures: Figures) -> Self {
-        let connect = config.told.settings.limits.connect_timeout;
-        let pool = Rc::new(Pool::new(config.servers_most(), config.told.keepalive, connect, figures));
+        let connect = config.received.settings.limits.connect_timeout;
+        let pool =
+            Rc::new(Pool::new(config.max_server_connections(), config.received.keepalive, connect, figures));
         let budget = Budget::of(config.memory_mb);
         let discovery = Cell::new(config.discovery);
         Self { discovery, config, pool, budget, boxes }
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -120,7 +120,7 @@
 impl Clients {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        let most = node.carrier().config.clients_most();
+        let most = node.carrier().config.max_client_connections();
         Rc::new(Self {
             node,
             open: RefCell::default(),
--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -35,13 +35,13 @@
         listen: nowhere,
         discovery: nowhere,
         management: None,
-        inherited: None,
+        inherited_fd: None,
         seed: 1,
-        sockets,
+        max_descriptors: sockets,
         memory_mb: 64,
-        known: None,
-        told: magpietally_settings::told(&settings).expect("good settings"),
-        lasting: Default::default(),
+        saved_list: None,
+        received: magpietally_settings::told(&settings).expect("good settings"),
+        restart_only: Default::default(),
     };
     let process = Process::new(2, Life::new(time, false));
     Clients::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
--- a/crates/http/src/clients/request.rs
+++ b/crates/http/src/clients/request.rs
@@ -72,7 +72,7 @@
     request: Request<Incoming>,
     framed_once: bool,
 ) -> Result<(Asked, Duration), Bad> {
-    let told = &node.carrier().config.told;
+    let told = &node.carrier().config.received;
     let (parts, body) = request.into_parts();
     let bodied = !hyper::body::Body::is_end_stream(&body);
     // Nothing more is read of one whose end is in doubt, or that has a body where none may be.
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -30,19 +30,19 @@
     /// Where calls on the node itself come in; none where it is not told.
     pub management: Option<SocketAddr>,
     /// The descriptor of the listening socket that it has inherited, where the platform holds it.
-    pub inherited: Option<u32>,
+    pub inherited_fd: Option<u32>,
     /// For random numbers.
     pub seed: u64,
     /// The most file descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The most memory that it may use, in MB.
     pub memory_mb: usize,
     /// The list of servers as last had.
-    pub known: Option<Listing>,
+    pub saved_list: Option<Listing>,
     /// The settings.
-    pub told: Told,
+    pub received: Told,
     /// What the file says of all that holds until the process ends.
-    pub lasting: Arc<Value>,
+    pub restart_only: Arc<Value>,
 }
 
 /// The largest configuration that is read, in bytes: a list of thousands of servers is a tenth of it.
@@ -53,7 +53,7 @@
 const SOCKETS_LEAST: u64 = 32;
 
 /// What a reload does not replace. The rest of the file is discovery's address, which it does, and what only a start needs.
-const LASTING: [&str; 5] = ["name", "listen", "management", "limits", "settings"];
+const RESTART_ONLY: [&str; 5] = ["name", "listen", "management", "limits", "settings"];
 /// Descriptors of the process itself: standard streams, the runtime's, the listener, discovery's old and new call,
 /// and those that one side gives up while the other takes them.
 const RESERVE: usize = 16;
@@ -73,11 +73,11 @@
     ///
     /// # Errors
     /// Where a worker's part is too small to do anything with; names the limit.
-    pub fn part(&self, worker: usize, workers: usize) -> Result<Self, String> {
+    pub fn for_worker(&self, worker: usize, workers: usize) -> Result<Self, String> {
         let mut part = self.clone();
-        (part.sockets, part.memory_mb) = (self.sockets / workers, self.memory_mb / workers);
+        (part.max_descriptors, part.memory_mb) = (self.max_descriptors / workers, self.memory_mb / workers);
         for (name, own, least) in
-            [("sockets", part.sockets, SOCKETS_LEAST), ("memory_mb", part.memory_mb, MEMORY_LEAST)]
+            [("sockets", part.max_descriptors, SOCKETS_LEAST), ("memory_mb", part.memory_mb, MEMORY_LEAST)]
         {
             if (own as u64) < least {
                 return Err(format!(
@@ -85,8 +85,8 @@
                 ));
             }
         }
-        part.told.open_cap = (self.told.open_cap / workers).max(1);
-        let settings = &mut part.told.settings;
+        part.received.open_cap = (self.received.open_cap / workers).max(1);
+        let settings = &mut part.received.settings;
         settings.number = settings.number * workers + worker;
         settings.nodes *= workers;
         // Far apart, as the seeds of nodes are.
@@ -95,26 +95,26 @@
     }
 
     /// The first field of a newer file that says something else of what holds until the process ends.
-    pub fn changed(&self, newer: &Self) -> Option<String> {
-        difference(&self.lasting, &newer.lasting)
+    pub fn changed_restart_only_field(&self, newer: &Self) -> Option<String> {
+        difference(&self.restart_only, &newer.restart_only)
     }
 
     /// How many connections of clients there may be: half of what the process itself does not need, within what
     /// memory can bear.
-    pub fn clients_most(&self) -> usize {
-        (self.free() / 2).min(self.memory_mb * CLIENTS_PER_MB).max(1)
+    pub fn max_client_connections(&self) -> usize {
+        (self.connection_descriptors() / 2).min(self.memory_mb * CLIENTS_PER_MB).max(1)
     }
 
     /// How many connections to servers there may be: the rest, within what memory can bear.
-    pub fn servers_most(&self) -> usize {
-        (self.free() - self.clients_most()).min(self.memory_mb * SERVERS_PER_MB)
+    pub fn max_server_connections(&self) -> usize {
+        (self.connection_descriptors() - self.max_client_connections()).min(self.memory_mb * SERVERS_PER_MB)
     }
 
     /// The descriptors that are for clients and servers.
-    fn free(&self) -> usize {
+    fn connection_descriptors(&self) -> usize {
         let managed = if self.management.is_some() { management::DESCRIPTORS } else { 0 };
         // So few are left only where the limit is near the least; calls then share with the rest.
-        (self.sockets - RESERVE).saturating_sub(managed).max(2)
+        (self.max_descriptors - RESERVE).saturating_sub(managed).max(2)
     }
 }
 
@@ -131,23 +131,23 @@
 #[derive(Debug)]
 pub enum ConfigError {
     /// The file, by its name here, can't be read.
-    Unreadable(String, io::Error),
+    Read(String, io::Error),
     /// What it says makes no sense, in one line.
-    Wrong(String),
+    Invalid(String),
 }
 
 impl ConfigError {
     /// May the file be read a moment later?
-    pub fn may_pass(&self) -> bool {
-        matches!(self, Self::Unreadable(_, error) if classify(Call::File, error).may_pass())
+    pub fn is_transient(&self) -> bool {
+        matches!(self, Self::Read(_, error) if classify(Call::File, error).may_pass())
     }
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable(name, error) => write!(f, "{name}: {error}"),
-            Self::Wrong(words) => f.write_str(words),
+            Self::Read(name, error) => write!(f, "{name}: {error}"),
+            Self::Invalid(words) => f.write_str(words),
         }
     }
 }
@@ -163,17 +163,17 @@
     // A process that serves is not held up by its disk: the caller tries again.
     let (file, value) = file(Duration::ZERO)?;
     let env = |name: &str| std::env::var(name).ok().filter(|_| name != "BALANCER_DISCOVERY");
-    parse(&file, &value, env).map_err(ConfigError::Wrong)
+    parse(&file, &value, env).map_err(ConfigError::Invalid)
 }
 
 /// What the file holds, and how it is named in what is wrong with it.
 fn file(within: Duration) -> Result<(String, Value), ConfigError> {
-    let wrong = ConfigError::Wrong;
+    let wrong = ConfigError::Invalid;
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| wrong("BALANCER_CONFIG: not set".into()))?;
     let name = format!("BALANCER_CONFIG: {path}");
     let text = match read_plain_within(within, path.as_ref(), FILE_MOST) {
         Ok(text) => text,
-        Err(error) => return Err(ConfigError::Unreadable(name, error)),
+        Err(error) => return Err(ConfigError::Read(name, error)),
     };
     let value = serde_json::from_str(&text).map_err(|e| wrong(format!("{name}: not JSON: {e}")))?;
     Ok((name, value))
@@ -209,11 +209,11 @@
     let seed = text_of("seed")?;
     let known = there("known").map(|known| listing(known.clone()).map_err(|e| here(format!("known: {e}"))));
     let settings = there("settings").ok_or_else(|| here("settings is missing".into()))?;
-    let mut told = told(settings).map_err(here)?;
-    speakable(&told).map_err(here)?;
+    let mut received = told(settings).map_err(here)?;
+    speakable(&received).map_err(here)?;
     // Nothing comes by itself over HTTP: where lists are pushed, it is an agent that has them, and it has to be watched.
-    if told.settings.discovery == Discovery::Pushed {
-        told.settings.discovery = Discovery::Agent;
+    if received.settings.discovery == Discovery::Pushed {
+        received.settings.discovery = Discovery::Agent;
     }
     let limits = there("limits").map_or(Ok(None), |l| {
         l.as_object().map(Some).ok_or_else(|| here("limits: object expected".into()))
@@ -224,29 +224,31 @@
         listen: address("listen")?,
         discovery: address("discovery")?,
         management,
-        inherited: inherited.transpose()?,
+        inherited_fd: inherited.transpose()?,
         seed: u64::from_str_radix(seed, 16)
             .map_err(|_| here(format!("seed: hex digits expected, not {seed:?}")))?,
-        sockets: limit("sockets", SOCKETS, SOCKETS_LEAST)?,
+        max_descriptors: limit("sockets", SOCKETS, SOCKETS_LEAST)?,
         memory_mb: limit("memory_mb", MEMORY_MB, MEMORY_LEAST)?,
-        known: known.transpose()?,
-        told,
-        lasting: Arc::new(LASTING.iter().filter_map(|name| Some((*name, there(name)?.clone()))).collect()),
+        saved_list: known.transpose()?,
+        received,
+        restart_only: Arc::new(
+            RESTART_ONLY.iter().filter_map(|name| Some((*name, there(name)?.clone()))).collect(),
+        ),
     })
 }
 
 /// A class is the first part of a path, and a tenant the value of a header: what can't stand there would never be asked for,
 /// or be asked for under a name that is not the settings'.
-fn speakable(told: &Told) -> Result<(), String> {
+fn speakable(received: &Told) -> Result<(), String> {
     let in_path = |b: u8| b.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@".contains(&b);
     let class = |name: &str| name.bytes().all(in_path) && name != "." && name != "..";
-    if let Some(n) = told.classes.iter().position(|name| !class(name)) {
-        let name = &told.classes[n];
+    if let Some(n) = received.classes.iter().position(|name| !class(name)) {
+        let name = &received.classes[n];
         return Err(format!("settings.Classes[{n}].Name: {name:?} can't be a part of a path"));
     }
     let tenant = |name: &str| name.trim() == name && name.bytes().all(|b| matches!(b, b' '..=b'~'));
-    if let Some(n) = told.tenants.iter().position(|name| !tenant(name)) {
-        let name = &told.tenants[n];
+    if let Some(n) = received.tenants.iter().position(|name| !tenant(name)) {
+        let name = &received.tenants[n];
         return Err(format!("settings.Customers[{n}].Name: {name:?} can't be the value of a header"));
     }
     Ok(())
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -127,7 +127,10 @@
         "/v1/readyz" => say(StatusCode::SERVICE_UNAVAILABLE, doing(node)),
         "/v1/metrics" => {
             let (known, skipped) = node.servers();
-            say(StatusCode::OK, process.figures.lines(&node.carrier().config.told.classes, known, skipped))
+            say(
+                StatusCode::OK,
+                process.figures.lines(&node.carrier().config.received.classes, known, skipped),
+            )
         }
         "/v1/fleet" => say(StatusCode::OK, node.gate().map_or(String::new(), Gate::describe)),
         "/v1/node/drain" => told(node, "drain", process.change(|life| life.drain(Instant::now()))),
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -93,8 +93,8 @@
         if let Some(at) = management.as_ref().and_then(|m| address_of(m).ok()) {
             tracing::info!(target: "node", "{} is managed at {at}", config.name);
         }
-        let life = Life::new(config.told.longest_deadline(), config.inherited.is_some());
-        Ok(Self { listeners, management, process: Process::new(config.told.classes.len(), life) })
+        let life = Life::new(config.received.longest_deadline(), config.inherited_fd.is_some());
+        Ok(Self { listeners, management, process: Process::new(config.received.classes.len(), life) })
     }
 }
 
@@ -102,14 +102,14 @@
 /// Workers that inherited a socket accept from that one, whoever is free.
 fn listeners(config: &Config, workers: usize) -> Result<Vec<std::net::TcpListener>, String> {
     let cannot = |e| format!("listen: {}: {e}", config.listen);
-    let first = match config.inherited {
+    let first = match config.inherited_fd {
         Some(fd) => inherited::listener(fd, config.listen)?,
         None => listen(config.listen, workers > 1).map_err(cannot)?,
     };
     let at = address_of(&first).map_err(cannot)?;
     let mut all = vec![first];
     for _ in 1..workers {
-        all.push(match config.inherited {
+        all.push(match config.inherited_fd {
             Some(_) => another(&all[0]).map_err(cannot)?,
             None => listen(at, true).map_err(cannot)?,
         });
@@ -146,14 +146,14 @@
     label: String,
     extras: Extras,
 ) -> Result<Rc<Node>, SettingsError> {
-    let told = &config.told;
+    let told = &config.received;
     let setup = Setup {
         settings: told.settings.clone(),
         seed: config.seed,
         classes: told.classes.clone(),
         tenants: told.tenants.clone(),
         open_cap: told.open_cap,
-        known: config.known.take(),
+        known: config.saved_list.take(),
         process,
         label,
         ledger: extras.ledger,
@@ -226,7 +226,7 @@
                 tracing::info!(target: "reload", "discovery is {}", config.discovery);
                 node.carrier().discovery.set(config.discovery);
                 node.list_moved();
-                if let Some(field) = node.carrier().config.changed(&config) {
+                if let Some(field) = node.carrier().config.changed_restart_only_field(&config) {
                     tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
                 }
             }
@@ -241,7 +241,7 @@
     let mut logged = false;
     loop {
         match config::reload() {
-            Err(error) if error.may_pass() => {
+            Err(error) if error.is_transient() => {
                 if !std::mem::replace(&mut logged, true) {
                     tracing::warn!(target: "reload", "{error}; read again");
                 }
--- a/crates/http/src/workers.rs
+++ b/crates/http/src/workers.rs
@@ -77,7 +77,7 @@
         listener: TcpListener,
         lost_lines: impl Fn() -> u64 + Send + 'static,
     ) -> Result<(), String> {
-        let config = self.config.part(worker, self.count)?;
+        let config = self.config.for_worker(worker, self.count)?;
         let (process, extras) = (self.process.clone(), self.extras.clone());
         // The first answers calls to the second address; started again, it goes on with the same listener.
         let management = self.management.as_ref().filter(|_| worker == 0).map(another);
@@ -110,7 +110,7 @@
     let cannot = |e| format!("listen: {}: {e}", config.listen);
     let Some(first) = listeners.first() else { return Err("workers: none are wanted".into()) };
     let at = address_of(first).map_err(cannot)?;
-    let inherited = config.inherited.map(|_| another(first)).transpose().map_err(cannot)?;
+    let inherited = config.inherited_fd.map(|_| another(first)).transpose().map_err(cannot)?;
     let (ended, ends) = mpsc::channel();
     let name = config.name.clone();
     let workers = Workers { config, count, at, inherited, management, process, extras, ended };
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -35,12 +35,12 @@
         listen,
         discovery,
         management: None,
-        inherited: None,
+        inherited_fd: None,
         seed: 1,
-        sockets: 512,
+        max_descriptors: 512,
         memory_mb: 64,
-        known: None,
-        told: magpietally_settings::told(&settings).expect("good settings"),
-        lasting: Arc::default(),
+        saved_list: None,
+        received: magpietally_settings::told(&settings).expect("good settings"),
+        restart_only: Arc::default(),
     }
 }
--- a/crates/http/tests/workers.rs
+++ b/crates/http/tests/workers.rs
@@ -91,7 +91,10 @@
     });
     let config = common::config(discovery, 20_000.0);
     let port = config.listen;
-    assert!(config.part(0, 32).is_err_and(|e| e.contains("sockets")), "parts that are too small are refused");
+    assert!(
+        config.for_worker(0, 32).is_err_and(|e| e.contains("sockets")),
+        "parts that are too small are refused"
+    );
     let dies = Arc::new(AtomicBool::new(false));
     let fault = dies.clone();
     // Asked for by the first worker once a second, in a task of its own.
--- a/src/main.rs
+++ b/src/main.rs
@@ -132,9 +132,9 @@
     };
     let members = members.map(|options| membership::start(&config.name, options)).transpose()?;
     let ground = || Ground {
-        settings: config.told.settings.clone(),
-        classes: config.told.classes.clone(),
-        tenants: config.told.tenants.clone(),
+        settings: config.received.settings.clone(),
+        classes: config.received.classes.clone(),
+        tenants: config.received.tenants.clone(),
     };
     let fleet = fleet.map(|options| fleet::start(&config.name, options, ground())).transpose()?;
     let gate = fleet.as_ref().map(|fleet| fleet.gate.clone() as Arc<dyn Gate>);
