--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -18,7 +18,7 @@
 
 use crate::budget::Lease;
 use crate::message::BODY_MOST;
-use crate::pool::{Link, Pool};
+use crate::pool::{Pool, PooledConnection};
 use crate::sock::Sock;
 
 /// How long a server that has begun an answer may then give nothing of it while its client would take more, and one may take
@@ -242,7 +242,7 @@
     /// What still comes.
     pub incoming: Incoming,
     /// The connection that it comes by; gone when it is over.
-    pub link: Option<Link>,
+    pub link: Option<PooledConnection>,
     /// Where the connection goes back to.
     pub pool: Rc<Pool>,
     /// Whom it leads to.
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -56,7 +56,7 @@
     async fn probe(core: Rc<Core<Self>>, server: ServerId) -> Outcome {
         let pool = &core.carrier().pool;
         // As long as a connection may take, and as long again for the answer.
-        let end = Instant::now() + 2 * pool.connect;
+        let end = Instant::now() + 2 * pool.connect_timeout;
         let (at, probe) = (core.clone(), Message::probe(core.carrier().budget.lease()));
         let place = move || at.place(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
@@ -71,11 +71,11 @@
     }
 
     fn forget(&self, server: ServerId) {
-        self.pool.forget(server);
+        self.pool.close_idle_to(server);
     }
 
     fn connections(&self) -> usize {
-        self.pool.held()
+        self.pool.open_connections()
     }
 }
 
--- a/crates/http/src/clients/ends.rs
+++ b/crates/http/src/clients/ends.rs
@@ -8,7 +8,7 @@
 
 use super::harness::*;
 use super::*;
-use crate::service::stop;
+use crate::node::stop_node;
 
 /// How long the harness's requests may take, in milliseconds.
 const TIME: f64 = 20_000.0;
@@ -72,7 +72,7 @@
         stream.write_all(asks("look", 0).as_bytes()).await.expect("it is open");
         until("it is held", || node.open_requests() == 1).await;
         node.process().change(|life| life.stop(Instant::now() - ENDS));
-        stop(&node, &clients, listener).await;
+        stop_node(&node, &clients, listener).await;
         stream.into_std().expect("a socket")
     });
     // With the runtime all connections have ended, as at the process's end.
--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::config::Config;
-use crate::service::{start, Extras};
+use crate::node::{start_node, OperatorOptions};
 
 /// What any node answers, ready or not.
 pub(super) const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -44,7 +44,9 @@
         restart_only: Default::default(),
     };
     let process = Process::new(2, Life::new(time, false));
-    Clients::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
+    Clients::new(
+        start_node(config, process, String::new(), OperatorOptions::default()).expect("good settings"),
+    )
 }
 
 /// Runs to its end, which must come.
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -15,8 +15,8 @@
 use magpietally_structures::GOLDEN;
 use serde_json::{Map, Value};
 
-use crate::list::listing;
 use crate::management;
+use crate::server_list::listing;
 
 /// The node's configuration.
 #[derive(Clone)]
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -15,7 +15,7 @@
 use magpietally_policy::{ListFailure, WATCH_SILENCE};
 use tokio::time::{sleep, timeout_at, Instant};
 
-use crate::list;
+use crate::server_list;
 use crate::sock::{io, Io, Sock};
 
 /// The longest line that is taken.
@@ -205,7 +205,7 @@
 }
 
 fn read(line: &[u8]) -> Result<Listing, Ended> {
-    list::read(line).map_err(|e| Ended::Unreadable(e.words()))
+    server_list::read(line).map_err(|e| Ended::Unreadable(e.words()))
 }
 
 /// What moves a call's bytes; the connection ends with it.
@@ -351,12 +351,12 @@
             if !(first || cut_off || line.ends_with(b"}")) {
                 continue;
             }
-            match list::read(&self.begun) {
+            match server_list::read(&self.begun) {
                 Ok(listing) => {
                     self.begun.clear();
                     return Ok(Some(Said::News(listing)));
                 }
-                Err(list::Unreadable::Cut(_)) if !cut_off => {}
+                Err(server_list::Unreadable::Cut(_)) if !cut_off => {}
                 Err(error) => return Err(Ended::Unreadable(error.words())),
             }
         }
@@ -366,14 +366,14 @@
     /// The object that only lacks its line's end.
     fn rest(mut self) -> Option<Listing> {
         self.begun.extend_from_slice(&self.lines.held);
-        list::read(&self.begun).ok()
+        server_list::read(&self.begun).ok()
     }
 }
 
 #[cfg(test)]
-mod clock;
+mod fleet_tests;
 #[cfg(test)]
-mod fleet;
+mod timing_tests;
 
 #[cfg(test)]
 mod tests;
--- a/crates/http/src/discovery/fleet.rs
+++ b/crates/http/src/discovery/fleet_tests.rs
@@ -6,7 +6,7 @@
 
 use magpietally_policy::{Action, Balancer, Discovery, Event, ListFailure, Settings};
 
-use super::clock::settings;
+use super::timing_tests::settings;
 
 /// One service that handles calls in turn.
 #[derive(Clone, Copy)]
--- a/crates/http/src/inherited.rs
+++ b/crates/http/src/inherited.rs
@@ -6,7 +6,7 @@
 use magpietally_os_error::{retry, Call};
 use socket2::SockRef;
 
-use crate::service::address_of;
+use crate::node::listener_address;
 
 /// The first descriptor that is not one of the standard streams.
 const FIRST: u32 = 3;
@@ -37,7 +37,7 @@
     if !retry::at_start(Call::Create, "BALANCER_FD", listens).is_ok_and(|listens| listens) {
         return fail(format!("{fd} does not listen"));
     }
-    match address_of(&listener) {
+    match listener_address(&listener) {
         // Port 0 asks for any.
         Ok(is) if is == at || (at.port() == 0 && is.ip() == at.ip()) => {}
         Ok(is) => return fail(format!("{fd} listens at {is}, {at} is expected")),
--- a/crates/http/src/service.rs
+++ b/crates/http/src/node.rs
@@ -40,7 +40,7 @@
 const STATUS: Duration = Duration::from_secs(1);
 
 /// What a worker is told besides the configuration.
-pub(crate) struct Part {
+pub(crate) struct WorkerSetup {
     /// Where it accepts; its own, or one of several at the same address.
     pub(crate) listener: std::net::TcpListener,
     /// Where calls to the second address come in, at the one worker that answers them.
@@ -50,18 +50,18 @@
     /// What its status lines begin with.
     pub(crate) label: String,
     /// What operators switched on.
-    pub(crate) extras: Extras,
+    pub(crate) options: OperatorOptions,
 }
 
 /// What operators may switch on beside the platform's configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Extras {
+pub struct OperatorOptions {
     /// Where what must not run twice is noted before it is sent.
     pub ledger: Option<Ledger>,
     /// Where the list of servers comes from, in place of discovery.
-    pub boxes: Option<ListFile>,
+    pub server_list: Option<ListFile>,
     /// What the fleet says of requests.
-    pub gate: Option<Arc<dyn Gate>>,
+    pub admission: Option<Arc<dyn Gate>>,
 }
 
 /// Runs one node until a signal ends it. `lost_lines` counts the lines that the log has dropped so far, for the status
@@ -69,28 +69,32 @@
 ///
 /// # Errors
 /// What could not be set up, in one line: the runtime, the listener, a signal or the policy's settings.
-pub fn run(config: Config, extras: Extras, lost_lines: impl Fn() -> u64 + 'static) -> Result<(), String> {
-    let Opened { mut listeners, management, process } = Opened::new(&config, 1)?;
+pub fn run(
+    config: Config,
+    options: OperatorOptions,
+    lost_lines: impl Fn() -> u64 + 'static,
+) -> Result<(), String> {
+    let OpenedProcess { mut listeners, management, process } = OpenedProcess::new(&config, 1)?;
     let listener = listeners.pop().ok_or("listen: nowhere")?;
-    let address = address_of(&listener).map_err(|e| format!("listen: {e}"))?;
+    let address = listener_address(&listener).map_err(|e| format!("listen: {e}"))?;
     let name = config.name.clone();
-    let part = Part { listener, management, process, label: String::new(), extras };
-    work(config, part, || tracing::info!(target: "node", "{name} listens at {address}"), lost_lines)
+    let part = WorkerSetup { listener, management, process, label: String::new(), options };
+    run_worker(config, part, || tracing::info!(target: "node", "{name} listens at {address}"), lost_lines)
 }
 
 /// What a process opens before its first worker begins.
-pub(crate) struct Opened {
+pub(crate) struct OpenedProcess {
     /// One for each worker.
     pub(crate) listeners: Vec<std::net::TcpListener>,
     pub(crate) management: Option<std::net::TcpListener>,
     pub(crate) process: Process,
 }
 
-impl Opened {
+impl OpenedProcess {
     pub(crate) fn new(config: &Config, workers: usize) -> Result<Self, String> {
         let listeners = listeners(config, workers)?;
         let management = config.management.map(management::open).transpose()?;
-        if let Some(at) = management.as_ref().and_then(|m| address_of(m).ok()) {
+        if let Some(at) = management.as_ref().and_then(|m| listener_address(m).ok()) {
             tracing::info!(target: "node", "{} is managed at {at}", config.name);
         }
         let life = Life::new(config.received.longest_deadline(), config.inherited_fd.is_some());
@@ -106,11 +110,11 @@
         Some(fd) => inherited::listener(fd, config.listen)?,
         None => listen(config.listen, workers > 1).map_err(cannot)?,
     };
-    let at = address_of(&first).map_err(cannot)?;
+    let at = listener_address(&first).map_err(cannot)?;
     let mut all = vec![first];
     for _ in 1..workers {
         all.push(match config.inherited_fd {
-            Some(_) => another(&all[0]).map_err(cannot)?,
+            Some(_) => duplicate_listener(&all[0]).map_err(cannot)?,
             None => listen(at, true).map_err(cannot)?,
         });
     }
@@ -118,19 +122,19 @@
 }
 
 /// Where a listener is.
-pub(crate) fn address_of(listener: &std::net::TcpListener) -> std::io::Result<SocketAddr> {
+pub(crate) fn listener_address(listener: &std::net::TcpListener) -> std::io::Result<SocketAddr> {
     retry::at_start(Call::Create, "the address of a listener", || listener.local_addr())
 }
 
 /// Another descriptor of a listener.
-pub(crate) fn another(listener: &std::net::TcpListener) -> std::io::Result<std::net::TcpListener> {
+pub(crate) fn duplicate_listener(listener: &std::net::TcpListener) -> std::io::Result<std::net::TcpListener> {
     retry::at_start(Call::Create, "another descriptor of a listener", || listener.try_clone())
 }
 
 /// Runs a worker until a signal ends it or its thread has panicked. `begun` is called once it accepts.
-pub(crate) fn work(
+pub(crate) fn run_worker(
     config: Config,
-    part: Part,
+    part: WorkerSetup,
     begun: impl FnOnce(),
     lost_lines: impl Fn() -> u64 + 'static,
 ) -> Result<(), String> {
@@ -140,11 +144,11 @@
 }
 
 /// A core with HTTP for its carrier.
-pub(crate) fn start(
+pub(crate) fn start_node(
     mut config: Config,
     process: Process,
     label: String,
-    extras: Extras,
+    options: OperatorOptions,
 ) -> Result<Rc<Node>, SettingsError> {
     let told = &config.received;
     let setup = Setup {
@@ -156,16 +160,16 @@
         known: config.saved_list.take(),
         process,
         label,
-        ledger: extras.ledger,
-        gate: extras.gate,
+        ledger: options.ledger,
+        gate: options.admission,
     };
     let figures = setup.process.figures.clone();
-    Core::new(setup, Http::new(config, extras.boxes, figures))
+    Core::new(setup, Http::new(config, options.server_list, figures))
 }
 
 async fn serve(
     config: Config,
-    part: Part,
+    part: WorkerSetup,
     begun: impl FnOnce(),
     lost_lines: impl Fn() -> u64 + 'static,
 ) -> Result<(), String> {
@@ -176,8 +180,8 @@
     let management = part.management.map(Listener::new).transpose();
     let management = management.map_err(|e| format!("management: {e}"))?;
     let process = part.process;
-    let node =
-        start(config, process.clone(), part.label, part.extras).map_err(|e| format!("settings: {e}"))?;
+    let node = start_node(config, process.clone(), part.label, part.options)
+        .map_err(|e| format!("settings: {e}"))?;
     begun();
     let clients = Clients::new(node.clone());
     if let Some(listener) = management {
@@ -207,7 +211,7 @@
         }
         process.stop();
         log_stage("told to end", &node, &clients);
-        stop(&node, &clients, listener).await;
+        stop_node(&node, &clients, listener).await;
     };
     tokio::select! {
         () = life => Ok(()),
@@ -265,7 +269,7 @@
 async fn sweep(node: Rc<Node>, clients: Rc<Clients>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        node.carrier().pool.sweep();
+        node.carrier().pool.close_unusable();
         clients.sweep();
         // A drained node is looked at more often; one that stops, by whoever ends it.
         while node.process().life().draining().is_some() {
@@ -277,7 +281,7 @@
 }
 
 /// Finishes all that was taken, by the times that the node's state tells.
-pub(crate) async fn stop(node: &Rc<Node>, clients: &Rc<Clients>, listener: Listener) {
+pub(crate) async fn stop_node(node: &Rc<Node>, clients: &Rc<Clients>, listener: Listener) {
     let life = node.process().life();
     let leave = async {
         while life.accepts(Instant::now(), clients.count()) {
@@ -303,7 +307,7 @@
             node.fail_open();
         }
         if life.shared() {
-            node.carrier().pool.let_go(UNUSED);
+            node.carrier().pool.close_idle_for(UNUSED);
         }
         clients.close_idle();
         tokio::time::sleep(LOOK).await;
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -27,32 +27,32 @@
 const RESTING: usize = 4;
 
 /// A connection between requests. It is not polled meanwhile: what happened to it is looked up before use.
-pub(crate) struct Link {
-    pub(crate) sock: Rc<Sock>,
+pub(crate) struct PooledConnection {
+    pub(crate) stream: Rc<Sock>,
     pub(crate) send: SendRequest<Outgoing>,
     pub(crate) conn: Connection<Io, Outgoing>,
     /// Whom it leads to.
-    pub(crate) place: Place,
-    pub(crate) since: Instant,
-    _held: Held,
+    pub(crate) endpoint: Place,
+    pub(crate) idle_since: Instant,
+    _descriptor: Descriptor,
 }
 
 /// One of the descriptors that the pool may hold.
-struct Held(Rc<Cell<usize>>);
+struct Descriptor(Rc<Cell<usize>>);
 
-impl Drop for Held {
+impl Drop for Descriptor {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// An attempt that is noted as unheard; not any more once this is dropped.
-pub(crate) struct Expected {
+pub(crate) struct TrackedAttempt {
     pool: Rc<Pool>,
     server: ServerId,
 }
 
-impl Drop for Expected {
+impl Drop for TrackedAttempt {
     fn drop(&mut self) {
         let mut unheard = self.pool.unheard.borrow_mut();
         if let Some(attempts) = unheard.get_mut(&self.server) {
@@ -68,93 +68,93 @@
 
 /// Connections to servers.
 pub struct Pool {
-    idle: RefCell<HashMap<ServerId, Vec<Link>>>,
+    idle: RefCell<HashMap<ServerId, Vec<PooledConnection>>>,
     /// How many attempts are out at each server to which no byte has come back.
     unheard: RefCell<HashMap<ServerId, usize>>,
     /// When the latest of the attempts was sent that a server has answered, while others there are unheard.
     answered: RefCell<HashMap<ServerId, Instant>>,
-    held: Rc<Cell<usize>>,
-    most: usize,
-    idle_most: Duration,
-    pub(crate) connect: Duration,
+    open: Rc<Cell<usize>>,
+    max_open: usize,
+    max_idle: Duration,
+    pub(crate) connect_timeout: Duration,
     /// Where attempts are counted.
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Figures,
     /// Bounds the log's lines on connects that failed.
     pub sample: Sample,
 }
 
 impl Pool {
-    /// An empty pool of `most` connections at the most. Servers close what has been idle for `keepalive`; a
-    /// connection that takes longer than `connect` has failed; both in milliseconds.
-    pub fn new(most: usize, keepalive: Millis, connect: Millis, figures: Figures) -> Self {
+    /// An empty pool of `max_open` connections at the most. Servers close what has been idle for `keepalive`; a
+    /// connection that takes longer than `connect_timeout` has failed; both in milliseconds.
+    pub fn new(max_open: usize, keepalive: Millis, connect_timeout: Millis, metrics: Figures) -> Self {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         Self {
             idle: RefCell::default(),
             unheard: RefCell::default(),
             answered: RefCell::default(),
-            held: Rc::default(),
-            most,
-            idle_most: ms(keepalive * IDLE_SHARE),
-            connect: ms(connect),
-            figures,
+            open: Rc::default(),
+            max_open,
+            max_idle: ms(keepalive * IDLE_SHARE),
+            connect_timeout: ms(connect_timeout),
+            metrics,
             sample: Sample::default(),
         }
     }
 
     /// How many connections there are.
-    pub fn held(&self) -> usize {
-        self.held.get()
+    pub fn open_connections(&self) -> usize {
+        self.open.get()
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: ServerId) {
+    pub fn close_idle_to(&self, server: ServerId) {
         self.answered.borrow_mut().remove(&server);
         self.idle.borrow_mut().remove(&server);
     }
 
     /// Closes what has been idle for long or was closed by its server; its descriptor is held for nothing.
-    pub fn sweep(&self) {
+    pub fn close_unusable(&self) {
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
-            links.retain(|l| l.since.elapsed() < self.idle_most && l.sock.seems_quiet());
+            links.retain(|l| l.idle_since.elapsed() < self.max_idle && l.stream.seems_quiet());
         }
         idle.retain(|_, links| !links.is_empty());
     }
 
     /// Closes what has been idle for so long: a process that ends leaves what it does not need to the next one, as both
     /// together have the descriptors of one node.
-    pub fn let_go(&self, idle: Duration) {
+    pub fn close_idle_for(&self, idle: Duration) {
         let mut all = self.idle.borrow_mut();
         for links in all.values_mut() {
-            links.retain(|l| l.since.elapsed() < idle);
+            links.retain(|l| l.idle_since.elapsed() < idle);
         }
         all.retain(|_, links| !links.is_empty());
     }
 
     /// Of the connections that still stand and have rested, the one that was used last; where too many rest, the one that has
     /// for longest. `sure` asks the kernel whether it stands, for what must not be sent in vain.
-    pub(crate) fn take(&self, server: ServerId, sure: bool) -> Option<Link> {
+    pub(crate) fn take(&self, server: ServerId, sure: bool) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&server)?;
         loop {
-            let rested = links.partition_point(|l| l.since.elapsed() >= REST);
+            let rested = links.partition_point(|l| l.idle_since.elapsed() >= REST);
             let at = rested.checked_sub(1).or((links.len() >= RESTING).then_some(0))?;
             let link = links.remove(at);
-            let quiet = if sure { link.sock.quiet() } else { link.sock.seems_quiet() };
-            if link.since.elapsed() < self.idle_most && quiet {
+            let quiet = if sure { link.stream.quiet() } else { link.stream.seems_quiet() };
+            if link.idle_since.elapsed() < self.max_idle && quiet {
                 return Some(link);
             }
         }
     }
 
     /// Notes an attempt until something comes back, or it ends.
-    pub(crate) fn expect(self: &Rc<Self>, server: ServerId) -> Expected {
+    pub(crate) fn track_attempt(self: &Rc<Self>, server: ServerId) -> TrackedAttempt {
         *self.unheard.borrow_mut().entry(server).or_default() += 1;
-        Expected { pool: self.clone(), server }
+        TrackedAttempt { pool: self.clone(), server }
     }
 
     /// A server has answered what was sent then.
-    pub(crate) fn heard(&self, server: ServerId, sent: Instant) {
+    pub(crate) fn note_response(&self, server: ServerId, sent: Instant) {
         if !self.unheard.borrow().contains_key(&server) {
             return;
         }
@@ -164,19 +164,19 @@
     }
 
     /// Has a server answered what was sent to it later? Then it is not the server that is silent.
-    pub(crate) fn overtaken(&self, server: ServerId, sent: Instant) -> bool {
+    pub(crate) fn is_overtaken(&self, server: ServerId, sent: Instant) -> bool {
         self.answered.borrow().get(&server).is_some_and(|last| *last > sent)
     }
 
     /// Closes the idle connections to a server that were last used before an attempt that nothing came back of.
-    pub(crate) fn distrust(&self, server: ServerId, sent: Instant) {
+    pub(crate) fn close_last_used_before(&self, server: ServerId, sent: Instant) {
         if let Some(links) = self.idle.borrow_mut().get_mut(&server) {
-            links.retain(|link| link.since >= sent);
+            links.retain(|link| link.idle_since >= sent);
         }
     }
 
-    fn put(&self, server: ServerId, mut link: Link) {
-        link.since = Instant::now();
+    fn put(&self, server: ServerId, mut link: PooledConnection) {
+        link.idle_since = Instant::now();
         self.idle.borrow_mut().entry(server).or_default().push(link);
     }
 
@@ -185,26 +185,28 @@
     pub(crate) fn give_back(
         &self,
         server: ServerId,
-        link: Link,
+        link: PooledConnection,
         came: usize,
         chunked: bool,
         now: Option<Place>,
     ) {
         // One that has more to read than the answer would answer the next request with it.
-        if link.sock.whole()
-            && link.sock.heard_just(came, chunked)
-            && link.sock.nothing_behind()
-            && now == Some(link.place)
+        if link.stream.whole()
+            && link.stream.heard_just(came, chunked)
+            && link.stream.nothing_behind()
+            && now == Some(link.endpoint)
         {
             self.put(server, link);
         }
     }
 
     /// Closes the connection that has been idle for longest; false where none is.
-    pub fn evict(&self) -> bool {
+    pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let Some(links) =
-            idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|links| links.first().map(|l| l.since))
+        let Some(links) = idle
+            .values_mut()
+            .filter(|l| !l.is_empty())
+            .min_by_key(|links| links.first().map(|l| l.idle_since))
         else {
             return false;
         };
@@ -214,23 +216,23 @@
 
     /// A new connection, or how the attempt ends without one. A node that has no descriptor or port left has
     /// sent nothing, but that says nothing of the server: as a failed connect it would eject a good one.
-    pub(crate) async fn connect(&self, place: Place) -> Result<Link, Outcome> {
-        if self.held.get() >= self.most && !self.evict() {
+    pub(crate) async fn connect(&self, place: Place) -> Result<PooledConnection, Outcome> {
+        if self.open.get() >= self.max_open && !self.evict_idle() {
             return Err(Outcome::NotSent);
         }
-        self.held.set(self.held.get() + 1);
-        let held = Held(self.held.clone());
-        let stream = match timeout(self.connect, magpietally_net::connect(place.dial)).await {
+        self.open.set(self.open.get() + 1);
+        let descriptor = Descriptor(self.open.clone());
+        let stream = match timeout(self.connect_timeout, magpietally_net::connect(place.dial)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(DialError::Lacking(error))) => {
                 self.sample
                     .line(|| tracing::warn!(target: "connect", "{}: lacking here: {error}", place.dial));
-                self.evict();
+                self.evict_idle();
                 return Err(Outcome::NotSent);
             }
             Ok(Err(DialError::Failed(error))) => {
                 self.sample.line(|| tracing::info!(target: "connect", "{}: {error}", place.dial));
-                return Err(unconnected(&error));
+                return Err(outcome_of_failed_connect(&error));
             }
             Err(_) => return Err(Outcome::ConnectFailed),
         };
@@ -238,13 +240,20 @@
         let sock = Sock::new(stream);
         let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io(sock.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
-        Ok(Link { sock, send, conn, place, since: Instant::now(), _held: held })
+        Ok(PooledConnection {
+            stream: sock,
+            send,
+            conn,
+            endpoint: place,
+            idle_since: Instant::now(),
+            _descriptor: descriptor,
+        })
     }
 }
 
 /// How an attempt ends whose connect failed. One that was taken and broken at once says that something listens: a
 /// process that is down refuses.
-fn unconnected(error: &std::io::Error) -> Outcome {
+fn outcome_of_failed_connect(error: &std::io::Error) -> Outcome {
     match error.kind() {
         ErrorKind::ConnectionReset => Outcome::Unwritten,
         _ => Outcome::ConnectFailed,
@@ -253,7 +262,7 @@
 
 /// How an attempt ends whose time was over before its connection stood. Where the time to connect is longer than an
 /// attempt's, a machine that says nothing fails no connect: one that had half of that time tells of it all the same.
-pub(crate) fn unfinished(waited: Duration, connect: Duration) -> Outcome {
+pub(crate) fn outcome_of_unfinished_connect(waited: Duration, connect: Duration) -> Outcome {
     if waited >= connect / 2 {
         Outcome::Unwritten
     } else {
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -20,7 +20,7 @@
 
 use crate::body::{within, Held, Outgoing, Rest};
 use crate::message::{keep_end_to_end, Message, Reply, BODY_MOST, REMAINING};
-use crate::pool::{unfinished, Link, Pool};
+use crate::pool::{outcome_of_unfinished_connect, Pool, PooledConnection};
 use crate::sock::{Io, Sock};
 
 /// Turned away unseen.
@@ -72,15 +72,17 @@
     loop {
         // A drain holds from the moment it is told, also for what waited on a connection until now; so does a client's leaving.
         let Some(place) = may() else { return (Outcome::NotSent, None) };
-        pooled = pooled.filter(|link| link.place == place);
+        pooled = pooled.filter(|link| link.endpoint == place);
         let reused = pooled.is_some();
-        kept.set(pooled.as_ref().map(|link| link.since.elapsed()));
+        kept.set(pooled.as_ref().map(|link| link.idle_since.elapsed()));
         let link = match pooled.take() {
             Some(link) => Ok(link),
             None => {
                 let began = Instant::now();
                 let link = timeout_at(end.into(), pool.connect(place)).await;
-                link.unwrap_or_else(|_| Err(unfinished(began.elapsed(), pool.connect)))
+                link.unwrap_or_else(|_| {
+                    Err(outcome_of_unfinished_connect(began.elapsed(), pool.connect_timeout))
+                })
             }
         };
         let mut link = match link {
@@ -91,23 +93,23 @@
             return (Outcome::NotSent, None);
         }
         let sent = Instant::now();
-        let expected = pool.expect(server);
+        let expected = pool.track_attempt(server);
         if fresh {
-            link.sock.begin(message.body.len());
+            link.stream.begin(message.body.len());
         } else {
-            link.sock.begin_attempt(message.body.len(), pool.figures.clone());
+            link.stream.begin_attempt(message.body.len(), pool.metrics.clone());
         }
-        let Some(body) = message.body.outgoing(&link.sock) else { return (Outcome::NotSent, None) };
+        let Some(body) = message.body.outgoing(&link.stream) else { return (Outcome::NotSent, None) };
         let request = request(message, body, end);
         let uploading = message.body.uploading();
-        let to = link.sock.clone();
+        let to = link.stream.clone();
         let talk = unless_untaken(&to, converse(&mut link, request, end));
         let ended = within(end.into(), uploading.map(|u| &**u), &to, talk).await;
-        let overtaken = ended.is_none() && pool.overtaken(server, sent);
+        let overtaken = ended.is_none() && pool.is_overtaken(server, sent);
         drop(expected);
-        let (any, whole) = (link.sock.any(), link.sock.whole());
-        if ended.is_none() && whole && !link.sock.heard_any() {
-            pool.distrust(server, sent);
+        let (any, whole) = (link.stream.any(), link.stream.whole());
+        if ended.is_none() && whole && !link.stream.heard_any() {
+            pool.close_last_used_before(server, sent);
         }
         match ended {
             // A kept connection that was closed before the first byte was written, or a head whose deadline no longer holds:
@@ -119,15 +121,15 @@
                 return (Outcome::NotSent, None)
             }
             Some(Ok(heard)) => {
-                pool.heard(server, sent);
+                pool.note_response(server, sent);
                 return heard.judge(pool, server, link, now_at);
             }
-            Some(Err(Broken::Link)) if whole => return (Outcome::Reset, None),
+            Some(Err(Broken::Connection)) if whole => return (Outcome::Reset, None),
             Some(Err(Broken::Garbled)) if whole => return (Outcome::Error, None),
             Some(Err(_)) => return (Outcome::Unwritten, None),
             // A connection that is dead, or an answer that was lost, must not pass for a slow server: that would eject it,
             // and lower its limit, for each. One that is slow with all it has is not overtaken.
-            None if whole && !link.sock.heard_any() && overtaken => return (Outcome::Unheard, None),
+            None if whole && !link.stream.heard_any() && overtaken => return (Outcome::Unheard, None),
             None if whole => return (Outcome::TimedOut, None),
             // It took nothing for long.
             None if uploading.is_some_and(|u| u.over_since().is_none()) => return (Outcome::Unwritten, None),
@@ -164,7 +166,7 @@
         self,
         pool: &Rc<Pool>,
         server: ServerId,
-        link: Link,
+        link: PooledConnection,
         now_at: impl Fn() -> Option<Place> + 'static,
     ) -> (Outcome, Option<Reply>) {
         let away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
@@ -240,7 +242,7 @@
 
 enum Broken {
     /// The connection ended.
-    Link,
+    Connection,
     /// What came can't be read.
     Garbled,
     /// The kernel took nothing of the request for too long.
@@ -255,7 +257,7 @@
         if error.is_parse() || error.is_parse_status() || cause.is_some_and(|e| bad(e.kind())) {
             Self::Garbled
         } else {
-            Self::Link
+            Self::Connection
         }
     }
 }
@@ -280,8 +282,12 @@
 
 /// Writes a request and reads the answer: whole, or as much as must be seen of one that is passed on. A second request on
 /// the connection is never begun here, and nothing is sent again.
-async fn converse(link: &mut Link, request: Request<Outgoing>, end: Instant) -> Result<Heard, Broken> {
-    let Link { send, conn, .. } = link;
+async fn converse(
+    link: &mut PooledConnection,
+    request: Request<Outgoing>,
+    end: Instant,
+) -> Result<Heard, Broken> {
+    let PooledConnection { send, conn, .. } = link;
     let head = *request.method() == Method::HEAD;
     let talk = async {
         send.ready().await?;
--- a/crates/http/src/workers.rs
+++ b/crates/http/src/workers.rs
@@ -16,7 +16,9 @@
 use tokio::sync::Notify;
 
 use crate::config::Config;
-use crate::service::{address_of, another, work, Extras, Opened, Part};
+use crate::node::{
+    duplicate_listener, listener_address, run_worker, OpenedProcess, OperatorOptions, WorkerSetup,
+};
 
 /// How long a worker that died stays down: its clients have turned to others by then.
 const DOWN: Duration = Duration::from_millis(100);
@@ -57,7 +59,7 @@
     inherited: Option<TcpListener>,
     management: Option<TcpListener>,
     process: Process,
-    extras: Extras,
+    options: OperatorOptions,
     ended: mpsc::Sender<Ended>,
 }
 
@@ -65,7 +67,7 @@
     /// Where a worker that is started again accepts.
     fn listener(&self) -> std::io::Result<TcpListener> {
         match &self.inherited {
-            Some(socket) => another(socket),
+            Some(socket) => duplicate_listener(socket),
             None => listen(self.at, true),
         }
     }
@@ -78,16 +80,17 @@
         lost_lines: impl Fn() -> u64 + Send + 'static,
     ) -> Result<(), String> {
         let config = self.config.for_worker(worker, self.count)?;
-        let (process, extras) = (self.process.clone(), self.extras.clone());
+        let (process, options) = (self.process.clone(), self.options.clone());
         // The first answers calls to the second address; started again, it goes on with the same listener.
-        let management = self.management.as_ref().filter(|_| worker == 0).map(another);
+        let management = self.management.as_ref().filter(|_| worker == 0).map(duplicate_listener);
         let management = management.transpose().map_err(|e| format!("management: {e}"))?;
-        let part = Part { listener, management, process, label: format!("worker {worker}: "), extras };
+        let part =
+            WorkerSetup { listener, management, process, label: format!("worker {worker}: "), options };
         let ended = self.ended.clone();
         let run = move || {
             WORKS.set(true);
             let begun = || tracing::info!(target: "worker", "{worker} has begun");
-            let end = catch_unwind(AssertUnwindSafe(|| work(config, part, begun, lost_lines)));
+            let end = catch_unwind(AssertUnwindSafe(|| run_worker(config, part, begun, lost_lines)));
             // Where nobody listens any more the process ends.
             let _ = ended.send((worker, end.unwrap_or_else(|_| Err("panicked".to_string()))));
         };
@@ -103,17 +106,17 @@
 pub fn run_workers(
     config: Config,
     count: usize,
-    extras: Extras,
+    options: OperatorOptions,
     lost_lines: impl Fn() -> u64 + Clone + Send + 'static,
 ) -> Result<(), String> {
-    let Opened { listeners, management, process } = Opened::new(&config, count)?;
+    let OpenedProcess { listeners, management, process } = OpenedProcess::new(&config, count)?;
     let cannot = |e| format!("listen: {}: {e}", config.listen);
     let Some(first) = listeners.first() else { return Err("workers: none are wanted".into()) };
-    let at = address_of(first).map_err(cannot)?;
-    let inherited = config.inherited_fd.map(|_| another(first)).transpose().map_err(cannot)?;
+    let at = listener_address(first).map_err(cannot)?;
+    let inherited = config.inherited_fd.map(|_| duplicate_listener(first)).transpose().map_err(cannot)?;
     let (ended, ends) = mpsc::channel();
     let name = config.name.clone();
-    let workers = Workers { config, count, at, inherited, management, process, extras, ended };
+    let workers = Workers { config, count, at, inherited, management, process, options, ended };
     let lost = |worker: usize| {
         let lost_lines = lost_lines.clone();
         move || if worker == 0 { lost_lines() } else { 0 }
--- a/crates/http/tests/stop.rs
+++ b/crates/http/tests/stop.rs
@@ -30,8 +30,12 @@
     };
     let (end, ended) = mpsc::channel();
     std::thread::spawn(move || {
-        let result =
-            magpietally_http::run_workers(config, 2, magpietally_http::Extras::default(), lost_lines);
+        let result = magpietally_http::run_workers(
+            config,
+            2,
+            magpietally_http::OperatorOptions::default(),
+            lost_lines,
+        );
         end.send(result).expect("the test waits");
     });
     dead.recv_timeout(PATIENCE).expect("the worker dies");
--- a/crates/http/tests/workers.rs
+++ b/crates/http/tests/workers.rs
@@ -103,7 +103,7 @@
         0
     };
     thread::spawn(move || {
-        magpietally_http::run_workers(config, 2, magpietally_http::Extras::default(), lost_lines)
+        magpietally_http::run_workers(config, 2, magpietally_http::OperatorOptions::default(), lost_lines)
     });
     until("both workers follow the list", || watches.load(Ordering::SeqCst) == 2);
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -22,7 +22,7 @@
 use magpietally_config::fleet_policy::Ground;
 use magpietally_config::ListFile;
 use magpietally_core::Gate;
-use magpietally_http::Extras;
+use magpietally_http::OperatorOptions;
 
 /// A load-balancer node: successive requests go to the ready servers in turn.
 #[derive(Parser)]
@@ -138,7 +138,7 @@
     };
     let fleet = fleet.map(|options| fleet::start(&config.name, options, ground())).transpose()?;
     let gate = fleet.as_ref().map(|fleet| fleet.gate.clone() as Arc<dyn Gate>);
-    let extras = Extras { ledger, boxes, gate };
+    let extras = OperatorOptions { ledger, server_list: boxes, admission: gate };
     let ended = match usize::from(args.workers) {
         1 => magpietally_http::run(config, extras, log.lost_lines()),
         workers => magpietally_http::run_workers(config, workers, extras, log.lost_lines()),
