--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -16,7 +16,7 @@
 use serde_json::{Map, Value};
 
 use crate::management;
-use crate::server_list::listing;
+use crate::server_list;
 
 /// The node's configuration.
 #[derive(Clone)]
@@ -112,7 +112,7 @@
 
     /// The descriptors that are for clients and servers.
     fn connection_descriptors(&self) -> usize {
-        let managed = if self.management.is_some() { management::DESCRIPTORS } else { 0 };
+        let managed = if self.management.is_some() { management::MAX_DESCRIPTORS } else { 0 };
         // So few are left only where the limit is near the least; calls then share with the rest.
         (self.max_descriptors - RESERVE).saturating_sub(managed).max(2)
     }
@@ -207,7 +207,8 @@
         words.parse().map_err(|_| format!("BALANCER_FD: number of a descriptor expected, not {words:?}"))
     });
     let seed = text_of("seed")?;
-    let known = there("known").map(|known| listing(known.clone()).map_err(|e| here(format!("known: {e}"))));
+    let known = there("known")
+        .map(|known| server_list::parse_value(known.clone()).map_err(|e| here(format!("known: {e}"))));
     let settings = there("settings").ok_or_else(|| here("settings is missing".into()))?;
     let mut received = told(settings).map_err(here)?;
     speakable(&received).map_err(here)?;
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -205,7 +205,7 @@
 }
 
 fn read(line: &[u8]) -> Result<Listing, Ended> {
-    server_list::read(line).map_err(|e| Ended::Unreadable(e.words()))
+    server_list::parse_line(line).map_err(|e| Ended::Unreadable(e.message()))
 }
 
 /// What moves a call's bytes; the connection ends with it.
@@ -351,13 +351,13 @@
             if !(first || cut_off || line.ends_with(b"}")) {
                 continue;
             }
-            match server_list::read(&self.begun) {
+            match server_list::parse_line(&self.begun) {
                 Ok(listing) => {
                     self.begun.clear();
                     return Ok(Some(Said::News(listing)));
                 }
-                Err(server_list::Unreadable::Cut(_)) if !cut_off => {}
-                Err(error) => return Err(Ended::Unreadable(error.words())),
+                Err(server_list::ListError::Truncated(_)) if !cut_off => {}
+                Err(error) => return Err(Ended::Unreadable(error.message())),
             }
         }
         Ok(None)
@@ -366,7 +366,7 @@
     /// The object that only lacks its line's end.
     fn rest(mut self) -> Option<Listing> {
         self.begun.extend_from_slice(&self.lines.held);
-        server_list::read(&self.begun).ok()
+        server_list::parse_line(&self.begun).ok()
     }
 }
 
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -31,7 +31,7 @@
 /// Calls that may be open at once; one more makes the oldest give way.
 const CALLS_MOST: usize = 12;
 /// The descriptors that all this takes: the listener, the calls, and one that comes while another goes.
-pub(crate) const DESCRIPTORS: usize = CALLS_MOST + 2;
+pub(crate) const MAX_DESCRIPTORS: usize = CALLS_MOST + 2;
 /// How long a call may take in all.
 const CALL_WITHIN: Duration = Duration::from_millis(2000);
 /// How long what the caller still sends is read after the answer, so that a reset does not overtake it.
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// One line that names the address.
-pub(crate) fn open(at: SocketAddr) -> Result<std::net::TcpListener, String> {
+pub(crate) fn open_listener(at: SocketAddr) -> Result<std::net::TcpListener, String> {
     listen(at, false).map_err(|e| format!("management: {at}: {e}"))
 }
 
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -93,7 +93,7 @@
 impl OpenedProcess {
     pub(crate) fn new(config: &Config, workers: usize) -> Result<Self, String> {
         let listeners = listeners(config, workers)?;
-        let management = config.management.map(management::open).transpose()?;
+        let management = config.management.map(management::open_listener).transpose()?;
         if let Some(at) = management.as_ref().and_then(|m| listener_address(m).ok()) {
             tracing::info!(target: "node", "{} is managed at {at}", config.name);
         }
--- a/crates/http/src/server_list.rs
+++ b/crates/http/src/server_list.rs
@@ -92,24 +92,24 @@
 ///
 /// # Errors
 /// Names what is missing or malformed.
-pub fn listing(value: Value) -> Result<Listing, String> {
+pub fn parse_value(value: Value) -> Result<Listing, String> {
     checked(serde_json::from_value(value).map_err(|e| e.to_string())?)
 }
 
 /// Why a line can't be read.
 #[derive(Debug)]
-pub enum Unreadable {
+pub enum ListError {
     /// It ends in the middle: what follows may belong to it.
-    Cut(String),
+    Truncated(String),
     /// Whatever follows.
-    Bad(String),
+    Malformed(String),
 }
 
-impl Unreadable {
+impl ListError {
     /// What is wrong, in words.
-    pub fn words(self) -> String {
+    pub fn message(self) -> String {
         match self {
-            Self::Cut(words) | Self::Bad(words) => words,
+            Self::Truncated(words) | Self::Malformed(words) => words,
         }
     }
 }
@@ -118,12 +118,12 @@
 ///
 /// # Errors
 /// Names what is missing or malformed.
-pub fn read(line: &[u8]) -> Result<Listing, Unreadable> {
+pub fn parse_line(line: &[u8]) -> Result<Listing, ListError> {
     let update = serde_json::from_slice(line).map_err(|error| match error.is_eof() {
-        true => Unreadable::Cut(error.to_string()),
-        false => Unreadable::Bad(error.to_string()),
+        true => ListError::Truncated(error.to_string()),
+        false => ListError::Malformed(error.to_string()),
     })?;
-    checked(update).map_err(Unreadable::Bad)
+    checked(update).map_err(ListError::Malformed)
 }
 
 fn checked(update: Update) -> Result<Listing, String> {
