--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -33,8 +33,9 @@
 impl Http {
     /// A carrier with no connections yet.
     pub fn new(config: Config, boxes: Option<ListFile>, figures: Figures) -> Self {
-        let connect = config.told.settings.limits.connect_timeout;
-        let pool = Rc::new(Pool::new(config.servers_most(), config.told.keepalive, connect, figures));
+        let connect = config.received.settings.limits.connect_timeout;
+        let pool =
+            Rc::new(Pool::new(config.max_server_connections(), config.received.keepalive, connect, figures));
         let budget = Budget::of(config.memory_mb);
         let discovery = Cell::new(config.discovery);
         Self { discovery, config, pool, budget, boxes }
@@ -55,7 +56,7 @@
     async fn probe(core: Rc<Core<Self>>, server: ServerId) -> Outcome {
         let pool = &core.carrier().pool;
         // As long as a connection may take, and as long again for the answer.
-        let end = Instant::now() + 2 * pool.connect;
+        let end = Instant::now() + 2 * pool.connect_timeout;
         let (at, probe) = (core.clone(), Message::probe(core.carrier().budget.lease()));
         let place = move || at.place(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
@@ -70,11 +71,11 @@
     }
 
     fn forget(&self, server: ServerId) {
-        self.pool.forget(server);
+        self.pool.close_idle_to(server);
     }
 
     fn connections(&self) -> usize {
-        self.pool.held()
+        self.pool.open_connections()
     }
 }
 
--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::config::Config;
-use crate::service::{start, Extras};
+use crate::node::{start_node, OperatorOptions};
 
 /// What any node answers, ready or not.
 pub(super) const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -35,16 +35,18 @@
         listen: nowhere,
         discovery: nowhere,
         management: None,
-        inherited: None,
+        inherited_fd: None,
         seed: 1,
-        sockets,
+        max_descriptors: sockets,
         memory_mb: 64,
-        known: None,
-        told: magpietally_settings::told(&settings).expect("good settings"),
-        lasting: Default::default(),
+        saved_list: None,
+        received: magpietally_settings::told(&settings).expect("good settings"),
+        restart_only: Default::default(),
     };
     let process = Process::new(2, Life::new(time, false));
-    Clients::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
+    Clients::new(
+        start_node(config, process, String::new(), OperatorOptions::default()).expect("good settings"),
+    )
 }
 
 /// Runs to its end, which must come.
--- a/crates/http/tests/workers.rs
+++ b/crates/http/tests/workers.rs
@@ -91,7 +91,10 @@
     });
     let config = common::config(discovery, 20_000.0);
     let port = config.listen;
-    assert!(config.part(0, 32).is_err_and(|e| e.contains("sockets")), "parts that are too small are refused");
+    assert!(
+        config.for_worker(0, 32).is_err_and(|e| e.contains("sockets")),
+        "parts that are too small are refused"
+    );
     let dies = Arc::new(AtomicBool::new(false));
     let fault = dies.clone();
     // Asked for by the first worker once a second, in a task of its own.
@@ -100,7 +103,7 @@
         0
     };
     thread::spawn(move || {
-        magpietally_http::run_workers(config, 2, magpietally_http::Extras::default(), lost_lines)
+        magpietally_http::run_workers(config, 2, magpietally_http::OperatorOptions::default(), lost_lines)
     });
     until("both workers follow the list", || watches.load(Ordering::SeqCst) == 2);
 
