--- a/crates/core/src/gate.rs
+++ b/crates/core/src/admission.rs
@@ -11,7 +11,7 @@
 
 /// A request as the gate sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// The client's id for it.
     pub id: &'a str,
     /// Index of its class.
@@ -24,12 +24,12 @@
 
 /// What the gate says of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ruling {
+pub enum AdmissionDecision {
     /// It is decided under this version of the policy, from now to its end.
-    Take {
+    Admit {
         /// The version; 0 stands for the settings that the node was started with.
         epoch: u64,
-        /// When, by the gate's own clock: said back to [`Gate::may_go_on`].
+        /// When, by the gate's own clock: said back to [`AdmissionControl::may_go_on`].
         at: Duration,
     },
     /// Its tenant's quota is used up: trying again is harmless, after this time.
@@ -38,7 +38,7 @@
         retry_after: Millis,
     },
     /// This node may decide nothing now: trying again is harmless, after this time.
-    Away {
+    NoLease {
         /// When it may have a lease again.
         retry_after: Millis,
     },
@@ -46,17 +46,17 @@
 
 /// Why a document is not proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NotProposed {
+pub enum ProposalError {
     /// The document is at fault: line and field.
-    Wrong(String),
+    Invalid(String),
     /// It may be asked again: this node is not ready, or its last proposal is not decided yet.
-    NotNow(String),
+    Unavailable(String),
 }
 
 /// The fleet's word on requests.
-pub trait Gate: Send + Sync + fmt::Debug {
+pub trait AdmissionControl: Send + Sync + fmt::Debug {
     /// May this request be taken now, and under which version? Reads the clock itself, at this moment.
-    fn rule(&self, ask: &Ask<'_>) -> Ruling;
+    fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision;
 
     /// May a request that was taken then, under this version, be sent (again) now? Asked before each attempt: a node that was
     /// stopped past its lease has no right left to what it had begun.
@@ -76,8 +76,8 @@
     ///
     /// # Errors
     /// Why it is not proposed, in a line for the caller.
-    fn propose(&self, _document: &[u8]) -> Result<String, NotProposed> {
-        Err(NotProposed::NotNow("this node takes no proposals".into()))
+    fn propose(&self, _document: &[u8]) -> Result<String, ProposalError> {
+        Err(ProposalError::Unavailable("this node takes no proposals".into()))
     }
 
     /// How the fleet stands as this node sees it, some lines.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,11 +11,11 @@
 //! All of it lives on one thread; futures are spawned on tokio's local set. The core decides nothing: which server,
 //! whether again and what to refuse is the policy's.
 
+mod admission;
 mod carrier;
 mod clock;
 mod epochs;
 mod figures;
-mod gate;
 mod ids;
 mod intents;
 mod life;
@@ -26,9 +26,9 @@
 mod status;
 mod table;
 
+pub use admission::{AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
 pub use carrier::{Carrier, Ended, Payload, Target, Unfollowed};
 pub use figures::{End, Figures, Underway};
-pub use gate::{Ask, Gate, NotProposed, Ruling};
 pub use ids::Ids;
 pub use intents::Turned;
 pub use life::{Doing, Life};
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::{spawn_local, AbortHandle};
 
+use crate::admission::{AdmissionControl, AdmissionDecision, AdmissionRequest};
 use crate::carrier::{Carrier, Ended, Payload, Target, Unfollowed};
 use crate::clock::{ms, span, Clock};
 use crate::epochs::{Epochs, For};
-use crate::gate::{Ask, Gate, Ruling};
 use crate::intents::{self, Turned};
 use crate::life::Life;
 use crate::members::{Listing, Members, Place};
@@ -52,7 +52,7 @@
     /// Where attempts that may not run twice are noted before they are made; `None` where they are not.
     pub ledger: Option<Ledger>,
     /// What the fleet says of requests; `None` where the node stands alone.
-    pub gate: Option<Arc<dyn Gate>>,
+    pub gate: Option<Arc<dyn AdmissionControl>>,
 }
 
 /// A request that was taken: its number, and where its final answer comes from.
@@ -81,7 +81,7 @@
     /// What each class may do without the ledger.
     pub(crate) rights: RefCell<Vec<Right>>,
     pub(crate) ledger: Option<Ledger>,
-    gate: Option<Arc<dyn Gate>>,
+    gate: Option<Arc<dyn AdmissionControl>>,
     /// Those of the start, for versions that have none of their own.
     settings: Settings,
     seed: u64,
@@ -298,15 +298,15 @@
     }
 
     /// Asks the fleet about a request that was entered; one that it does not let pass is forgotten again.
-    fn pass_gate(self: &Rc<Self>, gate: &dyn Gate, id: RequestId) -> Result<(), Turned> {
+    fn pass_gate(self: &Rc<Self>, gate: &dyn AdmissionControl, id: RequestId) -> Result<(), Turned> {
         let ruling = {
             let state = self.state.borrow();
             let open = state.table.get(id).ok_or(Turned::Open)?;
             let (class, tenant) = (open.class, open.tenant);
-            gate.rule(&Ask { id: &open.id, class, tenant, key: open.request.key() })
+            gate.rule(&AdmissionRequest { id: &open.id, class, tenant, key: open.request.key() })
         };
         let turned = match ruling {
-            Ruling::Take { epoch, at } => {
+            AdmissionDecision::Admit { epoch, at } => {
                 self.enter_epoch(gate, epoch);
                 let mut state = self.state.borrow_mut();
                 let module = state.epochs.module();
@@ -315,8 +315,8 @@
                 }
                 return Ok(());
             }
-            Ruling::OverQuota { retry_after } => Turned::OverQuota(retry_after),
-            Ruling::Away { retry_after } => Turned::Refused(retry_after),
+            AdmissionDecision::OverQuota { retry_after } => Turned::OverQuota(retry_after),
+            AdmissionDecision::NoLease { retry_after } => Turned::Refused(retry_after),
         };
         let mut state = self.state.borrow_mut();
         state.table.withdraw(id);
@@ -326,7 +326,7 @@
 
     /// From now on new requests are decided under this version. Where its settings are those that hold, only its number is
     /// new; else a module of its own begins with the list as it stands.
-    fn enter_epoch(self: &Rc<Self>, gate: &dyn Gate, epoch: u64) {
+    fn enter_epoch(self: &Rc<Self>, gate: &dyn AdmissionControl, epoch: u64) {
         {
             let state = &mut *self.state.borrow_mut();
             if state.epochs.current() == epoch {
@@ -367,7 +367,7 @@
     }
 
     /// What the fleet says, where this node is part of one.
-    pub fn gate(&self) -> Option<&dyn Gate> {
+    pub fn gate(&self) -> Option<&dyn AdmissionControl> {
         self.gate.as_deref()
     }
 
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/admission.rs
@@ -7,23 +7,25 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use magpietally_core::{Answer, Ask, Asked, Core, Gate, Ruling, Setup, Turned};
+use magpietally_core::{
+    AdmissionControl, AdmissionDecision, AdmissionRequest, Answer, Asked, Core, Setup, Turned,
+};
 use magpietally_policy::{Effect, Outcome, Settings};
 
-fn take(epoch: u64) -> Ruling {
-    Ruling::Take { epoch, at: Duration::ZERO }
+fn take(epoch: u64) -> AdmissionDecision {
+    AdmissionDecision::Admit { epoch, at: Duration::ZERO }
 }
 
 /// A gate that says what the test has laid out, and notes what it hears.
 #[derive(Debug)]
 struct Scripted {
-    ruling: Mutex<Ruling>,
+    ruling: Mutex<AdmissionDecision>,
     narrowed: Arc<Settings>,
     answered: Mutex<Vec<(u64, String)>>,
 }
 
-impl Gate for Scripted {
-    fn rule(&self, ask: &Ask<'_>) -> Ruling {
+impl AdmissionControl for Scripted {
+    fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
         assert_eq!(ask.key, Some(&b"k"[..]));
         *self.ruling.lock().expect("no panic")
     }
@@ -34,7 +36,7 @@
         false
     }
     fn ready(&self) -> bool {
-        !matches!(*self.ruling.lock().expect("no panic"), Ruling::Away { .. })
+        !matches!(*self.ruling.lock().expect("no panic"), AdmissionDecision::NoLease { .. })
     }
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>> {
         (epoch >= 2).then(|| self.narrowed.clone())
@@ -63,7 +65,7 @@
         Self { core: Core::new(setup, Boxes::default()).expect("good settings"), gate }
     }
 
-    fn rule(&self, ruling: Ruling) {
+    fn rule(&self, ruling: AdmissionDecision) {
         *self.gate.ruling.lock().expect("no panic") = ruling;
     }
 
@@ -108,10 +110,10 @@
     run(async {
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
-        site.rule(Ruling::OverQuota { retry_after: 250.0 });
+        site.rule(AdmissionDecision::OverQuota { retry_after: 250.0 });
         assert_eq!(site.ask("a").err(), Some(Turned::OverQuota(250.0)));
         assert!(site.core.fleet_ready());
-        site.rule(Ruling::Away { retry_after: 1000.0 });
+        site.rule(AdmissionDecision::NoLease { retry_after: 1000.0 });
         assert_eq!(site.ask("a").err(), Some(Turned::Refused(1000.0)));
         assert!(!site.core.fleet_ready() && site.core.open_requests() == 0);
         assert!(site.core.carrier().sent.borrow().is_empty());
@@ -134,7 +136,7 @@
         boxes.outcomes.borrow_mut().extend([Outcome::Full, Outcome::Full]);
         let (first, second) = (site.ask("1").expect("taken"), site.ask("2").expect("taken"));
         tokio::task::yield_now().await;
-        site.rule(Ruling::Away { retry_after: 1000.0 });
+        site.rule(AdmissionDecision::NoLease { retry_after: 1000.0 });
         let began = Instant::now();
         assert!(matches!(first.await, Answer::Refused(_)), "trying again is harmless");
         assert!(matches!(second.await, Answer::Refused(_)));
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -18,7 +18,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use magpietally_core::{Core, Doing, Gate, NotProposed};
+use magpietally_core::{AdmissionControl, Core, Doing, ProposalError};
 use magpietally_net::{listen, Listener, Stream};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
@@ -129,7 +129,7 @@
             let (known, skipped) = node.servers();
             say(StatusCode::OK, process.figures.lines(&node.carrier().config.told.classes, known, skipped))
         }
-        "/v1/fleet" => say(StatusCode::OK, node.gate().map_or(String::new(), Gate::describe)),
+        "/v1/fleet" => say(StatusCode::OK, node.gate().map_or(String::new(), AdmissionControl::describe)),
         "/v1/node/drain" => told(node, "drain", process.change(|life| life.drain(Instant::now()))),
         _ => told(node, "activate", process.change(|life| life.activate())),
     }
@@ -145,8 +145,8 @@
     };
     match gate.propose(&document.to_bytes()) {
         Ok(words) => say(StatusCode::ACCEPTED, format!("{words}\n")),
-        Err(NotProposed::Wrong(words)) => say(StatusCode::BAD_REQUEST, format!("{words}\n")),
-        Err(NotProposed::NotNow(words)) => say(StatusCode::CONFLICT, format!("{words}\n")),
+        Err(ProposalError::Invalid(words)) => say(StatusCode::BAD_REQUEST, format!("{words}\n")),
+        Err(ProposalError::Unavailable(words)) => say(StatusCode::CONFLICT, format!("{words}\n")),
     }
 }
 
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_config::ListFile;
-use magpietally_core::{Core, Gate, Life, Process, Setup};
+use magpietally_core::{AdmissionControl, Core, Life, Process, Setup};
 use magpietally_ledger::Ledger;
 use magpietally_net::{listen, Listener};
 use magpietally_os_error::retry::{self, Pauses};
@@ -61,7 +61,7 @@
     /// Where the list of servers comes from, in place of discovery.
     pub boxes: Option<ListFile>,
     /// What the fleet says of requests.
-    pub gate: Option<Arc<dyn Gate>>,
+    pub gate: Option<Arc<dyn AdmissionControl>>,
 }
 
 /// Runs one node until a signal ends it. `lost_lines` counts the lines that the log has dropped so far, for the status
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use magpietally_config::fleet_policy::{self, Document, Ground};
-use magpietally_core::{number_of, Ask, Gate, NotProposed, Ruling};
+use magpietally_core::{number_of, AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
 use magpietally_policy::Settings;
 use magpietally_policy_change::{
     check as policy_check, Admission, Epoch, PolicyChange, ProposeError, RefusalWhy, Version,
@@ -156,17 +156,19 @@
     span.as_secs_f64() * 1000.0
 }
 
-impl Gate for Shared {
-    fn rule(&self, ask: &Ask<'_>) -> Ruling {
+impl AdmissionControl for Shared {
+    fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
         let now = clock::now().boot;
         let rooms = &mut *self.rooms();
         // With no time of its own left, nothing is held here: the front waits before it asks.
         let version = match rooms.policy.begin(now, Duration::ZERO) {
             Admission::Go(epoch) => epoch.version,
-            Admission::Refuse(refusal) => return Ruling::Away { retry_after: ms(refusal.retry_after) },
+            Admission::Refuse(refusal) => {
+                return AdmissionDecision::NoLease { retry_after: ms(refusal.retry_after) }
+            }
             Admission::Hold(ticket) => {
                 rooms.policy.forget(ticket);
-                return Ruling::Away { retry_after: 100.0 };
+                return AdmissionDecision::NoLease { retry_after: 100.0 };
             }
         };
         let request = number_of(ask.id);
@@ -193,7 +195,7 @@
                             lowered: spent.lowered,
                         },
                     );
-                    return Ruling::OverQuota { retry_after: ms(retry_after) };
+                    return AdmissionDecision::OverQuota { retry_after: ms(retry_after) };
                 }
                 Verdict::Admitted => self.record_quota(
                     now,
@@ -211,7 +213,7 @@
         }
         self.record_policy(now, policy_check::What::Arrived { request });
         self.record_policy(now, policy_check::What::Decided { request, version: version.0 });
-        Ruling::Take { epoch: version.0, at: now }
+        AdmissionDecision::Admit { epoch: version.0, at: now }
     }
 
     fn may_go_on(&self, epoch: u64, at: Duration) -> bool {
@@ -234,17 +236,19 @@
         self.rooms().settings.get(&epoch).cloned().flatten()
     }
 
-    fn propose(&self, document: &[u8]) -> Result<String, NotProposed> {
+    fn propose(&self, document: &[u8]) -> Result<String, ProposalError> {
         let now = clock::now();
         let rooms = &mut *self.rooms();
         if !rooms.policy.ready(now.boot) {
-            return Err(NotProposed::NotNow("this node holds no lease and may be behind the fleet".into()));
+            return Err(ProposalError::Unavailable(
+                "this node holds no lease and may be behind the fleet".into(),
+            ));
         }
         let base = rooms.policy.state().active;
         match rooms.policy.propose(now, base, document.to_vec()) {
             Ok(ticket) => Ok(format!("proposal {ticket} against version {}", base.0)),
-            Err(error @ ProposeError::Waiting(_)) => Err(NotProposed::NotNow(error.to_string())),
-            Err(error) => Err(NotProposed::Wrong(error.to_string())),
+            Err(error @ ProposeError::Waiting(_)) => Err(ProposalError::Unavailable(error.to_string())),
+            Err(error) => Err(ProposalError::Invalid(error.to_string())),
         }
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,7 +21,7 @@
 use logging::Format;
 use magpietally_config::fleet_policy::Ground;
 use magpietally_config::ListFile;
-use magpietally_core::Gate;
+use magpietally_core::AdmissionControl;
 use magpietally_http::Extras;
 
 /// A load-balancer node: successive requests go to the ready servers in turn.
@@ -137,7 +137,7 @@
         tenants: config.told.tenants.clone(),
     };
     let fleet = fleet.map(|options| fleet::start(&config.name, options, ground())).transpose()?;
-    let gate = fleet.as_ref().map(|fleet| fleet.gate.clone() as Arc<dyn Gate>);
+    let gate = fleet.as_ref().map(|fleet| fleet.gate.clone() as Arc<dyn AdmissionControl>);
     let extras = Extras { ledger, boxes, gate };
     let ended = match usize::from(args.workers) {
         1 => magpietally_http::run(config, extras, log.lost_lines()),
