--- a/crates/core/src/life.rs
+++ b/crates/core/src/lifecycle.rs
@@ -27,7 +27,7 @@
 
 /// What a node is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
+pub enum Phase {
     /// It has no list of servers yet.
     Starting,
     /// It serves.
@@ -40,25 +40,25 @@
 
 /// The node's state, for all its workers.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
-    doing: Doing,
+pub struct Lifecycle {
+    doing: Phase,
     /// It listens on a socket that the next process inherits, too.
     shared: bool,
     /// When SIGKILL may come, counted from SIGTERM.
     patience: Duration,
 }
 
-impl Life {
+impl Lifecycle {
     /// A node at its start. `longest_deadline` is the longest that a client waits, in milliseconds; `shared` says that the
     /// listening socket is the platform's, and the next process accepts from it too.
     pub fn new(longest_deadline: f64, shared: bool) -> Self {
         let most = PATIENCE.0.as_secs_f64();
         let longest = Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, most));
-        Self { doing: Doing::Starting, shared, patience: PATIENCE.1 + longest }
+        Self { doing: Phase::Starting, shared, patience: PATIENCE.1 + longest }
     }
 
     /// What it is doing.
-    pub fn doing(&self) -> Doing {
+    pub fn doing(&self) -> Phase {
         self.doing
     }
 
@@ -71,17 +71,17 @@
 
     /// It has a list of servers.
     pub fn listed(&mut self) {
-        if self.doing == Doing::Starting {
-            self.doing = Doing::Serving;
+        if self.doing == Phase::Starting {
+            self.doing = Phase::Serving;
         }
     }
 
     /// It is to send its clients away; false where it ends anyway. A drain that goes on keeps its beginning.
     pub fn drain(&mut self, now: Instant) -> bool {
         match self.doing {
-            Doing::Starting | Doing::Serving => self.doing = Doing::Draining(now),
-            Doing::Draining(_) => {}
-            Doing::Stopping(_) => return false,
+            Phase::Starting | Phase::Serving => self.doing = Phase::Draining(now),
+            Phase::Draining(_) => {}
+            Phase::Stopping(_) => return false,
         }
         true
     }
@@ -89,9 +89,9 @@
     /// It is to serve again; false where it ends. Whether it has a list by now is for those to say who have it.
     pub fn activate(&mut self) -> bool {
         match self.doing {
-            Doing::Draining(_) => self.doing = Doing::Serving,
-            Doing::Starting | Doing::Serving => {}
-            Doing::Stopping(_) => return false,
+            Phase::Draining(_) => self.doing = Phase::Serving,
+            Phase::Starting | Phase::Serving => {}
+            Phase::Stopping(_) => return false,
         }
         true
     }
@@ -99,7 +99,7 @@
     /// It is to end, whatever it was doing. To be told so again changes nothing.
     pub fn stop(&mut self, now: Instant) {
         if self.stopping().is_none() {
-            self.doing = Doing::Stopping(now);
+            self.doing = Phase::Stopping(now);
         }
     }
 
@@ -108,7 +108,7 @@
     /// Since when it is to end.
     pub fn stopping(&self) -> Option<Instant> {
         match self.doing {
-            Doing::Stopping(since) => Some(since),
+            Phase::Stopping(since) => Some(since),
             _ => None,
         }
     }
@@ -116,14 +116,14 @@
     /// Since when it has been drained.
     pub fn draining(&self) -> Option<Instant> {
         match self.doing {
-            Doing::Draining(since) => Some(since),
+            Phase::Draining(since) => Some(since),
             _ => None,
         }
     }
 
     /// Does this process take clients?
     pub fn takes_clients(&self) -> bool {
-        self.doing == Doing::Serving
+        self.doing == Phase::Serving
     }
 
     /// Is `/ready` yes? Whoever asks means the node: where the next process accepts from the same socket the node is as
@@ -135,19 +135,19 @@
     /// Do answers close their connections?
     pub fn closes_answers(&self, now: Instant) -> bool {
         match self.doing {
-            Doing::Starting | Doing::Serving => false,
-            Doing::Draining(since) => now >= since + ANSWERS_CLOSE,
+            Phase::Starting | Phase::Serving => false,
+            Phase::Draining(since) => now >= since + ANSWERS_CLOSE,
             // Whoever is told connects again, and comes to the next process.
-            Doing::Stopping(_) => self.shared || self.killed_within(now, CLOSE_BEFORE),
+            Phase::Stopping(_) => self.shared || self.killed_within(now, CLOSE_BEFORE),
         }
     }
 
     /// How long a connection must have been idle to be closed now, where that is sooner than it is at other times.
     pub fn closes_idle(&self, now: Instant) -> Option<Duration> {
         let (since, from, late) = match self.doing {
-            Doing::Starting | Doing::Serving => return None,
-            Doing::Draining(since) => (since, IDLE_CLOSE, IDLE_LATE),
-            Doing::Stopping(since) => {
+            Phase::Starting | Phase::Serving => return None,
+            Phase::Draining(since) => (since, IDLE_CLOSE, IDLE_LATE),
+            Phase::Stopping(since) => {
                 let late = self.patience.saturating_sub(CLOSE_BEFORE);
                 let late = if self.shared { self.patience.saturating_sub(FAIL_BEFORE + FRESH) } else { late };
                 (since, if self.shared { Duration::ZERO } else { late }, late)
@@ -164,7 +164,7 @@
     /// others a rush of new connections when they are fewer. It does harm where whoever waits for the end of this process is
     /// in a hurry, or where a node is stopped because it serves badly.
     pub fn accepts(&self, now: Instant, clients: usize) -> bool {
-        let Doing::Stopping(since) = self.doing else { return true };
+        let Phase::Stopping(since) = self.doing else { return true };
         let early = now.saturating_duration_since(since) < ACCEPT;
         !self.shared && (early || (clients > 0 && !self.killed_within(now, CLOSE_BEFORE)))
     }
--- a/crates/core/src/life/tests.rs
+++ b/crates/core/src/lifecycle/tests.rs
@@ -7,12 +7,12 @@
 #[test]
 fn every_event_in_every_state_has_a_stated_outcome() {
     let now = Instant::now();
-    let mut life = Life::new(1000.0, false);
-    assert_eq!((life.doing(), life.takes_clients(), life.ready()), (Doing::Starting, false, false));
+    let mut life = Lifecycle::new(1000.0, false);
+    assert_eq!((life.doing(), life.takes_clients(), life.ready()), (Phase::Starting, false, false));
     life.listed();
     assert!(life.takes_clients() && life.ready() && life.activate(), "to activate what serves is no error");
     assert!(life.drain(now) && life.drain(now + ms(900)));
-    assert_eq!(life.doing(), Doing::Draining(now), "a drain keeps its beginning");
+    assert_eq!(life.doing(), Phase::Draining(now), "a drain keeps its beginning");
     life.listed();
     assert!(!life.takes_clients() && !life.ready(), "a list ends no drain");
     assert!(life.activate() && life.ready() && !life.closes_answers(now + ms(9000)), "at once");
@@ -22,17 +22,17 @@
     life.stop(now + ms(2500));
     assert_eq!(life.stopping(), Some(now + ms(2000)), "it ends as it was told first");
     assert!(!life.drain(now) && !life.activate(), "what ends can't be called back");
-    assert_eq!(life.doing(), Doing::Stopping(now + ms(2000)));
-    let mut early = Life::new(1000.0, false);
+    assert_eq!(life.doing(), Phase::Stopping(now + ms(2000)));
+    let mut early = Lifecycle::new(1000.0, false);
     assert!(early.drain(now), "one that starts may be drained");
     early.listed();
-    assert_eq!(early.doing(), Doing::Draining(now));
+    assert_eq!(early.doing(), Phase::Draining(now));
 }
 
 #[test]
 fn a_drained_node_has_nobody_idle_after_two_seconds_and_goes_on_accepting() {
     let now = Instant::now();
-    let mut life = Life::new(1000.0, false);
+    let mut life = Lifecycle::new(1000.0, false);
     life.listed();
     assert_eq!(life.closes_idle(now), None);
     life.drain(now);
@@ -50,7 +50,7 @@
 fn a_stop_has_times_of_its_own_with_each_kind_of_listener() {
     let now = Instant::now();
     for (deadline, killed) in [(1000.0, ms(1700)), (60_000.0, ms(3700)), (-1.0, ms(700))] {
-        let (mut own, mut shared) = (Life::new(deadline, false), Life::new(deadline, true));
+        let (mut own, mut shared) = (Lifecycle::new(deadline, false), Lifecycle::new(deadline, true));
         own.listed();
         shared.listed();
         own.stop(now);
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -18,7 +18,7 @@
 use crate::clock::{ms, span, Clock};
 use crate::epochs::{Epochs, For};
 use crate::intents::{self, Turned};
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::members::{Listing, Members, Place};
 use crate::process::Process;
 use crate::sample::Sample;
@@ -217,7 +217,7 @@
                 () = by_saved_list => {}
             }
         }
-        self.process.change(Life::listed);
+        self.process.change(Lifecycle::listed);
     }
 
     /// Logs what was counted since the last time, and what the policy holds: one line, where anything happened.
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -6,7 +6,7 @@
 
 use crate::figures::Figures;
 use crate::ids::Ids;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 
 /// What belongs to the process, whichever worker looks at it. Clones share it.
 #[derive(Clone, Debug)]
@@ -15,22 +15,22 @@
     pub ids: Ids,
     /// What it has done since its start.
     pub figures: Figures,
-    life: watch::Sender<Life>,
+    life: watch::Sender<Lifecycle>,
 }
 
 impl Process {
     /// A process at its start, with so many classes of requests.
-    pub fn new(classes: usize, life: Life) -> Self {
+    pub fn new(classes: usize, life: Lifecycle) -> Self {
         Self { ids: Ids::default(), figures: Figures::new(classes), life: watch::Sender::new(life) }
     }
 
     /// What it is doing.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> Lifecycle {
         *self.life.borrow()
     }
 
     /// Something has happened; gives what `event` gives.
-    pub fn change<T>(&self, event: impl FnOnce(&mut Life) -> T) -> T {
+    pub fn change<T>(&self, event: impl FnOnce(&mut Lifecycle) -> T) -> T {
         let mut given = None;
         self.life.send_modify(|life| given = Some(event(life)));
         // The closure is called once, before that returns.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_core::{
-    Carrier, Core, Ended, Life, Listing, Member, Payload, Process, Setup, Target, Unfollowed,
+    Carrier, Core, Ended, Lifecycle, Listing, Member, Payload, Process, Setup, Target, Unfollowed,
 };
 use magpietally_policy::{Class, Effect, Goal, Group, Limits, Listed, Outcome, Rules, ServerId, Settings};
 use tokio::task::LocalSet;
@@ -113,7 +113,7 @@
         tenants: Vec::new(),
         open_cap: 100,
         known: Some(Listing { version: 1, whole: true, members: (0..3).map(member).collect() }),
-        process: Process::new(3, Life::new(60_000.0, false)),
+        process: Process::new(3, Lifecycle::new(60_000.0, false)),
         label: String::new(),
         gate: None,
         ledger: None,
--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -2,7 +2,7 @@
 
 use std::future::Future;
 
-use magpietally_core::{Life, Process};
+use magpietally_core::{Lifecycle, Process};
 use magpietally_net::{listen, Listener};
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -43,7 +43,7 @@
         told: magpietally_settings::told(&settings).expect("good settings"),
         lasting: Default::default(),
     };
-    let process = Process::new(2, Life::new(time, false));
+    let process = Process::new(2, Lifecycle::new(time, false));
     Clients::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
 }
 
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -18,7 +18,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use magpietally_core::{AdmissionControl, Core, Doing, ProposalError};
+use magpietally_core::{AdmissionControl, Core, Phase, ProposalError};
 use magpietally_net::{listen, Listener, Stream};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
@@ -159,10 +159,10 @@
 /// What the node is doing, in a word.
 fn doing(node: &Rc<Node>) -> String {
     let word = match node.process().life().doing() {
-        Doing::Starting => "starting",
-        Doing::Serving => "serving",
-        Doing::Draining(_) => "draining",
-        Doing::Stopping(_) => "stopping",
+        Phase::Starting => "starting",
+        Phase::Serving => "serving",
+        Phase::Draining(_) => "draining",
+        Phase::Stopping(_) => "stopping",
     };
     format!("{word}\n")
 }
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_config::ListFile;
-use magpietally_core::{AdmissionControl, Core, Life, Process, Setup};
+use magpietally_core::{AdmissionControl, Core, Lifecycle, Process, Setup};
 use magpietally_ledger::Ledger;
 use magpietally_net::{listen, Listener};
 use magpietally_os_error::retry::{self, Pauses};
@@ -93,7 +93,7 @@
         if let Some(at) = management.as_ref().and_then(|m| address_of(m).ok()) {
             tracing::info!(target: "node", "{} is managed at {at}", config.name);
         }
-        let life = Life::new(config.told.longest_deadline(), config.inherited.is_some());
+        let life = Lifecycle::new(config.told.longest_deadline(), config.inherited.is_some());
         Ok(Self { listeners, management, process: Process::new(config.told.classes.len(), life) })
     }
 }
