--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 //! does not look into, so that HTTP, LDAP or a test's own protocol come in by the same door.
 //!
 //! What the node is doing, and what follows from it for `/ready`, answers and connections, is one pure state machine,
-//! [`Lifecycle`]; what a process has done since its start is in its [`Figures`], where each request's end is counted once.
+//! [`Lifecycle`]; what a process has done since its start is in its [`Metrics`], where each request's end is counted once.
 //!
 //! All of it lives on one thread; futures are spawned on tokio's local set. The core decides nothing: which server,
 //! whether again and what to refuse is the policy's.
@@ -15,11 +15,11 @@
 mod carrier;
 mod clock;
 mod epochs;
-mod figures;
 mod ids;
 mod intents;
 mod lifecycle;
 mod members;
+mod metrics;
 mod node;
 mod process;
 mod sample;
@@ -28,11 +28,11 @@
 
 pub use admission::{AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
 pub use carrier::{Carrier, Ended, Payload, Target, Unfollowed};
-pub use figures::{End, Figures, Underway};
 pub use ids::Ids;
 pub use intents::Turned;
 pub use lifecycle::{Lifecycle, Phase};
 pub use members::{number_of, Listing, Member, Place};
+pub use metrics::{InProgress, Metrics, RequestOutcome};
 pub use node::{Core, Setup, Taken};
 pub use process::Process;
 pub use sample::Sample;
--- a/crates/core/src/figures.rs
+++ b/crates/core/src/metrics.rs
@@ -6,7 +6,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Served.
     Passed,
     /// Refused: trying again is harmless.
@@ -16,12 +16,15 @@
 }
 
 /// The names of the ends, as they are counted.
-const ENDS: [(End, &str); 3] =
-    [(End::Passed, "passed"), (End::Dropped, "dropped"), (End::BadGateway, "bad_gateway")];
+const ENDS: [(RequestOutcome, &str); 3] = [
+    (RequestOutcome::Passed, "passed"),
+    (RequestOutcome::Dropped, "dropped"),
+    (RequestOutcome::BadGateway, "bad_gateway"),
+];
 
 /// The figures of a process. Clones share them, so that workers count together.
 #[derive(Clone, Debug)]
-pub struct Figures(Arc<Counts>);
+pub struct Metrics(Arc<Counts>);
 
 #[derive(Debug)]
 struct Counts {
@@ -31,7 +34,7 @@
     in_progress: AtomicUsize,
 }
 
-impl Figures {
+impl Metrics {
     /// For so many classes, all at 0.
     pub fn new(classes: usize) -> Self {
         let ends = (0..classes).map(|_| Default::default()).collect();
@@ -39,8 +42,8 @@
     }
 
     /// A proper request of a class, whose end is to be counted.
-    pub fn request(&self, class: usize) -> Underway {
-        Underway { figures: self.clone(), class, taken: false }
+    pub fn request(&self, class: usize) -> InProgress {
+        InProgress { figures: self.clone(), class, taken: false }
     }
 
     /// An attempt's last byte has been written.
@@ -49,7 +52,7 @@
     }
 
     /// How many requests of a class ended so.
-    pub fn ended(&self, class: usize, end: End) -> u64 {
+    pub fn ended(&self, class: usize, end: RequestOutcome) -> u64 {
         self.0.ends.get(class).map_or(0, |ends| ends[end as usize].load(Relaxed))
     }
 
@@ -82,13 +85,13 @@
 
 /// A request on its way to its one end. One that is dropped without an end had a client that left.
 #[derive(Debug)]
-pub struct Underway {
-    figures: Figures,
+pub struct InProgress {
+    figures: Metrics,
     class: usize,
     taken: bool,
 }
 
-impl Underway {
+impl InProgress {
     /// Its last byte has come.
     pub fn taken(&mut self) {
         if !std::mem::replace(&mut self.taken, true) {
@@ -97,14 +100,14 @@
     }
 
     /// It has ended: the one place where that is counted.
-    pub fn end(self, end: End) {
+    pub fn end(self, end: RequestOutcome) {
         if let Some(ends) = self.figures.0.ends.get(self.class) {
             ends[end as usize].fetch_add(1, Relaxed);
         }
     }
 }
 
-impl Drop for Underway {
+impl Drop for InProgress {
     fn drop(&mut self) {
         if self.taken {
             self.figures.0.in_progress.fetch_sub(1, Relaxed);
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -4,9 +4,9 @@
 
 use tokio::sync::watch;
 
-use crate::figures::Figures;
 use crate::ids::Ids;
 use crate::lifecycle::Lifecycle;
+use crate::metrics::Metrics;
 
 /// What belongs to the process, whichever worker looks at it. Clones share it.
 #[derive(Clone, Debug)]
@@ -14,14 +14,14 @@
     /// The ids that are open.
     pub ids: Ids,
     /// What it has done since its start.
-    pub figures: Figures,
+    pub figures: Metrics,
     life: watch::Sender<Lifecycle>,
 }
 
 impl Process {
     /// A process at its start, with so many classes of requests.
     pub fn new(classes: usize, life: Lifecycle) -> Self {
-        Self { ids: Ids::default(), figures: Figures::new(classes), life: watch::Sender::new(life) }
+        Self { ids: Ids::default(), figures: Metrics::new(classes), life: watch::Sender::new(life) }
     }
 
     /// What it is doing.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use magpietally_core::{End, Place, Underway};
+use magpietally_core::{InProgress, Place, RequestOutcome};
 use magpietally_policy::ServerId;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
@@ -123,7 +123,7 @@
     /// Where it comes from.
     pub from: Rc<Sock>,
     /// What it is counted as.
-    pub underway: Rc<RefCell<Option<Underway>>>,
+    pub underway: Rc<RefCell<Option<InProgress>>>,
     /// How far it has come.
     pub uploading: Rc<Uploading>,
     /// What it holds.
@@ -313,7 +313,7 @@
     /// Where it goes.
     pub to: Rc<Sock>,
     /// What it is counted as.
-    pub underway: Option<Underway>,
+    pub underway: Option<InProgress>,
     /// It will not be whole.
     pub broken: bool,
 }
@@ -339,7 +339,7 @@
             Some(Ok(_)) => {}
             Some(Err(_)) => {
                 if let Some(underway) = self.underway.take() {
-                    underway.end(End::BadGateway);
+                    underway.end(RequestOutcome::BadGateway);
                 }
                 // hyper drops what it has not written when a body breaks: it writes the head and what came before it is
                 // told, or else its client would have nothing at all.
@@ -375,7 +375,7 @@
     fn end(&mut self, cx: &mut Context<'_>) {
         self.rest.give_back(cx);
         if let Some(underway) = self.underway.take() {
-            underway.end(End::Passed);
+            underway.end(RequestOutcome::Passed);
         }
     }
 }
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use magpietally_config::{ListFile, State};
-use magpietally_core::{Carrier, Core, Ended, Figures, Listing, Member, Target, Unfollowed};
+use magpietally_core::{Carrier, Core, Ended, Listing, Member, Metrics, Target, Unfollowed};
 use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
 
 use crate::budget::Budget;
@@ -32,7 +32,7 @@
 
 impl Http {
     /// A carrier with no connections yet.
-    pub fn new(config: Config, boxes: Option<ListFile>, figures: Figures) -> Self {
+    pub fn new(config: Config, boxes: Option<ListFile>, figures: Metrics) -> Self {
         let connect = config.told.settings.limits.connect_timeout;
         let pool = Rc::new(Pool::new(config.servers_most(), config.told.keepalive, connect, figures));
         let budget = Budget::of(config.memory_mb);
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode, Version};
-use magpietally_core::{Core, End};
+use magpietally_core::{Core, RequestOutcome};
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 use tokio::time::timeout;
@@ -328,7 +328,7 @@
             }
             Err(Bad { refused: Some(class), .. }) => {
                 log_refused(node, &sock, "no room for its body");
-                node.process().figures.request(class).end(End::Dropped);
+                node.process().figures.request(class).end(RequestOutcome::Dropped);
                 let mut answer = refusal(node.stay_away(class));
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 answer
--- a/crates/http/src/clients/answer.rs
+++ b/crates/http/src/clients/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use magpietally_core::{Answer, End, Turned};
+use magpietally_core::{Answer, RequestOutcome, Turned};
 use magpietally_policy::{Millis, RequestId};
 use tokio::sync::oneshot;
 
@@ -42,11 +42,11 @@
 }
 
 /// What an answer to a proper request means for its client.
-pub(super) fn end_of(status: StatusCode) -> End {
+pub(super) fn end_of(status: StatusCode) -> RequestOutcome {
     match status {
-        StatusCode::OK => End::Passed,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Dropped,
-        _ => End::BadGateway,
+        StatusCode::OK => RequestOutcome::Passed,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Dropped,
+        _ => RequestOutcome::BadGateway,
     }
 }
 
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::client::conn::http1::{self, Connection, SendRequest};
-use magpietally_core::{Figures, Place, Sample};
+use magpietally_core::{Metrics, Place, Sample};
 use magpietally_net::DialError;
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
@@ -78,7 +78,7 @@
     idle_most: Duration,
     pub(crate) connect: Duration,
     /// Where attempts are counted.
-    pub(crate) figures: Figures,
+    pub(crate) figures: Metrics,
     /// Bounds the log's lines on connects that failed.
     pub sample: Sample,
 }
@@ -86,7 +86,7 @@
 impl Pool {
     /// An empty pool of `most` connections at the most. Servers close what has been idle for `keepalive`; a
     /// connection that takes longer than `connect` has failed; both in milliseconds.
-    pub fn new(most: usize, keepalive: Millis, connect: Millis, figures: Figures) -> Self {
+    pub fn new(most: usize, keepalive: Millis, connect: Millis, figures: Metrics) -> Self {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         Self {
             idle: RefCell::default(),
--- a/crates/http/src/pool/tests.rs
+++ b/crates/http/src/pool/tests.rs
@@ -12,7 +12,7 @@
 /// A release of many servers, each of which answers when the list has dropped it, must not leave an entry for each.
 #[test]
 fn what_a_server_answered_last_is_kept_while_an_attempt_there_is_unheard() {
-    let pool = Rc::new(Pool::new(8, 1000.0, 100.0, Figures::new(0)));
+    let pool = Rc::new(Pool::new(8, 1000.0, 100.0, Metrics::new(0)));
     let sent = Instant::now();
     let later = sent + Duration::from_millis(1);
     let first = pool.expect(ServerId(0));
--- a/crates/http/src/sock.rs
+++ b/crates/http/src/sock.rs
@@ -10,7 +10,7 @@
 
 use hyper::header::HeaderValue;
 use hyper_util::rt::TokioIo;
-use magpietally_core::Figures;
+use magpietally_core::Metrics;
 use magpietally_net::Stream;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
@@ -51,7 +51,7 @@
     stream: Stream,
     out: RefCell<Progress>,
     /// Where it is counted when the message's last byte is written.
-    counted: RefCell<Option<Figures>>,
+    counted: RefCell<Option<Metrics>>,
     /// When the kernel last took any of it, or it was begun.
     took_at: Cell<tokio::time::Instant>,
     /// What came back since the message was begun.
@@ -130,7 +130,7 @@
     }
 
     /// The same of an attempt, which counts once its last byte is written, whatever becomes of it then.
-    pub fn begin_attempt(&self, body: Option<usize>, figures: Figures) {
+    pub fn begin_attempt(&self, body: Option<usize>, figures: Metrics) {
         self.begin(body);
         *self.counted.borrow_mut() = Some(figures);
     }
