--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -19,9 +19,9 @@
 use crate::epochs::{Epochs, For};
 use crate::intents::{self, Turned};
 use crate::lifecycle::Lifecycle;
-use crate::members::{Listing, Members, Place};
 use crate::process::Process;
 use crate::sample::Sample;
+use crate::servers::{Endpoint, ServerListing, ServerTable};
 use crate::status;
 use crate::table::{story, Answer, Asked, Attempt, Counts, Intent, Table};
 
@@ -44,7 +44,7 @@
     /// The most requests that may be open.
     pub open_cap: usize,
     /// The list as last had, perhaps out of date.
-    pub known: Option<Listing>,
+    pub known: Option<ServerListing>,
     /// What it shares with the process's other workers.
     pub process: Process,
     /// What status lines begin with: which worker this is, where there are several.
@@ -63,7 +63,7 @@
     events: VecDeque<(For, Event)>,
     feeding: bool,
     pub(crate) table: Table<C::Request, C::Reply>,
-    pub(crate) members: Members,
+    pub(crate) members: ServerTable,
     /// When the policy wants to be woken.
     timer: Option<Instant>,
     /// The call to the list's source that is out.
@@ -129,7 +129,7 @@
             events: VecDeque::new(),
             feeding: false,
             table: Table::new(setup.process.ids.clone()),
-            members: Members::default(),
+            members: ServerTable::default(),
             timer: None,
             call: None,
             counts: Counts::default(),
@@ -154,7 +154,7 @@
             state: RefCell::new(state),
             rearmed: Notify::new(),
         });
-        let saved = setup.known.unwrap_or(Listing { version: 0, whole: true, members: Vec::new() });
+        let saved = setup.known.unwrap_or(ServerListing { version: 0, whole: true, members: Vec::new() });
         core.take_list(saved, true);
         Ok(core)
     }
@@ -638,12 +638,12 @@
     }
 
     /// The source has brought a list, or changes.
-    pub fn listed(self: &Rc<Self>, listing: Listing) {
+    pub fn listed(self: &Rc<Self>, listing: ServerListing) {
         self.source_heard();
         self.take_list(listing, false);
     }
 
-    fn take_list(self: &Rc<Self>, listing: Listing, saved: bool) {
+    fn take_list(self: &Rc<Self>, listing: ServerListing, saved: bool) {
         let whole = listing.whole;
         let (entries, void) = self.state.borrow_mut().members.take(listing, |unix| self.clock.at_unix(unix));
         for server in void {
@@ -653,13 +653,13 @@
     }
 
     /// Where a server listens and which of its lives this is, if something new may be sent to it.
-    pub fn place(&self, server: ServerId) -> Option<Place> {
+    pub fn place(&self, server: ServerId) -> Option<Endpoint> {
         self.state.borrow().members.place(server)
     }
 
     /// The same for an attempt that has not been written yet; `None` also where its client has gone or been answered, as not
     /// every deployment lets attempts be called off, and where it comes too late.
-    pub fn place_for(&self, to: &Target) -> Option<Place> {
+    pub fn place_for(&self, to: &Target) -> Option<Endpoint> {
         let state = self.state.borrow();
         let owed = state.table.get(to.id).is_some_and(|open| open.answer.is_some());
         let late = to.by.is_some_and(|by| Instant::now() >= by);
--- a/crates/core/src/members.rs
+++ b/crates/core/src/servers.rs
@@ -7,18 +7,18 @@
 
 /// What a source of the list says: all of it, or what changed.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct ServerListing {
     /// The list's version.
     pub version: u64,
     /// The whole list, not just changes.
     pub whole: bool,
     /// The entries.
-    pub members: Vec<Member>,
+    pub members: Vec<ListedServer>,
 }
 
 /// One server of a listing.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct ListedServer {
     /// Its name, the same at every node.
     pub name: String,
     /// Where it listens; one that is gone may have none.
@@ -39,7 +39,7 @@
 
 /// One life of a server: a connection to another one is of no use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct Endpoint {
     /// Where it listens.
     pub dial: SocketAddr,
     born_ms: Millis,
@@ -47,7 +47,7 @@
 
 struct Known {
     name: String,
-    place: Place,
+    place: Endpoint,
     state: Listed,
     /// When this life began, by the policy's clock. Reckoned once: it must not move while the life goes on.
     started: Option<Millis>,
@@ -60,7 +60,7 @@
 
 /// The table of servers.
 #[derive(Default)]
-pub(crate) struct Members {
+pub(crate) struct ServerTable {
     known: HashMap<ServerId, Known>,
     /// The version of the list; `None` asks for the whole.
     pub(crate) version: Option<u64>,
@@ -68,14 +68,14 @@
 
 /// The same number for a name at every node and after every restart: FNV-1a, mixed so that names that differ
 /// in their last digit alone do not stay neighbours.
-pub fn number_of(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     let hash =
         name.bytes().fold(0xCBF2_9CE4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3));
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
     mixed ^ (mixed >> 32)
 }
 
-impl Members {
+impl ServerTable {
     pub(crate) fn len(&self) -> usize {
         self.known.len()
     }
@@ -90,7 +90,7 @@
     }
 
     /// Where a server listens, if something new may be sent to it.
-    pub(crate) fn place(&self, server: ServerId) -> Option<Place> {
+    pub(crate) fn place(&self, server: ServerId) -> Option<Endpoint> {
         self.known.get(&server).filter(|k| k.state == Listed::Up).map(|k| k.place)
     }
 
@@ -113,7 +113,7 @@
     /// Takes a listing in: the policy's entries, and the servers whose connections are void.
     pub(crate) fn take(
         &mut self,
-        listing: Listing,
+        listing: ServerListing,
         started: impl Fn(Millis) -> Option<Millis>,
     ) -> (Vec<Entry>, Vec<ServerId>) {
         if listing.whole {
@@ -146,11 +146,11 @@
     /// Notes what a listing says of a server. It holds from now on, also for sends on their way.
     fn enter(
         &mut self,
-        member: Member,
+        member: ListedServer,
         started: impl Fn(Millis) -> Option<Millis>,
         void: &mut Vec<ServerId>,
     ) -> Option<Entry> {
-        let server = ServerId(number_of(&member.name));
+        let server = ServerId(stable_hash(&member.name));
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != member.name) {
             tracing::warn!(target: "list", "{} and {} have one number, left out", other.name, member.name);
@@ -163,10 +163,10 @@
         }
         let same_life = before.filter(|b| b.place.born_ms == member.born_ms);
         let started = same_life.map_or_else(|| started(member.born_ms), |b| b.started);
-        let (zone, kind) = (number_of(&member.zone), number_of(&member.kind));
-        let Member { name, cell, state, weight, born_ms, .. } = member;
+        let (zone, kind) = (stable_hash(&member.zone), stable_hash(&member.kind));
+        let ListedServer { name, cell, state, weight, born_ms, .. } = member;
         if let Some(dial) = dial {
-            let place = Place { dial, born_ms };
+            let place = Endpoint { dial, born_ms };
             self.known.insert(server, Known { name, place, state, started, zone, cell, kind, weight });
         }
         Some(Entry { server, zone, cell, kind, state, weight, started })
--- a/crates/core/src/members/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-fn member(name: &str, port: u16, state: Listed, born_ms: Millis) -> Member {
+fn member(name: &str, port: u16, state: Listed, born_ms: Millis) -> ListedServer {
     let dial = Some(SocketAddr::from(([127, 0, 0, 1], port)));
     let (zone, kind) = ("a".to_string(), "m".to_string());
-    Member { name: name.into(), dial, zone, kind, cell: 0, state, weight: 1.0, born_ms }
+    ListedServer { name: name.into(), dial, zone, kind, cell: 0, state, weight: 1.0, born_ms }
 }
 
-fn take(members: &mut Members, whole: bool, entries: Vec<Member>) -> Vec<ServerId> {
-    members.take(Listing { version: 1, whole, members: entries }, |_| None).1
+fn take(members: &mut ServerTable, whole: bool, entries: Vec<ListedServer>) -> Vec<ServerId> {
+    members.take(ServerListing { version: 1, whole, members: entries }, |_| None).1
 }
 
 #[test]
 fn a_restart_under_the_same_name_voids_its_connections_and_a_drain_takes_its_place() {
-    let mut members = Members::default();
-    let one = ServerId(number_of("one"));
+    let mut members = ServerTable::default();
+    let one = ServerId(stable_hash("one"));
     assert!(take(&mut members, true, vec![member("one", 1, Listed::Up, 0.0)]).is_empty());
     let first = members.place(one).expect("it is up");
     assert_eq!(take(&mut members, false, vec![member("one", 1, Listed::Up, 5.0)]), [one]);
@@ -28,8 +28,8 @@
 /// else send to a server that has no place.
 #[test]
 fn a_change_that_names_a_server_as_gone_and_as_back_leaves_it_in_place() {
-    let mut members = Members::default();
-    let one = ServerId(number_of("one"));
+    let mut members = ServerTable::default();
+    let one = ServerId(stable_hash("one"));
     take(&mut members, true, vec![member("one", 1, Listed::Up, 0.0)]);
     let gone = member("one", 1, Listed::Gone, 0.0);
     let void = take(&mut members, false, vec![gone.clone(), member("one", 2, Listed::Up, 5.0)]);
@@ -41,10 +41,10 @@
 
 #[test]
 fn a_change_touches_what_it_names() {
-    let mut members = Members::default();
+    let mut members = ServerTable::default();
     let all = (0..100).map(|n| member(&format!("box-{n}"), 1000 + n, Listed::Up, 0.0));
     assert!(take(&mut members, true, all.collect()).is_empty());
-    let gone = ServerId(number_of("box-7"));
+    let gone = ServerId(stable_hash("box-7"));
     assert_eq!(take(&mut members, false, vec![member("box-7", 0, Listed::Gone, 0.0)]), [gone, gone]);
     assert_eq!((members.known.len(), members.place(gone)), (99, None));
     assert!(
@@ -59,10 +59,10 @@
 /// The policy takes another start for a restart, so a life keeps the one that it was given first.
 #[test]
 fn a_life_has_one_start_however_often_it_is_listed() {
-    let mut members = Members::default();
+    let mut members = ServerTable::default();
     let mut listed_at = |now: Millis, born_ms: Millis| {
         let listing =
-            Listing { version: 1, whole: true, members: vec![member("one", 1, Listed::Up, born_ms)] };
+            ServerListing { version: 1, whole: true, members: vec![member("one", 1, Listed::Up, born_ms)] };
         members.take(listing, |_| Some(now)).0[0].started
     };
     assert_eq!(
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -13,7 +13,7 @@
 use crate::carrier::Payload;
 use crate::clock::ms;
 use crate::ids::Ids;
-use crate::members::Members;
+use crate::servers::ServerTable;
 
 /// The final answer of a request.
 #[derive(Debug)]
@@ -259,7 +259,7 @@
 /// One line on the way of a request from its coming to its answer.
 pub(crate) fn story<Request: Payload, Reply>(
     open: &Open<Request, Reply>,
-    members: &Members,
+    members: &ServerTable,
     (classes, tenants): (&[String], &[String]),
     end: &str,
 ) -> String {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_core::{
-    Carrier, Core, Ended, Lifecycle, Listing, Member, Payload, Process, Setup, Target, Unfollowed,
+    Carrier, Core, Ended, Lifecycle, ListedServer, Payload, Process, ServerListing, Setup, Target, Unfollowed,
 };
 use magpietally_policy::{Class, Effect, Goal, Group, Limits, Listed, Outcome, Rules, ServerId, Settings};
 use tokio::task::LocalSet;
@@ -96,7 +96,7 @@
 
 /// A node with three servers, with neither ledger nor gate.
 pub fn setup(settings: Settings) -> Setup {
-    let member = |n: u16| Member {
+    let member = |n: u16| ListedServer {
         name: format!("app-{n}"),
         dial: Some(([127, 0, 0, 1], 1 + n).into()),
         zone: "a".into(),
@@ -112,7 +112,7 @@
         classes: ["look", "pay", "slip"].map(String::from).to_vec(),
         tenants: Vec::new(),
         open_cap: 100,
-        known: Some(Listing { version: 1, whole: true, members: (0..3).map(member).collect() }),
+        known: Some(ServerListing { version: 1, whole: true, members: (0..3).map(member).collect() }),
         process: Process::new(3, Lifecycle::new(60_000.0, false)),
         label: String::new(),
         gate: None,
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use common::{run, settings, setup, until, Boxes, Request, SLIP};
-use magpietally_core::{Answer, Asked, Carrier, Core, Ended, Listing, Member, Target, Unfollowed};
+use magpietally_core::{
+    Answer, Asked, Carrier, Core, Ended, ListedServer, ServerListing, Target, Unfollowed,
+};
 use magpietally_policy::{Effect, Group, Listed, Outcome, RequestId, ServerId, Settings};
 
 /// Keeps each attempt until it is told to go on, and notes whether it might be written when it began, and then.
@@ -124,7 +126,7 @@
                 drop(answered);
                 core.client_gone(id);
             } else {
-                let members = (0..3).map(|n| Member {
+                let members = (0..3).map(|n| ListedServer {
                     name: format!("app-{n}"),
                     dial: Some(([127, 0, 0, 1], 1 + n).into()),
                     zone: "a".into(),
@@ -134,7 +136,7 @@
                     weight: 1.0,
                     born_ms: 0.0,
                 });
-                core.listed(Listing { version: 2, whole: true, members: members.collect() });
+                core.listed(ServerListing { version: 2, whole: true, members: members.collect() });
             }
             core.carrier().go_on.set(usize::MAX);
             until(|| core.carrier().asked.borrow()[0].2.is_some()).await;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use magpietally_core::{InProgress, Place, RequestOutcome};
+use magpietally_core::{Endpoint, InProgress, RequestOutcome};
 use magpietally_policy::ServerId;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
@@ -248,7 +248,7 @@
     /// Whom it leads to.
     pub server: ServerId,
     /// Where the server is now.
-    pub now_at: Box<dyn Fn() -> Option<Place>>,
+    pub now_at: Box<dyn Fn() -> Option<Endpoint>>,
     /// May the connection be used again?
     pub keep: bool,
     /// Does the answer come in chunks?
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use magpietally_config::{ListFile, State};
-use magpietally_core::{Carrier, Core, Ended, Listing, Member, Metrics, Target, Unfollowed};
+use magpietally_core::{Carrier, Core, Ended, ListedServer, Metrics, ServerListing, Target, Unfollowed};
 use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
 
 use crate::budget::Budget;
@@ -81,7 +81,7 @@
 /// Hands each list of a file on, whole: the policy sees what is not in it any more as gone.
 async fn follow_file(core: Rc<Core<Http>>, mut file: ListFile) -> Unfollowed {
     while let Some(applied) = file.next().await {
-        let member = |b: &magpietally_config::AppBox| Member {
+        let member = |b: &magpietally_config::AppBox| ListedServer {
             name: b.name.clone(),
             dial: Some(b.address),
             zone: b.zone.clone(),
@@ -95,7 +95,7 @@
             born_ms: b.started_ms,
         };
         let members = applied.list.boxes.iter().map(member).collect();
-        core.listed(Listing { version: applied.version, whole: true, members });
+        core.listed(ServerListing { version: applied.version, whole: true, members });
     }
     let words = "nobody looks at the list's file any more".to_string();
     Unfollowed { failure: ListFailure::Broken, words }
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use magpietally_config::file::read_plain_within;
-use magpietally_core::Listing;
+use magpietally_core::ServerListing;
 use magpietally_os_error::retry::START_WITHIN;
 use magpietally_os_error::{classify, Call};
 use magpietally_policy::Discovery;
@@ -38,7 +38,7 @@
     /// The most memory that it may use, in MB.
     pub memory_mb: usize,
     /// The list of servers as last had.
-    pub known: Option<Listing>,
+    pub known: Option<ServerListing>,
     /// The settings.
     pub told: Told,
     /// What the file says of all that holds until the process ends.
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{rt, Request, Response, StatusCode};
-use magpietally_core::{Carrier, Core, Listing, Unfollowed};
+use magpietally_core::{Carrier, Core, ServerListing, Unfollowed};
 use magpietally_policy::{ListFailure, WATCH_SILENCE};
 use tokio::time::{sleep, timeout_at, Instant};
 
@@ -67,7 +67,7 @@
     /// The source has answered a call, with no news.
     fn list_alive(&self);
     /// The source has brought a list, or changes.
-    fn listed(&self, listing: Listing);
+    fn listed(&self, listing: ServerListing);
 }
 
 impl<C: Carrier> Reader for Rc<Core<C>> {
@@ -87,7 +87,7 @@
         Core::list_alive(self);
     }
 
-    fn listed(&self, listing: Listing) {
+    fn listed(&self, listing: ServerListing) {
         Core::listed(self, listing);
     }
 }
@@ -174,7 +174,7 @@
 }
 
 /// Takes a line of a watch. Changes of an older version than the node has would bring back what has been told to be over.
-fn follow_on(reader: &impl Reader, listing: Listing) -> Result<(), Ended> {
+fn follow_on(reader: &impl Reader, listing: ServerListing) -> Result<(), Ended> {
     match reader.version() {
         Some(had) if !listing.whole && listing.version < had => {
             Err(Ended::Unreadable(format!("seq: {} after {had}", listing.version)))
@@ -204,7 +204,7 @@
     Ok(version)
 }
 
-fn read(line: &[u8]) -> Result<Listing, Ended> {
+fn read(line: &[u8]) -> Result<ServerListing, Ended> {
     list::read(line).map_err(|e| Ended::Unreadable(e.words()))
 }
 
@@ -322,7 +322,7 @@
     /// An empty line.
     Nothing,
     /// An object.
-    News(Listing),
+    News(ServerListing),
 }
 
 /// Cuts a watch into its objects. Each has a line of its own; one that is indented has several.
@@ -364,7 +364,7 @@
     }
 
     /// The object that only lacks its line's end.
-    fn rest(mut self) -> Option<Listing> {
+    fn rest(mut self) -> Option<ServerListing> {
         self.begun.extend_from_slice(&self.lines.held);
         list::read(&self.begun).ok()
     }
--- a/crates/http/src/discovery/clock.rs
+++ b/crates/http/src/discovery/clock.rs
@@ -213,7 +213,7 @@
         self.feed(Event::ListChange(Vec::new()));
     }
 
-    fn listed(&self, listing: Listing) {
+    fn listed(&self, listing: ServerListing) {
         self.version.set(Some(listing.version));
         if listing.version == 2 && self.news.get().is_none() {
             self.news.set(Some(self.service.now()));
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use magpietally_core::{Listing, Member};
+use magpietally_core::{ListedServer, ServerListing};
 use magpietally_policy::Listed;
 use serde::Deserialize;
 use serde_json::Value;
@@ -73,7 +73,7 @@
     }
 }
 
-impl From<Host> for Member {
+impl From<Host> for ListedServer {
     fn from(host: Host) -> Self {
         Self {
             name: host.host,
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// Names what is missing or malformed.
-pub fn listing(value: Value) -> Result<Listing, String> {
+pub fn listing(value: Value) -> Result<ServerListing, String> {
     checked(serde_json::from_value(value).map_err(|e| e.to_string())?)
 }
 
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 /// Names what is missing or malformed.
-pub fn read(line: &[u8]) -> Result<Listing, Unreadable> {
+pub fn read(line: &[u8]) -> Result<ServerListing, Unreadable> {
     let update = serde_json::from_slice(line).map_err(|error| match error.is_eof() {
         true => Unreadable::Cut(error.to_string()),
         false => Unreadable::Bad(error.to_string()),
@@ -126,10 +126,10 @@
     checked(update).map_err(Unreadable::Bad)
 }
 
-fn checked(update: Update) -> Result<Listing, String> {
+fn checked(update: Update) -> Result<ServerListing, String> {
     if let Some(host) = update.hosts.iter().find(|h| h.dial.is_none() && h.health != Health::Left) {
         return Err(format!("{}: dial is missing", host.host));
     }
-    let members = update.hosts.into_iter().map(Member::from).collect();
-    Ok(Listing { version: update.version, whole: update.whole, members })
+    let members = update.hosts.into_iter().map(ListedServer::from).collect();
+    Ok(ServerListing { version: update.version, whole: update.whole, members })
 }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -10,7 +10,7 @@
     PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use hyper::{HeaderMap, Method, Uri};
-use magpietally_core::{number_of, Payload};
+use magpietally_core::{stable_hash, Payload};
 
 use crate::body::{Outgoing, Rest, Upload, Uploading};
 use crate::budget::Lease;
@@ -105,7 +105,7 @@
     fn describe(&self, to: &mut dyn fmt::Write) -> fmt::Result {
         // Users are told apart, not named.
         let text = |name: &str| self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
-        let (key, work) = (number_of(text("cookie")) & 0xFFFF, text("x-estimate"));
+        let (key, work) = (stable_hash(text("cookie")) & 0xFFFF, text("x-estimate"));
         write!(to, "key {key:04x}, work {work}, ")?;
         match self.body.len() {
             Some(bytes) => write!(to, "{bytes} bytes"),
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::client::conn::http1::{self, Connection, SendRequest};
-use magpietally_core::{Metrics, Place, Sample};
+use magpietally_core::{Endpoint, Metrics, Sample};
 use magpietally_net::DialError;
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
@@ -32,7 +32,7 @@
     pub(crate) send: SendRequest<Outgoing>,
     pub(crate) conn: Connection<Io, Outgoing>,
     /// Whom it leads to.
-    pub(crate) place: Place,
+    pub(crate) place: Endpoint,
     pub(crate) since: Instant,
     _held: Held,
 }
@@ -188,7 +188,7 @@
         link: Link,
         came: usize,
         chunked: bool,
-        now: Option<Place>,
+        now: Option<Endpoint>,
     ) {
         // One that has more to read than the answer would answer the next request with it.
         if link.sock.whole()
@@ -214,7 +214,7 @@
 
     /// A new connection, or how the attempt ends without one. A node that has no descriptor or port left has
     /// sent nothing, but that says nothing of the server: as a failed connect it would eject a good one.
-    pub(crate) async fn connect(&self, place: Place) -> Result<Link, Outcome> {
+    pub(crate) async fn connect(&self, place: Endpoint) -> Result<Link, Outcome> {
         if self.held.get() >= self.most && !self.evict() {
             return Err(Outcome::NotSent);
         }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::client::conn::http1::Connection;
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Method, Request, StatusCode, Version};
-use magpietally_core::{Ended, Place};
+use magpietally_core::{Ended, Endpoint};
 use magpietally_policy::{Outcome, ServerId};
 use tokio::time::{sleep, timeout_at};
 
@@ -43,8 +43,8 @@
 /// to tell whether the process takes connections, which a kept one could not.
 pub(crate) async fn exchange(
     pool: &Rc<Pool>,
-    may: impl Fn() -> Option<Place>,
-    now_at: impl Fn() -> Option<Place> + 'static,
+    may: impl Fn() -> Option<Endpoint>,
+    now_at: impl Fn() -> Option<Endpoint> + 'static,
     to: (ServerId, Instant),
     message: &Message,
     fresh: bool,
@@ -58,8 +58,8 @@
 
 async fn talk(
     pool: &Rc<Pool>,
-    may: impl Fn() -> Option<Place>,
-    now_at: impl Fn() -> Option<Place> + 'static,
+    may: impl Fn() -> Option<Endpoint>,
+    now_at: impl Fn() -> Option<Endpoint> + 'static,
     (server, end): (ServerId, Instant),
     message: &Message,
     fresh: bool,
@@ -165,7 +165,7 @@
         pool: &Rc<Pool>,
         server: ServerId,
         link: Link,
-        now_at: impl Fn() -> Option<Place> + 'static,
+        now_at: impl Fn() -> Option<Endpoint> + 'static,
     ) -> (Outcome, Option<Reply>) {
         let away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         let outcome = match self.status {
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use magpietally_config::fleet_policy::{self, Document, Ground};
-use magpietally_core::{number_of, AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
+use magpietally_core::{stable_hash, AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
 use magpietally_policy::Settings;
 use magpietally_policy_change::{
     check as policy_check, Admission, Epoch, PolicyChange, ProposeError, RefusalWhy, Version,
@@ -171,7 +171,7 @@
                 return AdmissionDecision::NoLease { retry_after: 100.0 };
             }
         };
-        let request = number_of(ask.id);
+        let request = stable_hash(ask.id);
         let class = self.ground.classes.get(ask.class).map_or("", String::as_str);
         let tenant = ask.tenant.and_then(|t| self.ground.tenants.get(t));
         if let Some(tenant) = tenant {
@@ -283,7 +283,7 @@
 
     fn answered(&self, epoch: u64, id: &str) {
         if self.keeps_records() {
-            let what = policy_check::What::Left { request: number_of(id), version: epoch };
+            let what = policy_check::What::Left { request: stable_hash(id), version: epoch };
             self.record_policy(clock::now().boot, what);
         }
     }
