--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -58,7 +58,7 @@
     /// May this request be taken now, and under which version? Reads the clock itself, at this moment.
     fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision;
 
-    /// May a request that was taken then, under this version, be sent (again) now? Asked before each attempt: a node that was
+    /// May a request that was taken then, under this version, be sent (again) now? ClientRequest before each attempt: a node that was
     /// stopped past its lease has no right left to what it had begun.
     fn may_go_on(&self, epoch: u64, at: Duration) -> bool;
 
--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -11,13 +11,13 @@
 
 use crate::carrier::{Carrier, Payload};
 use crate::node::{Core, State};
-use crate::table::{Answer, Asked, Intent, Open};
+use crate::requests::{Answer, ClientRequest, Intent, Open};
 
 /// Why a request is not taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turned {
+pub enum Rejection {
     /// One with its id is open: to send it on would be to run that one again.
-    Open,
+    DuplicateId,
     /// The ledger can't note it at present, or the fleet does not let this node decide: trying again is harmless, after
     /// this time.
     Refused(Millis),
@@ -72,7 +72,11 @@
 
 impl<C: Carrier> Core<C> {
     /// May this request be taken, as far as the ledger goes?
-    pub(crate) fn admit(&self, asked: &Asked<C::Request>, deadline: Instant) -> Result<(), Turned> {
+    pub(crate) fn admit(
+        &self,
+        asked: &ClientRequest<C::Request>,
+        deadline: Instant,
+    ) -> Result<(), Rejection> {
         let Some(ledger) = &self.ledger else { return Ok(()) };
         let right = self.right(asked.class);
         if !right.needs_intent() {
@@ -81,7 +85,7 @@
         if ledger.standing().is_err() {
             let state = &mut *self.state.borrow_mut();
             state.counts.refused += 1;
-            return Err(Turned::Refused(state.epochs.newest().stay_away(asked.class)));
+            return Err(Rejection::Refused(state.epochs.newest().stay_away(asked.class)));
         }
         // Only where something was out at a node's death is there anything to look for.
         if ledger.unknown() == 0 {
@@ -91,7 +95,7 @@
         ledger.judge(right, &asked.id, self.key(right, &asked.request), left).map_err(|why| {
             self.state.borrow_mut().counts.failed += 1;
             tracing::warn!(target: "ledger", "{} is not sent: {}", asked.id, why.word());
-            Turned::Failed(why)
+            Rejection::Failed(why)
         })
     }
 
--- a/crates/core/src/sample.rs
+++ b/crates/core/src/log_limiter.rs
@@ -7,12 +7,12 @@
 
 /// Bounds what is logged of single requests: a day on which all fail must not cost the node its core.
 #[derive(Default)]
-pub struct Sample {
+pub struct LogLimiter {
     left: Cell<u32>,
     dropped: Cell<u64>,
 }
 
-impl Sample {
+impl LogLimiter {
     /// Calls `log` while this second has room for a line.
     pub fn line(&self, log: impl FnOnce()) {
         match self.left.get() {
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -17,13 +17,13 @@
 use crate::carrier::{Carrier, Ended, Payload, Target, Unfollowed};
 use crate::clock::{ms, span, Clock};
 use crate::epochs::{Epochs, For};
-use crate::intents::{self, Turned};
+use crate::intents::{self, Rejection};
 use crate::lifecycle::Lifecycle;
+use crate::log_limiter::LogLimiter;
 use crate::process::Process;
-use crate::sample::Sample;
+use crate::requests::{story, Answer, Attempt, ClientRequest, Counts, Intent, Table};
 use crate::servers::{Endpoint, ServerListing, ServerTable};
 use crate::status;
-use crate::table::{story, Answer, Asked, Attempt, Counts, Intent, Table};
 
 /// How long the node waits for the list's source before it serves by the saved list.
 const READY_WITHIN: Duration = Duration::from_millis(2500);
@@ -56,7 +56,7 @@
 }
 
 /// A request that was taken: its number, and where its final answer comes from.
-pub type Taken<Reply> = (RequestId, oneshot::Receiver<Answer<Reply>>);
+pub type AcceptedRequest<Reply> = (RequestId, oneshot::Receiver<Answer<Reply>>);
 
 pub(crate) struct State<C: Carrier> {
     pub(crate) epochs: Epochs,
@@ -88,7 +88,7 @@
     open_cap: usize,
     label: String,
     process: Process,
-    sample: Sample,
+    sample: LogLimiter,
     clock: Clock,
     informed: Cell<bool>,
     /// Told when the list's source is first heard.
@@ -147,7 +147,7 @@
             open_cap: setup.open_cap,
             label: setup.label,
             process: setup.process,
-            sample: Sample::default(),
+            sample: LogLimiter::default(),
             clock: Clock::new(),
             informed: Cell::new(false),
             heard: Notify::new(),
@@ -282,14 +282,14 @@
     /// Why it is not taken, and what its client is to be told at once.
     pub fn request(
         self: &Rc<Self>,
-        asked: Asked<C::Request>,
+        asked: ClientRequest<C::Request>,
         deadline: Instant,
-    ) -> Result<Taken<C::Reply>, Turned> {
+    ) -> Result<AcceptedRequest<C::Reply>, Rejection> {
         self.admit(&asked, deadline)?;
         let (answer, answered) = oneshot::channel();
         let (class, tenant, once) = (asked.class, asked.tenant, asked.request.once());
         let entered = self.state.borrow_mut().table.enter(asked, deadline, answer);
-        let id = entered.ok_or(Turned::Open)?;
+        let id = entered.ok_or(Rejection::DuplicateId)?;
         if let Some(gate) = self.gate.clone() {
             self.pass_gate(gate.as_ref(), id)?;
         }
@@ -298,10 +298,10 @@
     }
 
     /// Asks the fleet about a request that was entered; one that it does not let pass is forgotten again.
-    fn pass_gate(self: &Rc<Self>, gate: &dyn AdmissionControl, id: RequestId) -> Result<(), Turned> {
+    fn pass_gate(self: &Rc<Self>, gate: &dyn AdmissionControl, id: RequestId) -> Result<(), Rejection> {
         let ruling = {
             let state = self.state.borrow();
-            let open = state.table.get(id).ok_or(Turned::Open)?;
+            let open = state.table.get(id).ok_or(Rejection::DuplicateId)?;
             let (class, tenant) = (open.class, open.tenant);
             gate.rule(&AdmissionRequest { id: &open.id, class, tenant, key: open.request.key() })
         };
@@ -315,8 +315,8 @@
                 }
                 return Ok(());
             }
-            AdmissionDecision::OverQuota { retry_after } => Turned::OverQuota(retry_after),
-            AdmissionDecision::NoLease { retry_after } => Turned::Refused(retry_after),
+            AdmissionDecision::OverQuota { retry_after } => Rejection::OverQuota(retry_after),
+            AdmissionDecision::NoLease { retry_after } => Rejection::Refused(retry_after),
         };
         let mut state = self.state.borrow_mut();
         state.table.withdraw(id);
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/open_ids.rs
@@ -11,7 +11,7 @@
 /// The ids of requests that await their answer. Clones share one set: an id that is open at one worker is seen as open at
 /// all others, so that no request runs at two of them.
 #[derive(Clone, Debug, Default)]
-pub struct Ids(Arc<Parts>);
+pub struct OpenIds(Arc<Parts>);
 
 #[derive(Debug)]
 struct Parts {
@@ -26,7 +26,7 @@
     }
 }
 
-impl Ids {
+impl OpenIds {
     fn part(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
         let place = self.0.hasher.hash_one(id) as usize % PARTS;
         // A worker that panicked while it held the lock left a whole set all the same: one call changes it.
--- a/crates/core/src/ids/tests.rs
+++ b/crates/core/src/open_ids/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn an_id_that_is_open_at_one_worker_is_open_at_all() {
-    let ids = Ids::default();
+    let ids = OpenIds::default();
     let wins: usize = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..4)
             .map(|_| {
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -4,15 +4,15 @@
 
 use tokio::sync::watch;
 
-use crate::ids::Ids;
 use crate::lifecycle::Lifecycle;
 use crate::metrics::Metrics;
+use crate::open_ids::OpenIds;
 
 /// What belongs to the process, whichever worker looks at it. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Process {
     /// The ids that are open.
-    pub ids: Ids,
+    pub ids: OpenIds,
     /// What it has done since its start.
     pub figures: Metrics,
     life: watch::Sender<Lifecycle>,
@@ -21,7 +21,7 @@
 impl Process {
     /// A process at its start, with so many classes of requests.
     pub fn new(classes: usize, life: Lifecycle) -> Self {
-        Self { ids: Ids::default(), figures: Metrics::new(classes), life: watch::Sender::new(life) }
+        Self { ids: OpenIds::default(), figures: Metrics::new(classes), life: watch::Sender::new(life) }
     }
 
     /// What it is doing.
--- a/crates/core/src/table.rs
+++ b/crates/core/src/requests.rs
@@ -12,7 +12,7 @@
 
 use crate::carrier::Payload;
 use crate::clock::ms;
-use crate::ids::Ids;
+use crate::open_ids::OpenIds;
 use crate::servers::ServerTable;
 
 /// The final answer of a request.
@@ -50,7 +50,7 @@
 
 /// A whole request, as a front read it.
 #[derive(Clone, Debug)]
-pub struct Asked<Request> {
+pub struct ClientRequest<Request> {
     /// The client's id for it; two that are open at once may not share one.
     pub id: String,
     /// Index of its class.
@@ -145,7 +145,7 @@
 pub(crate) struct Table<Request, Reply> {
     open: HashMap<RequestId, Open<Request, Reply>>,
     /// The clients' ids of those that still await their answer, here and at other workers.
-    ids: Ids,
+    ids: OpenIds,
     last: u64,
 }
 
@@ -160,7 +160,7 @@
 
 impl<Request: Payload, Reply> Table<Request, Reply> {
     /// No requests; the ids may be shared with other tables.
-    pub(crate) fn new(ids: Ids) -> Self {
+    pub(crate) fn new(ids: OpenIds) -> Self {
         Self { open: HashMap::new(), ids, last: 0 }
     }
 
@@ -173,11 +173,11 @@
     /// Enters a request; `None` where one with its id awaits its answer.
     pub(crate) fn enter(
         &mut self,
-        asked: Asked<Request>,
+        asked: ClientRequest<Request>,
         deadline: Instant,
         answer: oneshot::Sender<Answer<Reply>>,
     ) -> Option<RequestId> {
-        let Asked { id, class, tenant, request } = asked;
+        let ClientRequest { id, class, tenant, request } = asked;
         if !self.ids.open(&id) {
             return None;
         }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use magpietally_core::{
-    AdmissionControl, AdmissionDecision, AdmissionRequest, Answer, Asked, Core, Setup, Turned,
+    AdmissionControl, AdmissionDecision, AdmissionRequest, Answer, ClientRequest, Core, Rejection, Setup,
 };
 use magpietally_policy::{Effect, Outcome, Settings};
 
@@ -69,8 +69,8 @@
         *self.gate.ruling.lock().expect("no panic") = ruling;
     }
 
-    fn ask(&self, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Turned> {
-        let asked = Asked { id: id.into(), class: LOOK, tenant: None, request: Request("k") };
+    fn ask(&self, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
+        let asked = ClientRequest { id: id.into(), class: LOOK, tenant: None, request: Request("k") };
         let (_, answered) = self.core.request(asked, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
@@ -111,16 +111,16 @@
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
         site.rule(AdmissionDecision::OverQuota { retry_after: 250.0 });
-        assert_eq!(site.ask("a").err(), Some(Turned::OverQuota(250.0)));
+        assert_eq!(site.ask("a").err(), Some(Rejection::OverQuota(250.0)));
         assert!(site.core.fleet_ready());
         site.rule(AdmissionDecision::NoLease { retry_after: 1000.0 });
-        assert_eq!(site.ask("a").err(), Some(Turned::Refused(1000.0)));
+        assert_eq!(site.ask("a").err(), Some(Rejection::Refused(1000.0)));
         assert!(!site.core.fleet_ready() && site.core.open_requests() == 0);
         assert!(site.core.carrier().sent.borrow().is_empty());
         // Its id is free, and an open one is not asked about twice.
         site.rule(take(1));
         let first = site.ask("a").expect("its id is free again");
-        assert_eq!(site.ask("a").err(), Some(Turned::Open));
+        assert_eq!(site.ask("a").err(), Some(Rejection::DuplicateId));
         assert!(matches!(first.await, Answer::Served(())));
     });
 }
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -8,7 +8,7 @@
 
 use common::{run, settings, setup, until, Boxes, Request, SLIP};
 use magpietally_core::{
-    Answer, Asked, Carrier, Core, Ended, ListedServer, ServerListing, Target, Unfollowed,
+    Answer, Carrier, ClientRequest, Core, Ended, ListedServer, ServerListing, Target, Unfollowed,
 };
 use magpietally_policy::{Effect, Group, Listed, Outcome, RequestId, ServerId, Settings};
 
@@ -62,8 +62,8 @@
     Core::new(setup(settings), Slow::default()).expect("good settings")
 }
 
-fn asked(class: usize) -> Asked<Request> {
-    Asked { id: "t1".into(), class, tenant: None, request: Request("k1") }
+fn asked(class: usize) -> ClientRequest<Request> {
+    ClientRequest { id: "t1".into(), class, tenant: None, request: Request("k1") }
 }
 
 fn soon() -> Instant {
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use magpietally_core::{Answer, Asked, Core, Setup, Turned};
+use magpietally_core::{Answer, ClientRequest, Core, Rejection, Setup};
 use magpietally_ledger::dir::{recover, Reach};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
 use magpietally_ledger::record::{How, Record};
@@ -54,8 +54,12 @@
         Self { core, disk, ledger, running }
     }
 
-    fn ask(&self, class: usize, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Turned> {
-        let asked = Asked { id: id.into(), class, tenant: None, request: Request("k") };
+    fn ask(
+        &self,
+        class: usize,
+        id: &str,
+    ) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
+        let asked = ClientRequest { id: id.into(), class, tenant: None, request: Request("k") };
         let (_, answered) = self.core.request(asked, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
@@ -125,7 +129,7 @@
         assert!(site.ledger.line().starts_with("ledger down (write: "), "{}", site.ledger.line());
         for (class, id) in [(SLIP, "2"), (PAY, "3")] {
             match site.ask(class, id) {
-                Err(Turned::Refused(after)) => assert!(after > 0.0),
+                Err(Rejection::Refused(after)) => assert!(after > 0.0),
                 Err(other) => panic!("{other:?}"),
                 Ok(_) => panic!("taken while the disk is full"),
             }
@@ -161,11 +165,11 @@
         let site = Site::with_aim(SimDisk::default(), Options { stall, ..options() }, 500.0);
         tokio::task::spawn_local(site.core.clone().run_timer());
         site.disk.slow(Duration::from_millis(1500));
-        let asked = Asked { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
+        let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
         let (_, waits) =
             site.core.request(asked, Instant::now() + Duration::from_millis(400)).expect("taken");
         until(|| site.ledger.standing() == Err(magpietally_ledger::Trouble::Slow)).await;
-        assert!(matches!(site.ask(SLIP, "2"), Err(Turned::Refused(_))));
+        assert!(matches!(site.ask(SLIP, "2"), Err(Rejection::Refused(_))));
         assert!(matches!(site.ask(LOOK, "3").expect("taken").await, Answer::Served(())));
         let answer = waits.await.expect("a final answer");
         assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{answer:?}");
@@ -197,7 +201,7 @@
         let site = Site::new(SimDisk::default(), options());
         tokio::task::spawn_local(site.core.clone().run_timer());
         site.core.carrier().lasts.set(Duration::from_secs(20));
-        let asked = Asked { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
+        let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
         let (id, _) = site.core.request(asked, Instant::now() + Duration::from_secs(60)).expect("taken");
         until(|| site.sent() == 1).await;
         site.core.client_gone(id);
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -32,7 +32,7 @@
 mod request;
 
 type Node = Core<Http>;
-type Asked = magpietally_core::Asked<Message>;
+type Asked = magpietally_core::ClientRequest<Message>;
 
 /// How long a client may take nothing of its answer.
 const ANSWERING: Duration = Duration::from_secs(5);
--- a/crates/http/src/clients/answer.rs
+++ b/crates/http/src/clients/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use magpietally_core::{Answer, RequestOutcome, Turned};
+use magpietally_core::{Answer, Rejection, RequestOutcome};
 use magpietally_policy::{Millis, RequestId};
 use tokio::sync::oneshot;
 
@@ -93,21 +93,21 @@
     }
     let (id, answered) = match node.request(asked, last - margin) {
         Ok(taken) => taken,
-        Err(Turned::Open) => {
+        Err(Rejection::DuplicateId) => {
             log_refused(node, sock, "one with its id is open");
             return plain(StatusCode::CONFLICT);
         }
-        Err(Turned::Refused(stay_away)) => {
+        Err(Rejection::Refused(stay_away)) => {
             log_refused(node, sock, "turned away at its admission");
             return refusal(stay_away);
         }
-        Err(Turned::OverQuota(retry_after)) => {
+        Err(Rejection::OverQuota(retry_after)) => {
             log_refused(node, sock, "over its quota");
             let mut answer = refusal(retry_after);
             *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
             return answer;
         }
-        Err(Turned::Failed(why)) => {
+        Err(Rejection::Failed(why)) => {
             log_refused(node, sock, why.word());
             let mut answer = plain(StatusCode::BAD_GATEWAY);
             answer.headers_mut().insert(BECAUSE, HeaderValue::from_static(why.word()));
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::client::conn::http1::{self, Connection, SendRequest};
-use magpietally_core::{Endpoint, Metrics, Sample};
+use magpietally_core::{Endpoint, LogLimiter, Metrics};
 use magpietally_net::DialError;
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
@@ -80,7 +80,7 @@
     /// Where attempts are counted.
     pub(crate) figures: Metrics,
     /// Bounds the log's lines on connects that failed.
-    pub sample: Sample,
+    pub sample: LogLimiter,
 }
 
 impl Pool {
@@ -97,7 +97,7 @@
             idle_most: ms(keepalive * IDLE_SHARE),
             connect: ms(connect),
             figures,
-            sample: Sample::default(),
+            sample: LogLimiter::default(),
         }
     }
 
