--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -9,9 +9,9 @@
 use magpietally_policy::{Effect, Event, Group, Millis, Outcome, RequestId, ServerId};
 use tokio::time::timeout_at;
 
-use crate::carrier::{Carrier, Payload};
 use crate::node::{Core, State};
 use crate::requests::{Answer, ClientRequest, Intent, Open};
+use crate::upstream::{Payload, UpstreamTransport};
 
 /// Why a request is not taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,7 +56,7 @@
     }
 }
 
-impl<C: Carrier> State<C> {
+impl<C: UpstreamTransport> State<C> {
     /// What a request is told that no server will answer any more: to come again, where none of its attempts may have run.
     pub(crate) fn unserved(&self, open: &Open<C::Request, C::Reply>) -> Answer<C::Reply> {
         // One that is still out may run yet.
@@ -70,7 +70,7 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: UpstreamTransport> Core<C> {
     /// May this request be taken, as far as the ledger goes?
     pub(crate) fn admit(
         &self,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A front hands a whole request to [`Core::request`] and waits for its one final [`Answer`]. The core keeps the
 //! table of requests and attempts, pumps events into the policy and carries out its actions, and holds the list of
-//! servers, the deadlines and the counters. What moves bytes is a [`Carrier`]: the core hands it a payload that it
+//! servers, the deadlines and the counters. What moves bytes is a [`UpstreamTransport`]: the core hands it a payload that it
 //! does not look into, so that HTTP, LDAP or a test's own protocol come in by the same door.
 //!
 //! What the node is doing, and what follows from it for `/ready`, answers and connections, is one pure state machine,
@@ -12,7 +12,6 @@
 //! whether again and what to refuse is the policy's.
 
 mod admission;
-mod carrier;
 mod clock;
 mod epochs;
 mod intents;
@@ -25,9 +24,9 @@
 mod requests;
 mod servers;
 mod status;
+mod upstream;
 
 pub use admission::{AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
-pub use carrier::{Carrier, Ended, Payload, Target, Unfollowed};
 pub use intents::Rejection;
 pub use lifecycle::{Lifecycle, Phase};
 pub use log_limiter::LogLimiter;
@@ -37,3 +36,4 @@
 pub use process::Process;
 pub use requests::{Answer, ClientRequest};
 pub use servers::{stable_hash, Endpoint, ListedServer, ServerListing};
+pub use upstream::{AttemptResult, ListStreamEnd, Payload, Target, UpstreamTransport};
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -14,7 +14,6 @@
 use tokio::task::{spawn_local, AbortHandle};
 
 use crate::admission::{AdmissionControl, AdmissionDecision, AdmissionRequest};
-use crate::carrier::{Carrier, Ended, Payload, Target, Unfollowed};
 use crate::clock::{ms, span, Clock};
 use crate::epochs::{Epochs, For};
 use crate::intents::{self, Rejection};
@@ -24,6 +23,7 @@
 use crate::requests::{story, Answer, Attempt, ClientRequest, Counts, Intent, Table};
 use crate::servers::{Endpoint, ServerListing, ServerTable};
 use crate::status;
+use crate::upstream::{AttemptResult, ListStreamEnd, Payload, Target, UpstreamTransport};
 
 /// How long the node waits for the list's source before it serves by the saved list.
 const READY_WITHIN: Duration = Duration::from_millis(2500);
@@ -58,7 +58,7 @@
 /// A request that was taken: its number, and where its final answer comes from.
 pub type AcceptedRequest<Reply> = (RequestId, oneshot::Receiver<Answer<Reply>>);
 
-pub(crate) struct State<C: Carrier> {
+pub(crate) struct State<C: UpstreamTransport> {
     pub(crate) epochs: Epochs,
     events: VecDeque<(For, Event)>,
     feeding: bool,
@@ -74,7 +74,7 @@
 }
 
 /// One node: a policy, its requests and its servers.
-pub struct Core<C: Carrier> {
+pub struct Core<C: UpstreamTransport> {
     carrier: C,
     pub(crate) classes: Vec<String>,
     pub(crate) tenants: Vec<String>,
@@ -97,7 +97,7 @@
     rearmed: Notify,
 }
 
-impl<C: Carrier> State<C> {
+impl<C: UpstreamTransport> State<C> {
     /// Which module an event is for. A request's own is asked while the table still has it.
     fn addressed(&self, event: &Event) -> For {
         if !self.epochs.several() {
@@ -115,7 +115,7 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: UpstreamTransport> Core<C> {
     /// A node that knows the saved list and has not asked the list's source yet.
     ///
     /// # Errors
@@ -427,8 +427,13 @@
         self.drop_if_over(id);
     }
 
-    pub(crate) fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: usize, ended: Ended<C::Reply>) {
-        let Ended { outcome, reply, kept, took } = ended;
+    pub(crate) fn attempt_ended(
+        self: &Rc<Self>,
+        id: RequestId,
+        attempt: usize,
+        ended: AttemptResult<C::Reply>,
+    ) {
+        let AttemptResult { outcome, reply, kept, took } = ended;
         let event = {
             let mut state = self.state.borrow_mut();
             let Some((_, server, took)) = self.end(&mut state, id, attempt, outcome, (kept, took)) else {
@@ -590,7 +595,7 @@
     fn subscribe(self: &Rc<Self>) {
         let core = self.clone();
         let call = spawn_local(async move {
-            let Unfollowed { failure, words } = C::follow(core.clone()).await;
+            let ListStreamEnd { failure, words } = C::follow(core.clone()).await;
             tracing::info!(target: "list", "{words}");
             core.feed(Event::ListFailed(failure));
         });
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -10,10 +10,10 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-use crate::carrier::Payload;
 use crate::clock::ms;
 use crate::open_ids::OpenIds;
 use crate::servers::ServerTable;
+use crate::upstream::Payload;
 
 /// The final answer of a request.
 #[derive(Debug)]
--- a/crates/core/src/carrier.rs
+++ b/crates/core/src/upstream.rs
@@ -43,7 +43,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended<Reply> {
+pub struct AttemptResult<Reply> {
     /// For the policy.
     pub outcome: Outcome,
     /// The server's answer, where the outcome is [`Outcome::Done`].
@@ -56,7 +56,7 @@
 
 /// How following the list of servers came to its end.
 #[derive(Clone, Debug)]
-pub struct Unfollowed {
+pub struct ListStreamEnd {
     /// What the policy is told of it.
     pub failure: ListFailure,
     /// What the log is told.
@@ -66,7 +66,7 @@
 /// What moves bytes for a core: attempts, probes, and the list of servers.
 ///
 /// The futures run on the core's thread. Dropping one calls it off: an attempt's connection must end with it.
-pub trait Carrier: Sized + 'static {
+pub trait UpstreamTransport: Sized + 'static {
     /// What goes to a server.
     type Request: Payload;
     /// What comes back.
@@ -78,14 +78,14 @@
         core: Rc<Core<Self>>,
         to: Target,
         request: Rc<Self::Request>,
-    ) -> impl Future<Output = Ended<Self::Reply>> + 'static;
+    ) -> impl Future<Output = AttemptResult<Self::Reply>> + 'static;
 
     /// Probes a server over a connection of its own.
     fn probe(core: Rc<Core<Self>>, server: ServerId) -> impl Future<Output = Outcome> + 'static;
 
     /// Follows the list of servers from [`Core::version`] on, handing what it brings to [`Core::listed`] and
     /// [`Core::list_alive`]; ends when the source does.
-    fn follow(core: Rc<Core<Self>>) -> impl Future<Output = Unfollowed> + 'static;
+    fn follow(core: Rc<Core<Self>>) -> impl Future<Output = ListStreamEnd> + 'static;
 
     /// A server's process has ended or moved: what is kept of its connections is void.
     fn forget(&self, server: ServerId);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant};
 
 use magpietally_core::{
-    Carrier, Core, Ended, Lifecycle, ListedServer, Payload, Process, ServerListing, Setup, Target, Unfollowed,
+    AttemptResult, Core, Lifecycle, ListStreamEnd, ListedServer, Payload, Process, ServerListing, Setup,
+    Target, UpstreamTransport,
 };
 use magpietally_policy::{Class, Effect, Goal, Group, Limits, Listed, Outcome, Rules, ServerId, Settings};
 use tokio::task::LocalSet;
@@ -37,23 +38,23 @@
     pub lasts: Cell<Duration>,
 }
 
-impl Carrier for Boxes {
+impl UpstreamTransport for Boxes {
     type Request = Request;
     type Reply = ();
 
-    async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> Ended<()> {
+    async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> AttemptResult<()> {
         let boxes = core.carrier();
         boxes.sent.borrow_mut().push((Instant::now(), to.server));
         let outcome = boxes.outcomes.borrow_mut().pop().unwrap_or(Outcome::Done);
         tokio::time::sleep(boxes.lasts.get()).await;
-        Ended { outcome, reply: (outcome == Outcome::Done).then_some(()), kept: None, took: None }
+        AttemptResult { outcome, reply: (outcome == Outcome::Done).then_some(()), kept: None, took: None }
     }
 
     async fn probe(_: Rc<Core<Self>>, _: ServerId) -> Outcome {
         Outcome::Done
     }
 
-    async fn follow(_: Rc<Core<Self>>) -> Unfollowed {
+    async fn follow(_: Rc<Core<Self>>) -> ListStreamEnd {
         std::future::pending().await
     }
 
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -8,7 +8,8 @@
 
 use common::{run, settings, setup, until, Boxes, Request, SLIP};
 use magpietally_core::{
-    Answer, Carrier, ClientRequest, Core, Ended, ListedServer, ServerListing, Target, Unfollowed,
+    Answer, AttemptResult, ClientRequest, Core, ListStreamEnd, ListedServer, ServerListing, Target,
+    UpstreamTransport,
 };
 use magpietally_policy::{Effect, Group, Listed, Outcome, RequestId, ServerId, Settings};
 
@@ -21,15 +22,15 @@
     go_on: Cell<usize>,
 }
 
-impl Carrier for Slow {
+impl UpstreamTransport for Slow {
     type Request = Request;
     type Reply = ();
 
-    async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> Ended<()> {
+    async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> AttemptResult<()> {
         let slow = core.carrier();
         let number = slow.asked.borrow().len();
         slow.asked.borrow_mut().push((to, core.place_for(&to).is_some(), None));
-        let ended = |outcome| Ended { outcome, reply: None, kept: None, took: None };
+        let ended = |outcome| AttemptResult { outcome, reply: None, kept: None, took: None };
         if let Some(outcome) = slow.first.take() {
             return ended(outcome);
         }
@@ -37,7 +38,7 @@
         let may = core.place_for(&to).is_some();
         slow.asked.borrow_mut()[number].2 = Some(may);
         if may {
-            Ended { reply: Some(()), ..ended(Outcome::Done) }
+            AttemptResult { reply: Some(()), ..ended(Outcome::Done) }
         } else {
             ended(Outcome::NotSent)
         }
@@ -47,7 +48,7 @@
         Outcome::Done
     }
 
-    async fn follow(_: Rc<Core<Self>>) -> Unfollowed {
+    async fn follow(_: Rc<Core<Self>>) -> ListStreamEnd {
         std::future::pending().await
     }
 
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -6,7 +6,9 @@
 use std::time::Instant;
 
 use magpietally_config::{ListFile, State};
-use magpietally_core::{Carrier, Core, Ended, ListedServer, Metrics, ServerListing, Target, Unfollowed};
+use magpietally_core::{
+    AttemptResult, Core, ListStreamEnd, ListedServer, Metrics, ServerListing, Target, UpstreamTransport,
+};
 use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
 
 use crate::budget::Budget;
@@ -41,11 +43,11 @@
     }
 }
 
-impl Carrier for Http {
+impl UpstreamTransport for Http {
     type Request = Message;
     type Reply = Reply;
 
-    async fn attempt(core: Rc<Core<Self>>, to: Target, request: Rc<Message>) -> Ended<Reply> {
+    async fn attempt(core: Rc<Core<Self>>, to: Target, request: Rc<Message>) -> AttemptResult<Reply> {
         let (may, at) = (core.clone(), core.clone());
         let server = to.server;
         let may = move || may.place_for(&to);
@@ -61,7 +63,7 @@
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
     }
 
-    async fn follow(core: Rc<Core<Self>>) -> Unfollowed {
+    async fn follow(core: Rc<Core<Self>>) -> ListStreamEnd {
         if let Some(file) = core.carrier().boxes.clone() {
             return follow_file(core, file).await;
         }
@@ -79,7 +81,7 @@
 }
 
 /// Hands each list of a file on, whole: the policy sees what is not in it any more as gone.
-async fn follow_file(core: Rc<Core<Http>>, mut file: ListFile) -> Unfollowed {
+async fn follow_file(core: Rc<Core<Http>>, mut file: ListFile) -> ListStreamEnd {
     while let Some(applied) = file.next().await {
         let member = |b: &magpietally_config::AppBox| ListedServer {
             name: b.name.clone(),
@@ -98,5 +100,5 @@
         core.listed(ServerListing { version: applied.version, whole: true, members });
     }
     let words = "nobody looks at the list's file any more".to_string();
-    Unfollowed { failure: ListFailure::Broken, words }
+    ListStreamEnd { failure: ListFailure::Broken, words }
 }
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{rt, Request, Response, StatusCode};
-use magpietally_core::{Carrier, Core, ServerListing, Unfollowed};
+use magpietally_core::{Core, ListStreamEnd, ServerListing, UpstreamTransport};
 use magpietally_policy::{ListFailure, WATCH_SILENCE};
 use tokio::time::{sleep, timeout_at, Instant};
 
@@ -70,7 +70,7 @@
     fn listed(&self, listing: ServerListing);
 }
 
-impl<C: Carrier> Reader for Rc<Core<C>> {
+impl<C: UpstreamTransport> Reader for Rc<Core<C>> {
     fn patience(&self) -> Duration {
         Core::list_patience(self)
     }
@@ -116,11 +116,11 @@
 }
 
 /// Watches from the version that the core has, or asks for the whole list first where it has none. Ends when the watch ends.
-pub async fn follow<C: Carrier>(core: Rc<Core<C>>, to: SocketAddr) -> Unfollowed {
+pub async fn follow<C: UpstreamTransport>(core: Rc<Core<C>>, to: SocketAddr) -> ListStreamEnd {
     follow_by(&core, &to).await
 }
 
-async fn follow_by(reader: &impl Reader, to: &impl Dial) -> Unfollowed {
+async fn follow_by(reader: &impl Reader, to: &impl Dial) -> ListStreamEnd {
     let (failure, words) = match watch(reader, to).await {
         Ok(()) => (ListFailure::Broken, "the watch ended".to_string()),
         Err(Ended::Rejected(words)) => (ListFailure::Rejected, words),
@@ -131,7 +131,7 @@
             (ListFailure::Broken, format!("unreadable line dropped: {words}"))
         }
     };
-    Unfollowed { failure, words }
+    ListStreamEnd { failure, words }
 }
 
 async fn watch(reader: &impl Reader, to: &impl Dial) -> Result<(), Ended> {
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::client::conn::http1::Connection;
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Method, Request, StatusCode, Version};
-use magpietally_core::{Ended, Endpoint};
+use magpietally_core::{AttemptResult, Endpoint};
 use magpietally_policy::{Outcome, ServerId};
 use tokio::time::{sleep, timeout_at};
 
@@ -48,12 +48,12 @@
     to: (ServerId, Instant),
     message: &Message,
     fresh: bool,
-) -> Ended<Reply> {
+) -> AttemptResult<Reply> {
     let kept = Cell::new(None);
     let (outcome, reply) = talk(pool, may, now_at, to, message, fresh, &kept).await;
     // What is passed on while it comes has kept its server waiting until its last byte.
     let took = message.body.uploading().and_then(|u| u.over_since()).map(|since| since.elapsed());
-    Ended { outcome, reply, kept: kept.get(), took }
+    AttemptResult { outcome, reply, kept: kept.get(), took }
 }
 
 async fn talk(
