--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -40,7 +40,7 @@
         sockets,
         memory_mb: 64,
         known: None,
-        told: magpietally_settings::told(&settings).expect("good settings"),
+        told: magpietally_settings::parse(&settings).expect("good settings"),
         lasting: Default::default(),
     };
     let process = Process::new(2, Lifecycle::new(time, false));
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -11,7 +11,7 @@
 use magpietally_os_error::retry::START_WITHIN;
 use magpietally_os_error::{classify, Call};
 use magpietally_policy::Discovery;
-use magpietally_settings::{told, Told};
+use magpietally_settings::{parse, ReceivedSettings};
 use magpietally_structures::GOLDEN;
 use serde_json::{Map, Value};
 
@@ -40,7 +40,7 @@
     /// The list of servers as last had.
     pub known: Option<ServerListing>,
     /// The settings.
-    pub told: Told,
+    pub told: ReceivedSettings,
     /// What the file says of all that holds until the process ends.
     pub lasting: Arc<Value>,
 }
@@ -186,7 +186,7 @@
     let there = |name: &str| f.get(name).filter(|v| !v.is_null());
     let text_of = |name: &str| {
         let value = there(name).ok_or_else(|| here(format!("{name} is missing")))?;
-        magpietally_settings::text(value, name).map_err(here)
+        magpietally_settings::string(value, name).map_err(here)
     };
     // Where it is from, as well.
     let text = |name: &str| {
@@ -209,7 +209,7 @@
     let seed = text_of("seed")?;
     let known = there("known").map(|known| listing(known.clone()).map_err(|e| here(format!("known: {e}"))));
     let settings = there("settings").ok_or_else(|| here("settings is missing".into()))?;
-    let mut told = told(settings).map_err(here)?;
+    let mut told = parse(settings).map_err(here)?;
     speakable(&told).map_err(here)?;
     // Nothing comes by itself over HTTP: where lists are pushed, it is an agent that has them, and it has to be watched.
     if told.settings.discovery == Discovery::Pushed {
@@ -237,7 +237,7 @@
 
 /// A class is the first part of a path, and a tenant the value of a header: what can't stand there would never be asked for,
 /// or be asked for under a name that is not the settings'.
-fn speakable(told: &Told) -> Result<(), String> {
+fn speakable(told: &ReceivedSettings) -> Result<(), String> {
     let in_path = |b: u8| b.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@".contains(&b);
     let class = |name: &str| name.bytes().all(in_path) && name != "." && name != "..";
     if let Some(n) = told.classes.iter().position(|name| !class(name)) {
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -40,7 +40,7 @@
         sockets: 512,
         memory_mb: 64,
         known: None,
-        told: magpietally_settings::told(&settings).expect("good settings"),
+        told: magpietally_settings::parse(&settings).expect("good settings"),
         lasting: Arc::default(),
     }
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -5,13 +5,13 @@
 use serde_json::{Map, Value};
 
 /// A value that cannot be understood, in words that name it.
-pub type WireError = String;
+pub type FieldError = String;
 
 /// A number.
 ///
 /// # Errors
 /// Names `what`, and what was expected.
-pub fn number(value: &Value, what: &str) -> Result<f64, WireError> {
+pub fn number(value: &Value, what: &str) -> Result<f64, FieldError> {
     value.as_f64().ok_or_else(|| format!("{what}: number expected"))
 }
 
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// Names `what`, and what was expected.
-pub fn whole(value: &Value, what: &str) -> Result<u64, WireError> {
+pub fn integer(value: &Value, what: &str) -> Result<u64, FieldError> {
     let float = || value.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64);
     value.as_u64().or_else(float).ok_or_else(|| format!("{what}: whole number expected"))
 }
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// Names `what`, and what was expected.
-pub fn optional(value: &Value, what: &str) -> Result<Option<f64>, WireError> {
+pub fn optional_number(value: &Value, what: &str) -> Result<Option<f64>, FieldError> {
     if value.is_null() {
         Ok(None)
     } else {
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// Names `what`, and what was expected.
-pub fn text<'a>(value: &'a Value, what: &str) -> Result<&'a str, WireError> {
+pub fn string<'a>(value: &'a Value, what: &str) -> Result<&'a str, FieldError> {
     value.as_str().ok_or_else(|| format!("{what}: text expected"))
 }
 
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// Names `what`, and what was expected.
-pub fn list<'a>(value: &'a Value, what: &str) -> Result<&'a Vec<Value>, WireError> {
+pub fn list<'a>(value: &'a Value, what: &str) -> Result<&'a Vec<Value>, FieldError> {
     value.as_array().ok_or_else(|| format!("{what}: array expected"))
 }
 
@@ -58,7 +58,7 @@
     /// Above 0.
     Positive,
     /// 0 or above.
-    Amount,
+    NonNegative,
     /// From 0 to 1.
     Share,
 }
@@ -68,7 +68,7 @@
     fn outside(self, value: f64) -> Option<&'static str> {
         let (inside, why) = match self {
             Self::Positive => (value > 0.0, "must be above 0"),
-            Self::Amount => (value >= 0.0, "must not be negative"),
+            Self::NonNegative => (value >= 0.0, "must not be negative"),
             Self::Share => ((0.0..=1.0).contains(&value), "a share is from 0 to 1"),
         };
         if !value.is_finite() {
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn of(value: &'a Value, path: impl Into<Cow<'a, str>>) -> Result<Self, WireError> {
+    pub fn from_value(value: &'a Value, path: impl Into<Cow<'a, str>>) -> Result<Self, FieldError> {
         let path = path.into();
         let map = value.as_object().ok_or_else(|| format!("{path}: object expected"))?;
         Ok(Self { map, path })
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn need(&self, key: &str) -> Result<&'a Value, WireError> {
+    pub fn require(&self, key: &str) -> Result<&'a Value, FieldError> {
         self.get(key).ok_or_else(|| format!("{} is missing", self.path(key)))
     }
 
@@ -117,16 +117,16 @@
     fn read<T>(
         &self,
         key: &str,
-        reader: impl FnOnce(&'a Value, &str) -> Result<T, WireError>,
-    ) -> Result<T, WireError> {
-        reader(self.need(key)?, key).map_err(|e| format!("{}.{e}", self.path))
+        reader: impl FnOnce(&'a Value, &str) -> Result<T, FieldError>,
+    ) -> Result<T, FieldError> {
+        reader(self.require(key)?, key).map_err(|e| format!("{}.{e}", self.path))
     }
 
     /// A number that must be there.
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn number(&self, key: &str) -> Result<f64, WireError> {
+    pub fn number(&self, key: &str) -> Result<f64, FieldError> {
         self.read(key, number)
     }
 
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn within(&self, key: &str, range: Range) -> Result<f64, WireError> {
+    pub fn number_in(&self, key: &str, range: Range) -> Result<f64, FieldError> {
         let value = self.number(key)?;
         match range.outside(value) {
             None => Ok(value),
@@ -146,16 +146,16 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn within_if_there(&self, key: &str, range: Range) -> Result<Option<f64>, WireError> {
-        self.get(key).map(|_| self.within(key, range)).transpose()
+    pub fn optional_number_in(&self, key: &str, range: Range) -> Result<Option<f64>, FieldError> {
+        self.get(key).map(|_| self.number_in(key, range)).transpose()
     }
 
     /// A whole number that must be there, `least` or above.
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn count(&self, key: &str, least: u64) -> Result<u64, WireError> {
-        let value = self.read(key, whole)?;
+    pub fn integer_at_least(&self, key: &str, least: u64) -> Result<u64, FieldError> {
+        let value = self.read(key, integer)?;
         if value < least {
             return Err(format!("{}: {value}: {least} is needed at least", self.path(key)));
         }
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn flag(&self, key: &str) -> Result<bool, WireError> {
+    pub fn flag(&self, key: &str) -> Result<bool, FieldError> {
         let flag = |v: &Value, key: &str| v.as_bool().ok_or_else(|| format!("{key}: true or false expected"));
         self.read(key, flag)
     }
@@ -175,16 +175,16 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn text(&self, key: &str) -> Result<&'a str, WireError> {
-        self.read(key, text)
+    pub fn string(&self, key: &str) -> Result<&'a str, FieldError> {
+        self.read(key, string)
     }
 
     /// What a word that must be there stands for.
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, WireError> {
-        let word = self.text(key)?;
+    pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, FieldError> {
+        let word = self.string(key)?;
         words.iter().find(|(name, _)| *name == word).map(|(_, meaning)| *meaning).ok_or_else(|| {
             let known: Vec<&str> = words.iter().map(|(name, _)| *name).collect();
             format!("{}: {word} is unknown, known are {}", self.path(key), known.join(", "))
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn list(&self, key: &str) -> Result<&'a [Value], WireError> {
+    pub fn list(&self, key: &str) -> Result<&'a [Value], FieldError> {
         self.get(key).map_or(Ok(&[]), |_| self.read(key, list).map(Vec::as_slice))
     }
 
@@ -203,8 +203,8 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn objects(&self, key: &str) -> Result<Vec<Fields<'a>>, WireError> {
-        let of = |(n, value)| Fields::of(value, format!("{}[{n}]", self.path(key)));
+    pub fn objects(&self, key: &str) -> Result<Vec<Fields<'a>>, FieldError> {
+        let of = |(n, value)| Fields::from_value(value, format!("{}[{n}]", self.path(key)));
         self.list(key)?.iter().enumerate().map(of).collect()
     }
 
@@ -212,8 +212,8 @@
     ///
     /// # Errors
     /// Names the field, and what was expected.
-    pub fn object(&self, key: &str) -> Result<Fields<'a>, WireError> {
-        Fields::of(self.need(key)?, self.path(key))
+    pub fn object(&self, key: &str) -> Result<Fields<'a>, FieldError> {
+        Fields::from_value(self.require(key)?, self.path(key))
     }
 }
 
@@ -221,10 +221,10 @@
 ///
 /// # Errors
 /// Names the field.
-pub fn names(objects: &[Fields]) -> Result<Vec<String>, WireError> {
+pub fn names(objects: &[Fields]) -> Result<Vec<String>, FieldError> {
     let mut names: Vec<String> = Vec::with_capacity(objects.len());
     for object in objects {
-        let name = object.text("Name")?;
+        let name = object.string("Name")?;
         if name.is_empty() {
             return Err(format!("{}: empty", object.path("Name")));
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,12 +10,12 @@
 };
 use serde_json::Value;
 
-pub use fields::{list, number, optional, text, whole, Fields, Range, WireError};
+pub use fields::{integer, list, number, optional_number, string, FieldError, Fields, Range};
 
 /// The most nodes that are believed: what is shared out among them is counted in products with their number.
 const NODES_MOST: u64 = 1_000_000;
 
-fn class(f: &Fields) -> Result<(Class, Millis), WireError> {
+fn class(f: &Fields) -> Result<(Class, Millis), FieldError> {
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
     #[derive(Clone, Copy)]
     enum Word {
@@ -24,56 +24,60 @@
         Unsafe,
     }
     let words = [("pure", Word::Safe), ("token", Word::Keyed), ("side_effect", Word::Unsafe)];
-    let effect = match f.word("Idempotency", &words)? {
+    let effect = match f.choice("Idempotency", &words)? {
         Word::Safe => Effect::Safe,
         Word::Unsafe => Effect::Unsafe,
         Word::Keyed => Effect::Keyed {
-            group: f.word("DedupScope", &groups)?,
-            memory: f.within("MemorySpan", Range::Positive)?,
+            group: f.choice("DedupScope", &groups)?,
+            memory: f.number_in("MemorySpan", Range::Positive)?,
         },
     };
     let class = Class {
-        aim: f.within("Slo", Range::Positive)?,
-        worth: f.within("Value", Range::Amount)?,
-        late_worth: f.within("LateValue", Range::Share)?,
+        aim: f.number_in("Slo", Range::Positive)?,
+        worth: f.number_in("Value", Range::NonNegative)?,
+        late_worth: f.number_in("LateValue", Range::Share)?,
         effect,
     };
-    Ok((class, f.within("Deadline", Range::Positive)?))
+    Ok((class, f.number_in("Deadline", Range::Positive)?))
 }
 
-fn tenant(f: &Fields) -> Result<Tenant, WireError> {
+fn tenant(f: &Fields) -> Result<Tenant, FieldError> {
     // The rate is what counts; a share that is no share says that the two were mixed up.
-    if f.within_if_there("Share", Range::Share)? == Some(0.0) {
+    if f.optional_number_in("Share", Range::Share)? == Some(0.0) {
         return Err(format!("{}: 0: must be above 0", f.path("Share")));
     }
-    Ok(Tenant { quota_per_s: f.within("QuotaPerS", Range::Amount)? })
+    Ok(Tenant { quota_per_s: f.number_in("QuotaPerS", Range::NonNegative)? })
 }
 
-fn limits(l: &Fields) -> Result<Limits, WireError> {
+fn limits(l: &Fields) -> Result<Limits, FieldError> {
     Ok(Limits {
-        attempts: usize::try_from(l.count("AttemptsCap", 1)?).unwrap_or(usize::MAX),
+        attempts: usize::try_from(l.integer_at_least("AttemptsCap", 1)?).unwrap_or(usize::MAX),
         second_copies: l.flag("MayDuplicate")?,
         cancel: l.flag("Cancel")?,
         probes: l.flag("Probes")?,
-        connect_timeout: l.within("ConnectTimeout", Range::Positive)?,
-        max_retry_after: if l.flag("RetryAfter")? { l.within("MaxRetryAfter", Range::Amount)? } else { 0.0 },
+        connect_timeout: l.number_in("ConnectTimeout", Range::Positive)?,
+        max_retry_after: if l.flag("RetryAfter")? {
+            l.number_in("MaxRetryAfter", Range::NonNegative)?
+        } else {
+            0.0
+        },
     })
 }
 
-fn rules(r: &Fields) -> Result<Rules, WireError> {
+fn rules(r: &Fields) -> Result<Rules, FieldError> {
     Ok(Rules {
-        ask_within: r.within("AskWithin", Range::Positive)?,
-        cold_share: r.within("ColdShare", Range::Share)?,
-        warm_within: r.within("WarmWithin", Range::Amount)?,
-        fall_multiple: r.within("FallMultiple", Range::Positive)?,
-        fall_window: r.within("Fall", Range::Positive)?,
-        drain_grace: r.within("DrainGrace", Range::Amount)?,
+        ask_within: r.number_in("AskWithin", Range::Positive)?,
+        cold_share: r.number_in("ColdShare", Range::Share)?,
+        warm_within: r.number_in("WarmWithin", Range::NonNegative)?,
+        fall_multiple: r.number_in("FallMultiple", Range::Positive)?,
+        fall_window: r.number_in("Fall", Range::Positive)?,
+        drain_grace: r.number_in("DrainGrace", Range::NonNegative)?,
     })
 }
 
 /// What the settings object says: the module's part, and what only a node on sockets needs.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ReceivedSettings {
     /// The module's settings.
     pub settings: Settings,
     /// The names of the classes, by index.
@@ -88,7 +92,7 @@
     pub open_cap: usize,
 }
 
-impl Told {
+impl ReceivedSettings {
     /// The longest deadline of a class.
     pub fn longest_deadline(&self) -> Millis {
         self.deadlines.iter().copied().fold(0.0, f64::max)
@@ -99,16 +103,16 @@
 ///
 /// # Errors
 /// Names the first field that is missing or malformed, as `settings.Classes[1].Deadline`.
-pub fn told(value: &Value) -> Result<Told, WireError> {
-    told_as(value, "settings")
+pub fn parse(value: &Value) -> Result<ReceivedSettings, FieldError> {
+    parse_named(value, "settings")
 }
 
 /// The same where the object goes by another name.
 ///
 /// # Errors
 /// Names the first field that is missing or malformed.
-pub fn told_as(value: &Value, name: &str) -> Result<Told, WireError> {
-    let f = Fields::of(value, name)?;
+pub fn parse_named(value: &Value, name: &str) -> Result<ReceivedSettings, FieldError> {
+    let f = Fields::from_value(value, name)?;
     let classes = f.objects("Classes")?;
     if classes.is_empty() {
         return Err(format!("{}: no classes, one is needed at least", f.path("Classes")));
@@ -118,7 +122,7 @@
     let tenants = f.objects("Customers")?;
     let tenant_names = fields::names(&tenants)?;
     let tenants = tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
-    let (number, nodes) = (f.count("Me", 0)?, f.count("PeersTotal", 1)?);
+    let (number, nodes) = (f.integer_at_least("Me", 0)?, f.integer_at_least("PeersTotal", 1)?);
     if nodes > NODES_MOST {
         return Err(format!("{}: {nodes} is more than {NODES_MOST}", f.path("PeersTotal")));
     }
@@ -126,9 +130,9 @@
         return Err(format!("{}: {number}: own number must be below the count of nodes", f.path("Me")));
     }
     let (l, r, g) = (f.object("Limits")?, f.object("Contract")?, f.object("Goal")?);
-    let goal = |key| g.within(key, Range::Amount);
+    let goal = |key| g.number_in(key, Range::NonNegative);
     let discovery =
-        f.word("Discovery", &[("subscribe", Discovery::Asked), ("automatic", Discovery::Pushed)])?;
+        f.choice("Discovery", &[("subscribe", Discovery::Asked), ("automatic", Discovery::Pushed)])?;
     let weights = [
         ("nominal", Weights::Listed),
         ("rough", Weights::Listed),
@@ -140,7 +144,7 @@
         nodes: nodes as usize,
         classes,
         tenants,
-        over_share_worth: f.within("OverShareWorth", Range::Share)?,
+        over_share_worth: f.number_in("OverShareWorth", Range::Share)?,
         goal: Goal {
             worth: goal("Whole")? + goal("WorstWindow")?,
             worst_class: goal("WorstClass")?,
@@ -149,16 +153,16 @@
         limits: limits(&l)?,
         rules: rules(&r)?,
         discovery,
-        weights: f.word("Weights", &weights)?,
-        tick: f.within("Tick", Range::Amount)?,
+        weights: f.choice("Weights", &weights)?,
+        tick: f.number_in("Tick", Range::NonNegative)?,
         tuning: Tuning::default(),
     };
-    Ok(Told {
+    Ok(ReceivedSettings {
         settings,
         classes: class_names,
         deadlines,
         tenants: tenant_names,
-        keepalive: l.within("Keepalive", Range::Amount)?,
-        open_cap: usize::try_from(l.count("OpenCap", 1)?).unwrap_or(usize::MAX),
+        keepalive: l.number_in("Keepalive", Range::NonNegative)?,
+        open_cap: usize::try_from(l.integer_at_least("OpenCap", 1)?).unwrap_or(usize::MAX),
     })
 }
--- a/crates/settings/tests/fields.rs
+++ b/crates/settings/tests/fields.rs
@@ -1,7 +1,7 @@
 //! Every field of the settings that is read, spoilt in every way: one error that names it by its path.
 
 use magpietally_policy::{Discovery, Effect, Group, Weights};
-use magpietally_settings::{told, told_as};
+use magpietally_settings::{parse, parse_named};
 use serde_json::{json, Value};
 
 /// Two classes that are keyed and unsafe, one tenant, and a key that no page names in each object.
@@ -162,10 +162,11 @@
     for (path, kind) in FIELDS {
         let name = named(path);
         for gone in [To::Gone, To::This(Value::Null)] {
-            assert_eq!(told(&spoilt(path, &gone)).err(), Some(format!("{name} is missing")));
+            assert_eq!(parse(&spoilt(path, &gone)).err(), Some(format!("{name} is missing")));
         }
         for (value, words) in kind.wrong() {
-            let error = told(&spoilt(path, &To::This(value.clone()))).expect_err(&format!("{name}: {value}"));
+            let error =
+                parse(&spoilt(path, &To::This(value.clone()))).expect_err(&format!("{name}: {value}"));
             assert!(error.starts_with(&format!("{name}: ")), "{name}: {value}: {error}");
             assert!(error.contains(words) && error.lines().count() == 1, "{name}: {value}: {error}");
         }
@@ -196,12 +197,12 @@
         ("/PeersTotal", To::This(json!(1_000_001)), "settings.PeersTotal: 1000001 is more than"),
         ("/PeersTotal", To::This(json!(1e300)), "settings.PeersTotal: "),
     ] {
-        let error = told(&spoilt(path, &to)).expect_err(words);
+        let error = parse(&spoilt(path, &to)).expect_err(words);
         assert!(error.starts_with(words), "{words}: {error}");
     }
-    assert_eq!(told(&json!([])).err().as_deref(), Some("settings: object expected"));
+    assert_eq!(parse(&json!([])).err().as_deref(), Some("settings: object expected"));
     assert_eq!(
-        told_as(&json!({}), "Options").err().as_deref(),
+        parse_named(&json!({}), "Options").err().as_deref(),
         Some("Options.Classes: no classes, one is needed at least")
     );
 }
@@ -209,7 +210,7 @@
 /// What a page says may be absent, or what has no meaning beside the rest; keys that are added.
 #[test]
 fn what_may_be_absent_and_what_is_added_is_no_error() {
-    let read = |settings: &Value| told(settings).unwrap_or_else(|e| panic!("{e}"));
+    let read = |settings: &Value| parse(settings).unwrap_or_else(|e| panic!("{e}"));
     let plain = read(&good());
     assert_eq!(plain.classes, ["seat", "scan"]);
     assert_eq!(plain.deadlines, [500.0, 400.0]);
@@ -239,7 +240,7 @@
 #[test]
 fn each_figure_comes_from_its_own_field() {
     let figures = |settings: &Value| {
-        let t = told(settings).expect("good settings");
+        let t = parse(settings).expect("good settings");
         format!("{t:?}")
     };
     let plain = figures(&good());
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -6,7 +6,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use magpietally_policy::*;
-use magpietally_settings::{list, number, optional, text, told_as, whole, Fields, Told, WireError};
+use magpietally_settings::{
+    integer, list, number, optional_number, parse_named, string, FieldError, Fields, ReceivedSettings,
+};
 use serde_json::{json, Value};
 
 /// The longest line that is read, in bytes: a batch for thousands of instances is a tenth of it.
@@ -16,7 +18,7 @@
 ///
 /// # Errors
 /// Says what is malformed, or what broke; nothing after it is answered.
-pub fn serve(mut from: impl BufRead, mut to: impl Write) -> Result<(), WireError> {
+pub fn serve(mut from: impl BufRead, mut to: impl Write) -> Result<(), FieldError> {
     let mut host = Host::default();
     let mut line = Vec::new();
     loop {
@@ -31,7 +33,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.line(line)?;
+        let reply = host.handle_line(line)?;
         writeln!(to, "{reply}").and_then(|()| to.flush()).map_err(|e| e.to_string())?;
     }
 }
@@ -52,7 +54,7 @@
     names: Names,
 }
 
-fn outcome(word: &str) -> Result<Outcome, WireError> {
+fn outcome(word: &str) -> Result<Outcome, FieldError> {
     Ok(match word {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
@@ -88,15 +90,15 @@
     ///
     /// # Errors
     /// Says what is malformed; the line then has no reply, and the host should not be used any further.
-    pub fn line(&mut self, line: &str) -> Result<String, WireError> {
+    pub fn handle_line(&mut self, line: &str) -> Result<String, FieldError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
-        let f = Fields::of(&batch, "batch")?;
+        let f = Fields::from_value(&batch, "batch")?;
         let now = f.number("Time")?;
-        let round = whole(f.need("round")?, "round")?;
+        let round = integer(f.require("round")?, "round")?;
         let mut parts = Vec::new();
         for part in f.list("parts")? {
-            let p = Fields::of(part, "parts")?;
-            let number = whole(p.need("I")?, "I")?;
+            let p = Fields::from_value(part, "parts")?;
+            let number = integer(p.require("I")?, "I")?;
             let mut steps = Vec::new();
             for input in p.list("input")? {
                 self.input(now, number, list(input, "input")?, &mut steps)?;
@@ -108,17 +110,23 @@
         Ok(json!({"round": round, "parts": parts}).to_string())
     }
 
-    fn input(&mut self, now: f64, me: u64, input: &[Value], steps: &mut Vec<Value>) -> Result<(), WireError> {
+    fn input(
+        &mut self,
+        now: f64,
+        me: u64,
+        input: &[Value],
+        steps: &mut Vec<Value>,
+    ) -> Result<(), FieldError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
-        match text(at(0), "message")? {
+        match string(at(0), "message")? {
             "ROSTER" => {
                 let entries = list(at(2), "Members")?.iter().map(|v| self.entry(v));
                 let entries = entries.collect::<Result<Vec<_>, _>>()?;
-                self.tables.insert(whole(at(1), "Table")?, entries);
+                self.tables.insert(integer(at(1), "Table")?, entries);
             }
             "CREATE" => {
-                let Told { settings, classes, tenants, .. } = told_as(at(2), "Options")?;
-                let balancer = Balancer::new(settings, whole(at(1), "Prng")?).map_err(|e| e.to_string())?;
+                let ReceivedSettings { settings, classes, tenants, .. } = parse_named(at(2), "Options")?;
+                let balancer = Balancer::new(settings, integer(at(1), "Prng")?).map_err(|e| e.to_string())?;
                 self.instances.insert(me, Instance { balancer, classes, tenants });
             }
             "HALT" => {
@@ -143,7 +151,7 @@
         Ok(())
     }
 
-    fn entry(&mut self, value: &Value) -> Result<Entry, WireError> {
+    fn entry(&mut self, value: &Value) -> Result<Entry, FieldError> {
         let row = list(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
         // Zones and kinds are only ever compared: any number that is the same for the same name will do.
@@ -155,35 +163,39 @@
         };
         let (zone, kind) = (name(at(1)), name(at(2)));
         Ok(Entry {
-            server: ServerId(whole(at(0), "Server")?),
+            server: ServerId(integer(at(0), "Server")?),
             zone,
-            cell: if at(3).is_null() { 0 } else { whole(at(3), "Cluster")? },
+            cell: if at(3).is_null() { 0 } else { integer(at(3), "Cluster")? },
             kind,
-            state: match text(at(4), "Condition")? {
+            state: match string(at(4), "Condition")? {
                 "on" => Listed::Up,
                 "fading" => Listed::Draining,
                 "off" => Listed::Gone,
                 other => return Err(format!("Condition: {other} is unknown")),
             },
-            weight: optional(at(5), "Weight")?.unwrap_or(1.0),
-            started: optional(at(6), "LastStart")?.filter(|t| *t != 0.0),
+            weight: optional_number(at(5), "Weight")?.unwrap_or(1.0),
+            started: optional_number(at(6), "LastStart")?.filter(|t| *t != 0.0),
         })
     }
 }
 
 impl Instance {
     /// Translates an event; `None` for one that is not known or says nothing.
-    fn event(&self, tables: &BTreeMap<u64, Vec<Entry>>, input: &[Value]) -> Result<Option<Event>, WireError> {
+    fn event(
+        &self,
+        tables: &BTreeMap<u64, Vec<Entry>>,
+        input: &[Value],
+    ) -> Result<Option<Event>, FieldError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
-        let id = || whole(at(1), "Corr").map(RequestId);
-        let attempt = || whole(at(2), "Try").map(|n| n as usize);
-        Ok(Some(match text(at(0), "message")? {
+        let id = || integer(at(1), "Corr").map(RequestId);
+        let attempt = || integer(at(2), "Try").map(|n| n as usize);
+        Ok(Some(match string(at(0), "message")? {
             "TOPOLOGY" => {
-                let form = text(at(2), "Form")?;
+                let form = string(at(2), "Form")?;
                 if form == "Error" {
                     return Ok(Some(Event::ListFailed(ListFailure::Broken)));
                 }
-                let table = whole(at(3), "Table")?;
+                let table = integer(at(3), "Table")?;
                 let entries =
                     tables.get(&table).ok_or_else(|| format!("Table: {table} was not given"))?.clone();
                 match form {
@@ -203,14 +215,14 @@
             "RESPONSE" => Event::Ended {
                 id: id()?,
                 attempt: attempt()?,
-                server: ServerId(whole(at(3), "Server")?),
-                outcome: outcome(text(at(4), "Outcome")?)?,
+                server: ServerId(integer(at(3), "Server")?),
+                outcome: outcome(string(at(4), "Outcome")?)?,
                 took: number(at(5), "Rtt")?,
                 finished: at(6).as_bool().ok_or("Terminal: true or false expected")?,
             },
             "STATUS_BACK" => Event::Probed {
-                server: ServerId(whole(at(1), "Server")?),
-                outcome: outcome(text(at(2), "Outcome")?)?,
+                server: ServerId(integer(at(1), "Server")?),
+                outcome: outcome(string(at(2), "Outcome")?)?,
                 took: number(at(3), "Rtt")?,
             },
             "GONE" => Event::ClientGone(id()?),
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -26,7 +26,7 @@
 }
 
 fn reply(host: &mut Host, round: u64, time: f64, parts: Value) -> Value {
-    let line = host.line(&batch(round, time, parts)).expect("a reply");
+    let line = host.handle_line(&batch(round, time, parts)).expect("a reply");
     let value: Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!(value["round"], round);
     value["parts"].clone()
@@ -135,7 +135,7 @@
         (no_me, "Options.Me is missing"),
         (no_classes, "Options.Classes: no classes"),
     ] {
-        let error = Host::default().line(&line).expect_err(words);
+        let error = Host::default().handle_line(&line).expect_err(words);
         assert!(error.contains(words), "{error}");
     }
 }
