--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -29,7 +29,7 @@
     Admit {
         /// The version; 0 stands for the settings that the node was started with.
         epoch: u64,
-        /// When, by the gate's own clock: said back to [`AdmissionControl::may_go_on`].
+        /// When, by the gate's own clock: said back to [`AdmissionControl::may_send`].
         at: Duration,
     },
     /// Its tenant's quota is used up: trying again is harmless, after this time.
@@ -56,18 +56,18 @@
 /// The fleet's word on requests.
 pub trait AdmissionControl: Send + Sync + fmt::Debug {
     /// May this request be taken now, and under which version? Reads the clock itself, at this moment.
-    fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision;
+    fn decide(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision;
 
     /// May a request that was taken then, under this version, be sent (again) now? ClientRequest before each attempt: a node that was
     /// stopped past its lease has no right left to what it had begun.
-    fn may_go_on(&self, epoch: u64, at: Duration) -> bool;
+    fn may_send(&self, epoch: u64, at: Duration) -> bool;
 
     /// Does the fleet change its policy at this moment, so that a request had better wait some milliseconds than be turned
     /// away? True for a short bounded time at the most, by the gate's own settings.
-    fn holds(&self) -> bool;
+    fn is_changing_policy(&self) -> bool;
 
     /// May this node say that it is ready?
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
 
     /// The decision module's settings under a version; `None` for those of the start.
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>>;
@@ -86,5 +86,5 @@
     }
 
     /// The final answer of a request that was taken is on its way; for the fleet's records.
-    fn answered(&self, _epoch: u64, _id: &str) {}
+    fn record_answer(&self, _epoch: u64, _id: &str) {}
 }
--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -129,8 +129,8 @@
             tenant: name(&self.tenants, open.tenant),
             key: self.key(right, &open.request),
             attempt: open.attempts.len(),
-            server: state.members.name(server).unwrap_or_default().to_string(),
-            server_start_ms: state.members.born_ms(server).max(0.0) as u64,
+            server: state.servers.name(server).unwrap_or_default().to_string(),
+            server_start_ms: state.servers.start_ms(server).max(0.0) as u64,
             left: open.deadline.saturating_duration_since(Instant::now()),
         })
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
 //! One request's life, whatever protocol it came by.
 //!
-//! A front hands a whole request to [`Core::request`] and waits for its one final [`Answer`]. The core keeps the
+//! A front hands a whole request to [`Core::submit`] and waits for its one final [`Answer`]. The core keeps the
 //! table of requests and attempts, pumps events into the policy and carries out its actions, and holds the list of
 //! servers, the deadlines and the counters. What moves bytes is a [`UpstreamTransport`]: the core hands it a payload that it
 //! does not look into, so that HTTP, LDAP or a test's own protocol come in by the same door.
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -58,19 +58,19 @@
     }
 
     /// What it is doing.
-    pub fn doing(&self) -> Phase {
+    pub fn phase(&self) -> Phase {
         self.doing
     }
 
     /// Is the listening socket the platform's?
-    pub fn shared(&self) -> bool {
+    pub fn has_shared_socket(&self) -> bool {
         self.shared
     }
 
     // ---- What happens ----
 
     /// It has a list of servers.
-    pub fn listed(&mut self) {
+    pub fn list_received(&mut self) {
         if self.doing == Phase::Starting {
             self.doing = Phase::Serving;
         }
@@ -98,7 +98,7 @@
 
     /// It is to end, whatever it was doing. To be told so again changes nothing.
     pub fn stop(&mut self, now: Instant) {
-        if self.stopping().is_none() {
+        if self.stopping_since().is_none() {
             self.doing = Phase::Stopping(now);
         }
     }
@@ -106,7 +106,7 @@
     // ---- What follows ----
 
     /// Since when it is to end.
-    pub fn stopping(&self) -> Option<Instant> {
+    pub fn stopping_since(&self) -> Option<Instant> {
         match self.doing {
             Phase::Stopping(since) => Some(since),
             _ => None,
@@ -114,7 +114,7 @@
     }
 
     /// Since when it has been drained.
-    pub fn draining(&self) -> Option<Instant> {
+    pub fn draining_since(&self) -> Option<Instant> {
         match self.doing {
             Phase::Draining(since) => Some(since),
             _ => None,
@@ -122,18 +122,18 @@
     }
 
     /// Does this process take clients?
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.doing == Phase::Serving
     }
 
     /// Is `/ready` yes? Whoever asks means the node: where the next process accepts from the same socket the node is as
     /// ready as before, though this process ends.
-    pub fn ready(&self) -> bool {
-        self.takes_clients() || (self.shared && self.stopping().is_some())
+    pub fn is_ready(&self) -> bool {
+        self.is_serving() || (self.shared && self.stopping_since().is_some())
     }
 
     /// Do answers close their connections?
-    pub fn closes_answers(&self, now: Instant) -> bool {
+    pub fn closes_after_response(&self, now: Instant) -> bool {
         match self.doing {
             Phase::Starting | Phase::Serving => false,
             Phase::Draining(since) => now >= since + ANSWERS_CLOSE,
@@ -143,7 +143,7 @@
     }
 
     /// How long a connection must have been idle to be closed now, where that is sooner than it is at other times.
-    pub fn closes_idle(&self, now: Instant) -> Option<Duration> {
+    pub fn idle_close_after(&self, now: Instant) -> Option<Duration> {
         let (since, from, late) = match self.doing {
             Phase::Starting | Phase::Serving => return None,
             Phase::Draining(since) => (since, IDLE_CLOSE, IDLE_LATE),
@@ -163,26 +163,26 @@
     /// one connection that is refused makes a front take the node for gone, with all that are open. It also spares the
     /// others a rush of new connections when they are fewer. It does harm where whoever waits for the end of this process is
     /// in a hurry, or where a node is stopped because it serves badly.
-    pub fn accepts(&self, now: Instant, clients: usize) -> bool {
+    pub fn accepts_connections(&self, now: Instant, clients: usize) -> bool {
         let Phase::Stopping(since) = self.doing else { return true };
         let early = now.saturating_duration_since(since) < ACCEPT;
         !self.shared && (early || (clients > 0 && !self.killed_within(now, CLOSE_BEFORE)))
     }
 
     /// Is what is still open failed? SIGKILL is near, and an answer is better than a reset.
-    pub fn fails_open(&self, now: Instant) -> bool {
+    pub fn fails_open_requests(&self, now: Instant) -> bool {
         self.killed_within(now, FAIL_BEFORE)
     }
 
     /// Does it end, with whatever is left?
-    pub fn over(&self, now: Instant) -> bool {
+    pub fn must_exit(&self, now: Instant) -> bool {
         self.killed_within(now, END_BEFORE)
     }
 
     /// May SIGKILL come within so long?
     fn killed_within(&self, now: Instant, before: Duration) -> bool {
         let after = self.patience.saturating_sub(before);
-        self.stopping().is_some_and(|since| now.saturating_duration_since(since) >= after)
+        self.stopping_since().is_some_and(|since| now.saturating_duration_since(since) >= after)
     }
 }
 
--- a/crates/core/src/log_limiter.rs
+++ b/crates/core/src/log_limiter.rs
@@ -14,7 +14,7 @@
 
 impl LogLimiter {
     /// Calls `log` while this second has room for a line.
-    pub fn line(&self, log: impl FnOnce()) {
+    pub fn log(&self, log: impl FnOnce()) {
         match self.left.get() {
             0 => self.dropped.set(self.dropped.get() + 1),
             left => {
@@ -25,7 +25,7 @@
     }
 
     /// A new second begins; gives how many lines the old one had no room for.
-    pub fn renew(&self) -> u64 {
+    pub fn start_second(&self) -> u64 {
         self.left.set(PER_SECOND);
         self.dropped.take()
     }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -42,17 +42,17 @@
     }
 
     /// A proper request of a class, whose end is to be counted.
-    pub fn request(&self, class: usize) -> InProgress {
+    pub fn start_request(&self, class: usize) -> InProgress {
         InProgress { figures: self.clone(), class, taken: false }
     }
 
     /// An attempt's last byte has been written.
-    pub fn tried(&self) {
+    pub fn count_upstream_try(&self) {
         self.0.upstream_tries.fetch_add(1, Relaxed);
     }
 
     /// How many requests of a class ended so.
-    pub fn ended(&self, class: usize, end: RequestOutcome) -> u64 {
+    pub fn requests_ended(&self, class: usize, end: RequestOutcome) -> u64 {
         self.0.ends.get(class).map_or(0, |ends| ends[end as usize].load(Relaxed))
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// The figures as lines: counts as `name:value|c`, what is so at the moment as `name:value|g`.
-    pub fn lines(&self, classes: &[String], known_servers: usize, skipped_servers: usize) -> String {
+    pub fn render(&self, classes: &[String], known_servers: usize, skipped_servers: usize) -> String {
         let mut lines = String::new();
         // Writing to a string can't fail.
         for (end, name) in ENDS {
             for (n, class) in classes.iter().enumerate() {
-                let _ = writeln!(lines, "app.{name}.{class}:{}|c", self.ended(n, end));
+                let _ = writeln!(lines, "app.{name}.{class}:{}|c", self.requests_ended(n, end));
             }
         }
         let _ = writeln!(lines, "app.upstream_tries:{}|c", self.upstream_tries());
@@ -93,14 +93,14 @@
 
 impl InProgress {
     /// Its last byte has come.
-    pub fn taken(&mut self) {
+    pub fn mark_received(&mut self) {
         if !std::mem::replace(&mut self.taken, true) {
             self.figures.0.in_progress.fetch_add(1, Relaxed);
         }
     }
 
     /// It has ended: the one place where that is counted.
-    pub fn end(self, end: RequestOutcome) {
+    pub fn finish(self, end: RequestOutcome) {
         if let Some(ends) = self.figures.0.ends.get(self.class) {
             ends[end as usize].fetch_add(1, Relaxed);
         }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -44,7 +44,7 @@
     /// The most requests that may be open.
     pub open_cap: usize,
     /// The list as last had, perhaps out of date.
-    pub known: Option<ServerListing>,
+    pub saved_list: Option<ServerListing>,
     /// What it shares with the process's other workers.
     pub process: Process,
     /// What status lines begin with: which worker this is, where there are several.
@@ -52,7 +52,7 @@
     /// Where attempts that may not run twice are noted before they are made; `None` where they are not.
     pub ledger: Option<Ledger>,
     /// What the fleet says of requests; `None` where the node stands alone.
-    pub gate: Option<Arc<dyn AdmissionControl>>,
+    pub admission: Option<Arc<dyn AdmissionControl>>,
 }
 
 /// A request that was taken: its number, and where its final answer comes from.
@@ -63,7 +63,7 @@
     events: VecDeque<(For, Event)>,
     feeding: bool,
     pub(crate) table: Table<C::Request, C::Reply>,
-    pub(crate) members: ServerTable,
+    pub(crate) servers: ServerTable,
     /// When the policy wants to be woken.
     timer: Option<Instant>,
     /// The call to the list's source that is out.
@@ -75,13 +75,13 @@
 
 /// One node: a policy, its requests and its servers.
 pub struct Core<C: UpstreamTransport> {
-    carrier: C,
+    transport: C,
     pub(crate) classes: Vec<String>,
     pub(crate) tenants: Vec<String>,
     /// What each class may do without the ledger.
     pub(crate) rights: RefCell<Vec<Right>>,
     pub(crate) ledger: Option<Ledger>,
-    gate: Option<Arc<dyn AdmissionControl>>,
+    admission: Option<Arc<dyn AdmissionControl>>,
     /// Those of the start, for versions that have none of their own.
     settings: Settings,
     seed: u64,
@@ -128,20 +128,20 @@
             epochs: Epochs::new(balancer),
             events: VecDeque::new(),
             feeding: false,
-            table: Table::new(setup.process.ids.clone()),
-            members: ServerTable::default(),
+            table: Table::new(setup.process.open_ids.clone()),
+            servers: ServerTable::default(),
             timer: None,
             call: None,
             counts: Counts::default(),
             told: None,
         };
         let core = Rc::new(Self {
-            carrier,
+            transport: carrier,
             classes: setup.classes,
             tenants: setup.tenants,
             rights: RefCell::new(rights),
             ledger: setup.ledger,
-            gate: setup.gate,
+            admission: setup.admission,
             settings,
             seed: setup.seed,
             open_cap: setup.open_cap,
@@ -154,14 +154,15 @@
             state: RefCell::new(state),
             rearmed: Notify::new(),
         });
-        let saved = setup.known.unwrap_or(ServerListing { version: 0, whole: true, members: Vec::new() });
+        let saved =
+            setup.saved_list.unwrap_or(ServerListing { version: 0, complete: true, servers: Vec::new() });
         core.take_list(saved, true);
         Ok(core)
     }
 
     /// What moves its bytes.
-    pub fn carrier(&self) -> &C {
-        &self.carrier
+    pub fn transport(&self) -> &C {
+        &self.transport
     }
 
     /// Runs the policy's timer; never ends.
@@ -188,21 +189,21 @@
 
     /// How many servers the list names, and how many of them are avoided now: those that drain, and those that the policy
     /// has ejected.
-    pub fn servers(&self) -> (usize, usize) {
+    pub fn server_counts(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let sent_to = state.epochs.newest().status().servers.iter().filter(|s| !s.ejected).count();
-        let known = state.members.len();
+        let known = state.servers.len();
         (known, known.saturating_sub(sent_to))
     }
 
     /// Can it serve? Once the list's source has answered, or soon with a saved list.
     pub fn has_list(&self) -> bool {
         let late = self.clock.age() >= READY_WITHIN;
-        self.informed.get() || (late && self.state.borrow().members.len() > 0)
+        self.informed.get() || (late && self.state.borrow().servers.len() > 0)
     }
 
     /// Waits until it can serve, and says so to the process.
-    pub async fn begin(&self) {
+    pub async fn wait_for_list(&self) {
         let heard = self.heard.notified();
         if !self.informed.get() {
             let left = READY_WITHIN.saturating_sub(self.clock.age());
@@ -217,13 +218,13 @@
                 () = by_saved_list => {}
             }
         }
-        self.process.change(Lifecycle::listed);
+        self.process.update(Lifecycle::list_received);
     }
 
     /// Logs what was counted since the last time, and what the policy holds: one line, where anything happened.
     /// `dropped` counts lines that others had no room for.
     pub fn log_status(&self, dropped: u64) {
-        let dropped = dropped + self.sample.renew();
+        let dropped = dropped + self.sample.start_second();
         let state = &mut *self.state.borrow_mut();
         let Counts { served, refused, failed, gone, attempts } = std::mem::take(&mut state.counts);
         let status = state.epochs.newest().status();
@@ -231,9 +232,9 @@
         if served + refused + failed + gone == 0 && status.open == 0 && quiet {
             return;
         }
-        let servers = status::servers(&status.servers, |server| state.members.name(server));
+        let servers = status::servers(&status.servers, |server| state.servers.name(server));
         let (held, open, fleet, budget) = (status.held, status.open, status.fleet, status.retry_budget);
-        let (connections, label) = (self.carrier.connections(), &self.label);
+        let (connections, label) = (self.transport.connection_count(), &self.label);
         let ledger = self.ledger.as_ref().map_or(String::new(), |ledger| format!("; {}", ledger.line()));
         let list =
             if state.epochs.newest().list_out_of_date() { "; list out of date, nothing sent" } else { "" };
@@ -280,17 +281,17 @@
     ///
     /// # Errors
     /// Why it is not taken, and what its client is to be told at once.
-    pub fn request(
+    pub fn submit(
         self: &Rc<Self>,
         asked: ClientRequest<C::Request>,
         deadline: Instant,
     ) -> Result<AcceptedRequest<C::Reply>, Rejection> {
         self.admit(&asked, deadline)?;
         let (answer, answered) = oneshot::channel();
-        let (class, tenant, once) = (asked.class, asked.tenant, asked.request.once());
+        let (class, tenant, once) = (asked.class, asked.tenant, asked.request.is_single_use());
         let entered = self.state.borrow_mut().table.enter(asked, deadline, answer);
         let id = entered.ok_or(Rejection::DuplicateId)?;
-        if let Some(gate) = self.gate.clone() {
+        if let Some(gate) = self.admission.clone() {
             self.pass_gate(gate.as_ref(), id)?;
         }
         self.feed(Event::Request { id, class, tenant, deadline: self.clock.at(deadline), once });
@@ -303,7 +304,7 @@
             let state = self.state.borrow();
             let open = state.table.get(id).ok_or(Rejection::DuplicateId)?;
             let (class, tenant) = (open.class, open.tenant);
-            gate.rule(&AdmissionRequest { id: &open.id, class, tenant, key: open.request.key() })
+            gate.decide(&AdmissionRequest { id: &open.id, class, tenant, key: open.request.key() })
         };
         let turned = match ruling {
             AdmissionDecision::Admit { epoch, at } => {
@@ -360,25 +361,25 @@
             }
         }
         tracing::info!(target: "fleet", "requests are decided under version {epoch}, by settings of its own");
-        let entries = self.state.borrow().members.entries();
+        let entries = self.state.borrow().servers.entries();
         let saved = !self.informed.get();
         self.state.borrow_mut().events.push_back((For::Newest, Event::List { entries, saved }));
         self.feed(Event::Timer);
     }
 
     /// What the fleet says, where this node is part of one.
-    pub fn gate(&self) -> Option<&dyn AdmissionControl> {
-        self.gate.as_deref()
+    pub fn admission(&self) -> Option<&dyn AdmissionControl> {
+        self.admission.as_deref()
     }
 
     /// Does the fleet change its policy, so that a request waits a moment before it is handed in?
-    pub fn fleet_holds(&self) -> bool {
-        self.gate.as_ref().is_some_and(|gate| gate.holds())
+    pub fn fleet_is_changing_policy(&self) -> bool {
+        self.admission.as_ref().is_some_and(|gate| gate.is_changing_policy())
     }
 
     /// May this node say that it is ready, as far as the fleet goes?
-    pub fn fleet_ready(&self) -> bool {
-        self.gate.as_ref().is_none_or(|gate| gate.ready())
+    pub fn fleet_is_ready(&self) -> bool {
+        self.admission.as_ref().is_none_or(|gate| gate.is_ready())
     }
 
     /// How many requests await their final answer.
@@ -388,7 +389,7 @@
 
     /// Answers all that is still open: the node ends, and an answer is better than a reset. What never went out is refused, as
     /// to ask for it again is harmless.
-    pub fn fail_open(self: &Rc<Self>) {
+    pub fn fail_open_requests(self: &Rc<Self>) {
         let open = self.state.borrow().table.numbers();
         for id in open {
             let answer = {
@@ -401,12 +402,12 @@
     }
 
     /// May one more request be taken in?
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.state.borrow().table.len() < self.open_cap
     }
 
     /// The policy's word on when to come back, for a request of this class that it is not shown.
-    pub fn stay_away(&self, class: usize) -> Millis {
+    pub fn retry_after(&self, class: usize) -> Millis {
         self.state.borrow().epochs.newest().stay_away(class)
     }
 
@@ -420,7 +421,7 @@
             if state.table.close(id).is_some() {
                 state.counts.gone += 1;
                 self.note_told(&state, id, Told::Abandoned);
-                self.sample.line(|| self.tell(&state, id, "client gone"));
+                self.sample.log(|| self.tell(&state, id, "client gone"));
             }
         }
         self.feed(Event::ClientGone(id));
@@ -433,7 +434,7 @@
         attempt: usize,
         ended: AttemptResult<C::Reply>,
     ) {
-        let AttemptResult { outcome, reply, kept, took } = ended;
+        let AttemptResult { outcome, reply, idle_before: kept, took } = ended;
         let event = {
             let mut state = self.state.borrow_mut();
             let Some((_, server, took)) = self.end(&mut state, id, attempt, outcome, (kept, took)) else {
@@ -501,9 +502,9 @@
         let now = Instant::now();
         let end = now + span(timeout.unwrap_or(f64::INFINITY));
         let attempt = open.attempts.len();
-        let to = Target { id, server, end, by: open.known_until(self.right(open.class)) };
+        let to = Target { id, server, deadline: end, send_by: open.known_until(self.right(open.class)) };
         let (core, request) = (self.clone(), open.request.clone());
-        let may_go_on = self.gate.as_ref().is_none_or(|gate| gate.may_go_on(open.epoch, open.taken));
+        let may_go_on = self.admission.as_ref().is_none_or(|gate| gate.may_send(open.epoch, open.taken));
         let (task, intent) = if !may_go_on {
             (spawn_local(async move { core.not_noted(id, attempt) }), None)
         } else if self.ledger.is_none() || !self.right(open.class).needs_intent() {
@@ -559,8 +560,8 @@
 
     pub(crate) fn give(&self, state: &mut State<C>, id: RequestId, answer: Answer<C::Reply>) {
         let Some(to) = state.table.close(id) else { return };
-        if let (Some(gate), Some(open)) = (&self.gate, state.table.get(id)) {
-            gate.answered(open.epoch, &open.id);
+        if let (Some(gate), Some(open)) = (&self.admission, state.table.get(id)) {
+            gate.record_answer(open.epoch, &open.id);
         }
         state.counts.answered(&answer);
         self.note_told(state, id, answer.told());
@@ -568,7 +569,7 @@
         // Of what was served at the first attempt some are told, to compare the others with.
         let plain = matches!(answer, Answer::Served(_)) && attempts == 1;
         if !plain || state.counts.served % SERVED_TOLD == 1 {
-            self.sample.line(|| self.tell(state, id, answer.word()));
+            self.sample.log(|| self.tell(state, id, answer.word()));
         }
         // A client that has just left needs no answer.
         let _ = to.send(answer);
@@ -576,7 +577,7 @@
 
     fn tell(&self, state: &State<C>, id: RequestId, end: &str) {
         if let Some(open) = state.table.get(id) {
-            let line = story(open, &state.members, (&self.classes, &self.tenants), end);
+            let line = story(open, &state.servers, (&self.classes, &self.tenants), end);
             tracing::info!(target: "request", "{line}");
         }
     }
@@ -595,7 +596,7 @@
     fn subscribe(self: &Rc<Self>) {
         let core = self.clone();
         let call = spawn_local(async move {
-            let ListStreamEnd { failure, words } = C::follow(core.clone()).await;
+            let ListStreamEnd { failure, message: words } = C::follow_list(core.clone()).await;
             tracing::info!(target: "list", "{words}");
             core.feed(Event::ListFailed(failure));
         });
@@ -607,7 +608,7 @@
 
     /// The list's source is elsewhere from now on, and is asked there at once. The list is kept with its version: all nodes
     /// share one service, and at another address it goes on from there. Ending the old call first keeps its late lines out.
-    pub fn list_moved(self: &Rc<Self>) {
+    pub fn list_source_moved(self: &Rc<Self>) {
         if let Some(old) = self.state.borrow_mut().call.take() {
             old.abort();
         }
@@ -615,18 +616,18 @@
     }
 
     /// How long the answer to a call for the list may take to begin.
-    pub fn list_patience(&self) -> Duration {
+    pub fn list_timeout(&self) -> Duration {
         span(self.state.borrow().epochs.newest().list_patience())
     }
 
     /// The version to follow from; `None` where the whole list is needed first.
-    pub fn version(&self) -> Option<u64> {
-        self.state.borrow().members.version
+    pub fn list_version(&self) -> Option<u64> {
+        self.state.borrow().servers.version
     }
 
     /// What was read last can't be trusted to follow on what the node has.
-    pub fn forget_version(&self) {
-        self.state.borrow_mut().members.version = None;
+    pub fn reset_list_version(&self) {
+        self.state.borrow_mut().servers.version = None;
     }
 
     /// Notes that the list's source was heard.
@@ -637,37 +638,37 @@
     }
 
     /// The source has answered a call, with no news: to be told once a call, as the policy waits for that.
-    pub fn list_alive(self: &Rc<Self>) {
+    pub fn list_unchanged(self: &Rc<Self>) {
         self.source_heard();
         self.feed(Event::ListChange(Vec::new()));
     }
 
     /// The source has brought a list, or changes.
-    pub fn listed(self: &Rc<Self>, listing: ServerListing) {
+    pub fn list_received(self: &Rc<Self>, listing: ServerListing) {
         self.source_heard();
         self.take_list(listing, false);
     }
 
     fn take_list(self: &Rc<Self>, listing: ServerListing, saved: bool) {
-        let whole = listing.whole;
-        let (entries, void) = self.state.borrow_mut().members.take(listing, |unix| self.clock.at_unix(unix));
+        let whole = listing.complete;
+        let (entries, void) = self.state.borrow_mut().servers.take(listing, |unix| self.clock.at_unix(unix));
         for server in void {
-            self.carrier.forget(server);
+            self.transport.drop_connections(server);
         }
         self.feed(if whole { Event::List { entries, saved } } else { Event::ListChange(entries) });
     }
 
     /// Where a server listens and which of its lives this is, if something new may be sent to it.
-    pub fn place(&self, server: ServerId) -> Option<Endpoint> {
-        self.state.borrow().members.place(server)
+    pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
+        self.state.borrow().servers.endpoint(server)
     }
 
     /// The same for an attempt that has not been written yet; `None` also where its client has gone or been answered, as not
     /// every deployment lets attempts be called off, and where it comes too late.
-    pub fn place_for(&self, to: &Target) -> Option<Endpoint> {
+    pub fn endpoint_for_attempt(&self, to: &Target) -> Option<Endpoint> {
         let state = self.state.borrow();
         let owed = state.table.get(to.id).is_some_and(|open| open.answer.is_some());
-        let late = to.by.is_some_and(|by| Instant::now() >= by);
-        state.members.place(to.server).filter(|_| owed && !late)
+        let late = to.send_by.is_some_and(|by| Instant::now() >= by);
+        state.servers.endpoint(to.server).filter(|_| owed && !late)
     }
 }
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -12,39 +12,43 @@
 #[derive(Clone, Debug)]
 pub struct Process {
     /// The ids that are open.
-    pub ids: OpenIds,
+    pub open_ids: OpenIds,
     /// What it has done since its start.
-    pub figures: Metrics,
-    life: watch::Sender<Lifecycle>,
+    pub metrics: Metrics,
+    lifecycle: watch::Sender<Lifecycle>,
 }
 
 impl Process {
     /// A process at its start, with so many classes of requests.
     pub fn new(classes: usize, life: Lifecycle) -> Self {
-        Self { ids: OpenIds::default(), figures: Metrics::new(classes), life: watch::Sender::new(life) }
+        Self {
+            open_ids: OpenIds::default(),
+            metrics: Metrics::new(classes),
+            lifecycle: watch::Sender::new(life),
+        }
     }
 
     /// What it is doing.
-    pub fn life(&self) -> Lifecycle {
-        *self.life.borrow()
+    pub fn lifecycle(&self) -> Lifecycle {
+        *self.lifecycle.borrow()
     }
 
     /// Something has happened; gives what `event` gives.
-    pub fn change<T>(&self, event: impl FnOnce(&mut Lifecycle) -> T) -> T {
+    pub fn update<T>(&self, event: impl FnOnce(&mut Lifecycle) -> T) -> T {
         let mut given = None;
-        self.life.send_modify(|life| given = Some(event(life)));
+        self.lifecycle.send_modify(|life| given = Some(event(life)));
         // The closure is called once, before that returns.
         given.expect("it was called")
     }
 
     /// It is to end.
     pub fn stop(&self) {
-        self.change(|life| life.stop(Instant::now()));
+        self.update(|life| life.stop(Instant::now()));
     }
 
     /// Waits until it is to end, or has been told so before.
     pub async fn stopped(&self) {
         // This side keeps a sender, so the wait ends with the word alone.
-        let _ = self.life.subscribe().wait_for(|life| life.stopping().is_some()).await;
+        let _ = self.lifecycle.subscribe().wait_for(|life| life.stopping_since().is_some()).await;
     }
 }
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -11,9 +11,9 @@
     /// The list's version.
     pub version: u64,
     /// The whole list, not just changes.
-    pub whole: bool,
+    pub complete: bool,
     /// The entries.
-    pub members: Vec<ListedServer>,
+    pub servers: Vec<ListedServer>,
 }
 
 /// One server of a listing.
@@ -22,7 +22,7 @@
     /// Its name, the same at every node.
     pub name: String,
     /// Where it listens; one that is gone may have none.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: String,
     /// Its kind of machine.
@@ -34,15 +34,15 @@
     /// Its weight.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
-    pub born_ms: Millis,
+    pub start_ms: Millis,
 }
 
 /// One life of a server: a connection to another one is of no use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
     /// Where it listens.
-    pub dial: SocketAddr,
-    born_ms: Millis,
+    pub address: SocketAddr,
+    start_ms: Millis,
 }
 
 struct Known {
@@ -85,12 +85,12 @@
     }
 
     /// When a server last started, Unix time in milliseconds; 0 for long ago.
-    pub(crate) fn born_ms(&self, server: ServerId) -> Millis {
-        self.known.get(&server).map_or(0.0, |k| k.place.born_ms)
+    pub(crate) fn start_ms(&self, server: ServerId) -> Millis {
+        self.known.get(&server).map_or(0.0, |k| k.place.start_ms)
     }
 
     /// Where a server listens, if something new may be sent to it.
-    pub(crate) fn place(&self, server: ServerId) -> Option<Endpoint> {
+    pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         self.known.get(&server).filter(|k| k.state == Listed::Up).map(|k| k.place)
     }
 
@@ -116,7 +116,7 @@
         listing: ServerListing,
         started: impl Fn(Millis) -> Option<Millis>,
     ) -> (Vec<Entry>, Vec<ServerId>) {
-        if listing.whole {
+        if listing.complete {
             for known in self.known.values_mut() {
                 known.state = Listed::Gone;
             }
@@ -124,8 +124,8 @@
         self.version = Some(listing.version);
         let mut void = Vec::new();
         let entries: Vec<Entry> =
-            listing.members.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
-        if listing.whole {
+            listing.servers.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
+        if listing.complete {
             void.extend(
                 self.known.iter().filter(|(_, k)| k.state == Listed::Gone).map(|(server, _)| *server),
             );
@@ -156,17 +156,17 @@
             tracing::warn!(target: "list", "{} and {} have one number, left out", other.name, member.name);
             return None;
         }
-        let dial = member.dial.or(before.map(|b| b.place.dial));
-        if before.is_some_and(|b| b.place.born_ms != member.born_ms || Some(b.place.dial) != dial) {
+        let dial = member.address.or(before.map(|b| b.place.address));
+        if before.is_some_and(|b| b.place.start_ms != member.start_ms || Some(b.place.address) != dial) {
             // Its connections ended with the old process.
             void.push(server);
         }
-        let same_life = before.filter(|b| b.place.born_ms == member.born_ms);
-        let started = same_life.map_or_else(|| started(member.born_ms), |b| b.started);
+        let same_life = before.filter(|b| b.place.start_ms == member.start_ms);
+        let started = same_life.map_or_else(|| started(member.start_ms), |b| b.started);
         let (zone, kind) = (stable_hash(&member.zone), stable_hash(&member.kind));
-        let ListedServer { name, cell, state, weight, born_ms, .. } = member;
+        let ListedServer { name, cell, state, weight, start_ms: born_ms, .. } = member;
         if let Some(dial) = dial {
-            let place = Endpoint { dial, born_ms };
+            let place = Endpoint { address: dial, start_ms: born_ms };
             self.known.insert(server, Known { name, place, state, started, zone, cell, kind, weight });
         }
         Some(Entry { server, zone, cell, kind, state, weight, started })
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -3,11 +3,20 @@
 fn member(name: &str, port: u16, state: Listed, born_ms: Millis) -> ListedServer {
     let dial = Some(SocketAddr::from(([127, 0, 0, 1], port)));
     let (zone, kind) = ("a".to_string(), "m".to_string());
-    ListedServer { name: name.into(), dial, zone, kind, cell: 0, state, weight: 1.0, born_ms }
+    ListedServer {
+        name: name.into(),
+        address: dial,
+        zone,
+        kind,
+        cell: 0,
+        state,
+        weight: 1.0,
+        start_ms: born_ms,
+    }
 }
 
 fn take(members: &mut ServerTable, whole: bool, entries: Vec<ListedServer>) -> Vec<ServerId> {
-    members.take(ServerListing { version: 1, whole, members: entries }, |_| None).1
+    members.take(ServerListing { version: 1, complete: whole, servers: entries }, |_| None).1
 }
 
 #[test]
@@ -15,11 +24,11 @@
     let mut members = ServerTable::default();
     let one = ServerId(stable_hash("one"));
     assert!(take(&mut members, true, vec![member("one", 1, Listed::Up, 0.0)]).is_empty());
-    let first = members.place(one).expect("it is up");
+    let first = members.endpoint(one).expect("it is up");
     assert_eq!(take(&mut members, false, vec![member("one", 1, Listed::Up, 5.0)]), [one]);
-    assert_ne!(members.place(one), Some(first), "another life, though the address is the same");
+    assert_ne!(members.endpoint(one), Some(first), "another life, though the address is the same");
     assert!(take(&mut members, false, vec![member("one", 1, Listed::Draining, 5.0)]).is_empty());
-    assert_eq!(members.place(one), None);
+    assert_eq!(members.endpoint(one), None);
     assert_eq!(take(&mut members, true, vec![]), [one], "what a whole list leaves out is gone");
     assert_eq!(members.len(), 0);
 }
@@ -34,9 +43,9 @@
     let gone = member("one", 1, Listed::Gone, 0.0);
     let void = take(&mut members, false, vec![gone.clone(), member("one", 2, Listed::Up, 5.0)]);
     assert!(void.contains(&one), "the old process's connections are void");
-    assert_eq!(members.place(one).map(|p| p.dial.port()), Some(2));
+    assert_eq!(members.endpoint(one).map(|p| p.address.port()), Some(2));
     take(&mut members, false, vec![member("one", 2, Listed::Up, 5.0), gone]);
-    assert_eq!((members.place(one), members.len()), (None, 0));
+    assert_eq!((members.endpoint(one), members.len()), (None, 0));
 }
 
 #[test]
@@ -46,7 +55,7 @@
     assert!(take(&mut members, true, all.collect()).is_empty());
     let gone = ServerId(stable_hash("box-7"));
     assert_eq!(take(&mut members, false, vec![member("box-7", 0, Listed::Gone, 0.0)]), [gone, gone]);
-    assert_eq!((members.known.len(), members.place(gone)), (99, None));
+    assert_eq!((members.known.len(), members.endpoint(gone)), (99, None));
     assert!(
         take(&mut members, false, vec![member("box-7", 0, Listed::Gone, 0.0)]).len() <= 1,
         "twice is as once"
@@ -61,8 +70,11 @@
 fn a_life_has_one_start_however_often_it_is_listed() {
     let mut members = ServerTable::default();
     let mut listed_at = |now: Millis, born_ms: Millis| {
-        let listing =
-            ServerListing { version: 1, whole: true, members: vec![member("one", 1, Listed::Up, born_ms)] };
+        let listing = ServerListing {
+            version: 1,
+            complete: true,
+            servers: vec![member("one", 1, Listed::Up, born_ms)],
+        };
         members.take(listing, |_| Some(now)).0[0].started
     };
     assert_eq!(
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -23,7 +23,7 @@
     }
 
     /// Can it be sent only once, as it is passed on while it comes?
-    fn once(&self) -> bool {
+    fn is_single_use(&self) -> bool {
         false
     }
 }
@@ -36,9 +36,9 @@
     /// The server.
     pub server: ServerId,
     /// When the attempt is given up.
-    pub end: Instant,
+    pub deadline: Instant,
     /// By when it must be written: the servers may not know its key any more from then on.
-    pub by: Option<Instant>,
+    pub send_by: Option<Instant>,
 }
 
 /// How an attempt ended.
@@ -49,7 +49,7 @@
     /// The server's answer, where the outcome is [`Outcome::Done`].
     pub reply: Option<Reply>,
     /// For how long its connection had been idle, where it was a kept one; for the log.
-    pub kept: Option<Duration>,
+    pub idle_before: Option<Duration>,
     /// How long the server took, where that is not since the attempt began.
     pub took: Option<Duration>,
 }
@@ -60,7 +60,7 @@
     /// What the policy is told of it.
     pub failure: ListFailure,
     /// What the log is told.
-    pub words: String,
+    pub message: String,
 }
 
 /// What moves bytes for a core: attempts, probes, and the list of servers.
@@ -72,7 +72,7 @@
     /// What comes back.
     type Reply: 'static;
 
-    /// Makes one attempt. It must ask [`Core::place_for`] when it begins, and again once its connection stands: a drain
+    /// Makes one attempt. It must ask [`Core::endpoint_for_attempt`] when it begins, and again once its connection stands: a drain
     /// holds from the moment it is told, and a client may leave meanwhile.
     fn attempt(
         core: Rc<Core<Self>>,
@@ -83,13 +83,13 @@
     /// Probes a server over a connection of its own.
     fn probe(core: Rc<Core<Self>>, server: ServerId) -> impl Future<Output = Outcome> + 'static;
 
-    /// Follows the list of servers from [`Core::version`] on, handing what it brings to [`Core::listed`] and
-    /// [`Core::list_alive`]; ends when the source does.
-    fn follow(core: Rc<Core<Self>>) -> impl Future<Output = ListStreamEnd> + 'static;
+    /// Follows the list of servers from [`Core::list_version`] on, handing what it brings to [`Core::list_received`] and
+    /// [`Core::list_unchanged`]; ends when the source does.
+    fn follow_list(core: Rc<Core<Self>>) -> impl Future<Output = ListStreamEnd> + 'static;
 
     /// A server's process has ended or moved: what is kept of its connections is void.
-    fn forget(&self, server: ServerId);
+    fn drop_connections(&self, server: ServerId);
 
     /// How many connections to servers there are, for the log.
-    fn connections(&self) -> usize;
+    fn connection_count(&self) -> usize;
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -25,23 +25,23 @@
 }
 
 impl AdmissionControl for Scripted {
-    fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
+    fn decide(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
         assert_eq!(ask.key, Some(&b"k"[..]));
         *self.ruling.lock().expect("no panic")
     }
-    fn may_go_on(&self, _: u64, _: Duration) -> bool {
-        self.ready()
+    fn may_send(&self, _: u64, _: Duration) -> bool {
+        self.is_ready()
     }
-    fn holds(&self) -> bool {
+    fn is_changing_policy(&self) -> bool {
         false
     }
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         !matches!(*self.ruling.lock().expect("no panic"), AdmissionDecision::NoLease { .. })
     }
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>> {
         (epoch >= 2).then(|| self.narrowed.clone())
     }
-    fn answered(&self, epoch: u64, id: &str) {
+    fn record_answer(&self, epoch: u64, id: &str) {
         self.answered.lock().expect("no panic").push((epoch, id.to_string()));
     }
 }
@@ -61,7 +61,7 @@
             narrowed: Arc::new(narrowed),
             answered: Mutex::default(),
         });
-        let setup = Setup { gate: Some(gate.clone()), ..setup(settings(20_000.0)) };
+        let setup = Setup { admission: Some(gate.clone()), ..setup(settings(20_000.0)) };
         Self { core: Core::new(setup, Boxes::default()).expect("good settings"), gate }
     }
 
@@ -71,7 +71,7 @@
 
     fn ask(&self, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
         let asked = ClientRequest { id: id.into(), class: LOOK, tenant: None, request: Request("k") };
-        let (_, answered) = self.core.request(asked, Instant::now() + Duration::from_secs(60))?;
+        let (_, answered) = self.core.submit(asked, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
 }
@@ -81,7 +81,7 @@
     run(async {
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
-        let boxes = site.core.carrier();
+        let boxes = site.core.transport();
         boxes.lasts.set(Duration::from_millis(30));
         // Each first attempt of the two breaks after it may have run: what is safe runs again, what may run once does not.
         boxes.outcomes.borrow_mut().extend([Outcome::Reset, Outcome::Reset]);
@@ -112,11 +112,11 @@
         tokio::task::spawn_local(site.core.clone().run_timer());
         site.rule(AdmissionDecision::OverQuota { retry_after: 250.0 });
         assert_eq!(site.ask("a").err(), Some(Rejection::OverQuota(250.0)));
-        assert!(site.core.fleet_ready());
+        assert!(site.core.fleet_is_ready());
         site.rule(AdmissionDecision::NoLease { retry_after: 1000.0 });
         assert_eq!(site.ask("a").err(), Some(Rejection::Refused(1000.0)));
-        assert!(!site.core.fleet_ready() && site.core.open_requests() == 0);
-        assert!(site.core.carrier().sent.borrow().is_empty());
+        assert!(!site.core.fleet_is_ready() && site.core.open_requests() == 0);
+        assert!(site.core.transport().sent.borrow().is_empty());
         // Its id is free, and an open one is not asked about twice.
         site.rule(take(1));
         let first = site.ask("a").expect("its id is free again");
@@ -130,7 +130,7 @@
     run(async {
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
-        let boxes = site.core.carrier();
+        let boxes = site.core.transport();
         boxes.lasts.set(Duration::from_millis(30));
         // Neither ever ran at its server; each would be tried elsewhere.
         boxes.outcomes.borrow_mut().extend([Outcome::Full, Outcome::Full]);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -43,24 +43,29 @@
     type Reply = ();
 
     async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> AttemptResult<()> {
-        let boxes = core.carrier();
+        let boxes = core.transport();
         boxes.sent.borrow_mut().push((Instant::now(), to.server));
         let outcome = boxes.outcomes.borrow_mut().pop().unwrap_or(Outcome::Done);
         tokio::time::sleep(boxes.lasts.get()).await;
-        AttemptResult { outcome, reply: (outcome == Outcome::Done).then_some(()), kept: None, took: None }
+        AttemptResult {
+            outcome,
+            reply: (outcome == Outcome::Done).then_some(()),
+            idle_before: None,
+            took: None,
+        }
     }
 
     async fn probe(_: Rc<Core<Self>>, _: ServerId) -> Outcome {
         Outcome::Done
     }
 
-    async fn follow(_: Rc<Core<Self>>) -> ListStreamEnd {
+    async fn follow_list(_: Rc<Core<Self>>) -> ListStreamEnd {
         std::future::pending().await
     }
 
-    fn forget(&self, _: ServerId) {}
+    fn drop_connections(&self, _: ServerId) {}
 
-    fn connections(&self) -> usize {
+    fn connection_count(&self) -> usize {
         0
     }
 }
@@ -99,13 +104,13 @@
 pub fn setup(settings: Settings) -> Setup {
     let member = |n: u16| ListedServer {
         name: format!("app-{n}"),
-        dial: Some(([127, 0, 0, 1], 1 + n).into()),
+        address: Some(([127, 0, 0, 1], 1 + n).into()),
         zone: "a".into(),
         kind: "m".into(),
         cell: 0,
         state: Listed::Up,
         weight: 1.0,
-        born_ms: 0.0,
+        start_ms: 0.0,
     };
     Setup {
         settings,
@@ -113,10 +118,10 @@
         classes: ["look", "pay", "slip"].map(String::from).to_vec(),
         tenants: Vec::new(),
         open_cap: 100,
-        known: Some(ServerListing { version: 1, whole: true, members: (0..3).map(member).collect() }),
+        saved_list: Some(ServerListing { version: 1, complete: true, servers: (0..3).map(member).collect() }),
         process: Process::new(3, Lifecycle::new(60_000.0, false)),
         label: String::new(),
-        gate: None,
+        admission: None,
         ledger: None,
     }
 }
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -27,15 +27,15 @@
     type Reply = ();
 
     async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> AttemptResult<()> {
-        let slow = core.carrier();
+        let slow = core.transport();
         let number = slow.asked.borrow().len();
-        slow.asked.borrow_mut().push((to, core.place_for(&to).is_some(), None));
-        let ended = |outcome| AttemptResult { outcome, reply: None, kept: None, took: None };
+        slow.asked.borrow_mut().push((to, core.endpoint_for_attempt(&to).is_some(), None));
+        let ended = |outcome| AttemptResult { outcome, reply: None, idle_before: None, took: None };
         if let Some(outcome) = slow.first.take() {
             return ended(outcome);
         }
         until(|| slow.go_on.get() > number).await;
-        let may = core.place_for(&to).is_some();
+        let may = core.endpoint_for_attempt(&to).is_some();
         slow.asked.borrow_mut()[number].2 = Some(may);
         if may {
             AttemptResult { reply: Some(()), ..ended(Outcome::Done) }
@@ -48,13 +48,13 @@
         Outcome::Done
     }
 
-    async fn follow(_: Rc<Core<Self>>) -> ListStreamEnd {
+    async fn follow_list(_: Rc<Core<Self>>) -> ListStreamEnd {
         std::future::pending().await
     }
 
-    fn forget(&self, _: ServerId) {}
+    fn drop_connections(&self, _: ServerId) {}
 
-    fn connections(&self) -> usize {
+    fn connection_count(&self) -> usize {
         0
     }
 }
@@ -81,15 +81,15 @@
             let memory = if late { 1000.0 } else { 60_000.0 };
             settings.classes[1].effect = Effect::Keyed { group: Group::All, memory };
             let core = core(settings);
-            core.carrier().first.set(Some(Outcome::Reset));
-            let (_, answered) = core.request(asked(1), soon()).expect("it is taken");
-            until(|| core.carrier().asked.borrow().len() == 2).await;
+            core.transport().first.set(Some(Outcome::Reset));
+            let (_, answered) = core.submit(asked(1), soon()).expect("it is taken");
+            until(|| core.transport().asked.borrow().len() == 2).await;
             std::thread::sleep(Duration::from_millis(1010));
-            core.carrier().go_on.set(usize::MAX);
+            core.transport().go_on.set(usize::MAX);
             let answer = answered.await.expect("an answer");
-            let asked = core.carrier().asked.borrow().clone();
-            assert!(asked[0].0.by.is_none() && asked[0].1, "nothing had run before the first");
-            assert!(asked[1].0.by.is_some() && asked[1].1, "the repeat began in time");
+            let asked = core.transport().asked.borrow().clone();
+            assert!(asked[0].0.send_by.is_none() && asked[0].1, "nothing had run before the first");
+            assert!(asked[1].0.send_by.is_some() && asked[1].1, "the repeat began in time");
             assert_eq!(asked[1].2, Some(!late));
             assert_eq!(matches!(answer, Answer::Served(())), !late);
             assert_eq!(asked.len(), 2, "and there is no other after it");
@@ -102,12 +102,12 @@
 fn the_time_for_a_key_begins_with_what_may_have_run() {
     run(async {
         let core = core(settings(10_000.0));
-        core.carrier().first.set(Some(Outcome::ConnectFailed));
-        let (_, answered) = core.request(asked(1), soon()).expect("it is taken");
-        until(|| core.carrier().asked.borrow().len() == 2).await;
-        core.carrier().go_on.set(usize::MAX);
+        core.transport().first.set(Some(Outcome::ConnectFailed));
+        let (_, answered) = core.submit(asked(1), soon()).expect("it is taken");
+        until(|| core.transport().asked.borrow().len() == 2).await;
+        core.transport().go_on.set(usize::MAX);
         assert!(matches!(answered.await, Ok(Answer::Served(()))));
-        assert!(core.carrier().asked.borrow()[1].0.by.is_none());
+        assert!(core.transport().asked.borrow()[1].0.send_by.is_none());
     });
 }
 
@@ -120,28 +120,28 @@
             let mut settings = settings(10_000.0);
             settings.limits.cancel = cancel;
             let core = core(settings);
-            let (id, answered) = core.request(asked(2), soon()).expect("it is taken");
-            until(|| core.carrier().asked.borrow().len() == 1).await;
-            assert!(core.carrier().asked.borrow()[0].1);
+            let (id, answered) = core.submit(asked(2), soon()).expect("it is taken");
+            until(|| core.transport().asked.borrow().len() == 1).await;
+            assert!(core.transport().asked.borrow()[0].1);
             if leaves {
                 drop(answered);
                 core.client_gone(id);
             } else {
                 let members = (0..3).map(|n| ListedServer {
                     name: format!("app-{n}"),
-                    dial: Some(([127, 0, 0, 1], 1 + n).into()),
+                    address: Some(([127, 0, 0, 1], 1 + n).into()),
                     zone: "a".into(),
                     kind: "m".into(),
                     cell: 0,
                     state: Listed::Draining,
                     weight: 1.0,
-                    born_ms: 0.0,
+                    start_ms: 0.0,
                 });
-                core.listed(ServerListing { version: 2, whole: true, members: members.collect() });
+                core.list_received(ServerListing { version: 2, complete: true, servers: members.collect() });
             }
-            core.carrier().go_on.set(usize::MAX);
-            until(|| core.carrier().asked.borrow()[0].2.is_some()).await;
-            assert_eq!(core.carrier().asked.borrow()[0].2, Some(false), "cancel {cancel}, leaves {leaves}");
+            core.transport().go_on.set(usize::MAX);
+            until(|| core.transport().asked.borrow()[0].2.is_some()).await;
+            assert_eq!(core.transport().asked.borrow()[0].2, Some(false), "cancel {cancel}, leaves {leaves}");
         });
     }
 }
@@ -157,21 +157,23 @@
             let boxes = Boxes { lasts: Duration::from_secs(600).into(), ..Boxes::default() };
             let core = Core::new(setup(settings), boxes).expect("good settings");
             let end = Instant::now() + Duration::from_secs(20);
-            let (id, answered) = core.request(asked(SLIP), end).expect("it is taken");
-            until(|| core.carrier().sent.borrow().len() == 1).await;
-            let server = core.carrier().sent.borrow()[0].1;
-            let wanted = |id| core.place_for(&Target { id, server, end, by: None }).is_some();
+            let (id, answered) = core.submit(asked(SLIP), end).expect("it is taken");
+            until(|| core.transport().sent.borrow().len() == 1).await;
+            let server = core.transport().sent.borrow()[0].1;
+            let wanted = |id| {
+                core.endpoint_for_attempt(&Target { id, server, deadline: end, send_by: None }).is_some()
+            };
             assert!(wanted(id));
             if leaves {
                 core.client_gone(id);
                 assert!(answered.await.is_err());
             } else {
-                core.fail_open();
+                core.fail_open_requests();
                 assert!(answered.await.is_ok());
             }
             assert!(!wanted(id), "leaves: {leaves}");
             assert!(!wanted(RequestId(id.0 + 1)), "nor for one that never came");
-            assert!(core.place(server).is_some(), "the server itself may be sent to");
+            assert!(core.endpoint(server).is_some(), "the server itself may be sent to");
         }
     });
 }
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -60,12 +60,12 @@
         id: &str,
     ) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
         let asked = ClientRequest { id: id.into(), class, tenant: None, request: Request("k") };
-        let (_, answered) = self.core.request(asked, Instant::now() + Duration::from_secs(60))?;
+        let (_, answered) = self.core.submit(asked, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
 
     fn sent(&self) -> usize {
-        self.core.carrier().sent.borrow().len()
+        self.core.transport().sent.borrow().len()
     }
 
     /// Ends the writer: what was noted, by request.
@@ -107,7 +107,7 @@
             };
             assert!(matches!(answer, Answer::Served(())));
         }
-        let sent = site.core.carrier().sent.borrow().clone();
+        let sent = site.core.transport().sent.borrow().clone();
         assert_eq!(sent.len(), 3);
         assert!(sent[1..].iter().all(|(at, _)| *at - began >= 2 * slow), "sent before the promise");
         let noted = site.end();
@@ -166,8 +166,7 @@
         tokio::task::spawn_local(site.core.clone().run_timer());
         site.disk.slow(Duration::from_millis(1500));
         let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
-        let (_, waits) =
-            site.core.request(asked, Instant::now() + Duration::from_millis(400)).expect("taken");
+        let (_, waits) = site.core.submit(asked, Instant::now() + Duration::from_millis(400)).expect("taken");
         until(|| site.ledger.standing() == Err(magpietally_ledger::Trouble::Slow)).await;
         assert!(matches!(site.ask(SLIP, "2"), Err(Rejection::Refused(_))));
         assert!(matches!(site.ask(LOOK, "3").expect("taken").await, Answer::Served(())));
@@ -187,7 +186,7 @@
     run(async {
         let site = Site::new(SimDisk::default(), options());
         tokio::task::spawn_local(site.core.clone().run_timer());
-        *site.core.carrier().outcomes.borrow_mut() = vec![Outcome::Done, Outcome::Reset, Outcome::Full];
+        *site.core.transport().outcomes.borrow_mut() = vec![Outcome::Done, Outcome::Reset, Outcome::Full];
         assert!(matches!(site.ask(PAY, "1").expect("taken").await, Answer::Served(())));
         let noted = &site.end()["1"];
         let outcomes: Vec<&String> = noted.iter().filter(|n| !n.starts_with("to ")).collect();
@@ -200,9 +199,9 @@
     run(async {
         let site = Site::new(SimDisk::default(), options());
         tokio::task::spawn_local(site.core.clone().run_timer());
-        site.core.carrier().lasts.set(Duration::from_secs(20));
+        site.core.transport().lasts.set(Duration::from_secs(20));
         let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
-        let (id, _) = site.core.request(asked, Instant::now() + Duration::from_secs(60)).expect("taken");
+        let (id, _) = site.core.submit(asked, Instant::now() + Duration::from_secs(60)).expect("taken");
         until(|| site.sent() == 1).await;
         site.core.client_gone(id);
         let noted = &site.end()["1"];
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -179,7 +179,7 @@
         }
         self.from.request_is_whole();
         if let Some(underway) = &mut *self.underway.borrow_mut() {
-            underway.taken();
+            underway.mark_received();
         }
         self.uploading.end(false);
     }
@@ -339,7 +339,7 @@
             Some(Ok(_)) => {}
             Some(Err(_)) => {
                 if let Some(underway) = self.underway.take() {
-                    underway.end(RequestOutcome::BadGateway);
+                    underway.finish(RequestOutcome::BadGateway);
                 }
                 // hyper drops what it has not written when a body breaks: it writes the head and what came before it is
                 // told, or else its client would have nothing at all.
@@ -375,7 +375,7 @@
     fn end(&mut self, cx: &mut Context<'_>) {
         self.rest.give_back(cx);
         if let Some(underway) = self.underway.take() {
-            underway.end(RequestOutcome::Passed);
+            underway.finish(RequestOutcome::Passed);
         }
     }
 }
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -50,32 +50,40 @@
     async fn attempt(core: Rc<Core<Self>>, to: Target, request: Rc<Message>) -> AttemptResult<Reply> {
         let (may, at) = (core.clone(), core.clone());
         let server = to.server;
-        let may = move || may.place_for(&to);
-        exchange(&core.carrier().pool, may, move || at.place(server), (server, to.end), &request, false).await
+        let may = move || may.endpoint_for_attempt(&to);
+        exchange(
+            &core.transport().pool,
+            may,
+            move || at.endpoint(server),
+            (server, to.deadline),
+            &request,
+            false,
+        )
+        .await
     }
 
     async fn probe(core: Rc<Core<Self>>, server: ServerId) -> Outcome {
-        let pool = &core.carrier().pool;
+        let pool = &core.transport().pool;
         // As long as a connection may take, and as long again for the answer.
         let end = Instant::now() + 2 * pool.connect;
-        let (at, probe) = (core.clone(), Message::probe(core.carrier().budget.lease()));
-        let place = move || at.place(server);
+        let (at, probe) = (core.clone(), Message::probe(core.transport().budget.lease()));
+        let place = move || at.endpoint(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
     }
 
-    async fn follow(core: Rc<Core<Self>>) -> ListStreamEnd {
-        if let Some(file) = core.carrier().boxes.clone() {
+    async fn follow_list(core: Rc<Core<Self>>) -> ListStreamEnd {
+        if let Some(file) = core.transport().boxes.clone() {
             return follow_file(core, file).await;
         }
-        let to = core.carrier().discovery.get();
+        let to = core.transport().discovery.get();
         discovery::follow(core, to).await
     }
 
-    fn forget(&self, server: ServerId) {
+    fn drop_connections(&self, server: ServerId) {
         self.pool.forget(server);
     }
 
-    fn connections(&self) -> usize {
+    fn connection_count(&self) -> usize {
         self.pool.held()
     }
 }
@@ -85,7 +93,7 @@
     while let Some(applied) = file.next().await {
         let member = |b: &magpietally_config::AppBox| ListedServer {
             name: b.name.clone(),
-            dial: Some(b.address),
+            address: Some(b.address),
             zone: b.zone.clone(),
             kind: b.kind.clone(),
             cell: b.cell,
@@ -94,11 +102,11 @@
                 State::Draining => Listed::Draining,
             },
             weight: b.weight,
-            born_ms: b.started_ms,
+            start_ms: b.started_ms,
         };
         let members = applied.list.boxes.iter().map(member).collect();
-        core.listed(ServerListing { version: applied.version, whole: true, members });
+        core.list_received(ServerListing { version: applied.version, complete: true, servers: members });
     }
     let words = "nobody looks at the list's file any more".to_string();
-    ListStreamEnd { failure: ListFailure::Broken, words }
+    ListStreamEnd { failure: ListFailure::Broken, message: words }
 }
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -120,7 +120,7 @@
 impl Clients {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        let most = node.carrier().config.clients_most();
+        let most = node.transport().config.clients_most();
         Rc::new(Self {
             node,
             open: RefCell::default(),
@@ -154,7 +154,8 @@
         match phase {
             Phase::Idle if !client.sock.spoke() => (age >= SILENT).then_some(CloseReason::Silent),
             Phase::Idle => {
-                let once = client.sock.answers() == 1 && self.node.process().life().stopping().is_none();
+                let once =
+                    client.sock.answers() == 1 && self.node.process().lifecycle().stopping_since().is_none();
                 let most = if once { IDLE_ONCE } else { IDLE };
                 (age >= most && client.sock.quiet()).then_some(CloseReason::Idle)
             }
@@ -169,7 +170,7 @@
 
     /// Closes connections that are between requests and have nothing to read, where the node sends its clients away.
     pub fn close_idle(&self) {
-        let Some(least) = self.node.process().life().closes_idle(Instant::now()) else { return };
+        let Some(least) = self.node.process().lifecycle().idle_close_after(Instant::now()) else { return };
         for client in self.open.borrow().values() {
             let (phase, since) = client.sock.phase();
             if phase == Phase::Idle && since.elapsed() >= least && client.sock.quiet() {
@@ -195,9 +196,10 @@
     /// servers that would tie up all connections of a stopping node. It does harm where another node would have served
     /// those few, so it holds only while this one stops.
     fn all_in_use(&self) -> bool {
-        let life = self.node.process().life();
+        let life = self.node.process().lifecycle();
         // Where the next process accepts, those that are sent away have where to go.
-        if life.shared() || life.stopping().is_none_or(|since| since.elapsed() < STILL_DEALT) {
+        if life.has_shared_socket() || life.stopping_since().is_none_or(|since| since.elapsed() < STILL_DEALT)
+        {
             return false;
         }
         self.idle() < SPARE.min(self.count() / 4)
@@ -216,7 +218,7 @@
     /// clients come for the first time at a quiet moment: each has to connect a second time; and while the node stops, when
     /// they get no new one.
     fn many_idle(&self) -> bool {
-        self.node.process().life().stopping().is_none() && self.idle() >= self.most / IDLE_PART
+        self.node.process().lifecycle().stopping_since().is_none() && self.idle() >= self.most / IDLE_PART
     }
 
     async fn converse(self: &Rc<Self>, client: Rc<Client>) {
@@ -274,7 +276,7 @@
     let old = request.version() < Version::HTTP_11;
     let asks_ready = request.uri().path() == "/ready";
     let mut answer = if asks_ready {
-        let status = if node.process().life().ready() && node.has_list() && node.fleet_ready() {
+        let status = if node.process().lifecycle().is_ready() && node.has_list() && node.fleet_is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -286,8 +288,8 @@
                 // One that is passed on while it comes is taken with its last byte.
                 let underway = match &asked.request.body {
                     Content::Held { .. } => {
-                        let mut underway = node.process().figures.request(asked.class);
-                        underway.taken();
+                        let mut underway = node.process().metrics.start_request(asked.class);
+                        underway.mark_received();
                         Rc::new(RefCell::new(Some(underway)))
                     }
                     Content::Passing { upload, .. } => {
@@ -297,7 +299,7 @@
                 let uploading = asked.request.body.uploading().cloned();
                 let mut answer = if clients.all_in_use() {
                     log_refused(node, &sock, "the node stops, and few connections are free");
-                    refusal(node.stay_away(asked.class))
+                    refusal(node.retry_after(asked.class))
                 } else {
                     let arrived = sock.arrived();
                     if uploading.is_none() {
@@ -320,7 +322,7 @@
                     }
                     Out::Whole(_) => {
                         if let Some(underway) = underway {
-                            underway.end(end);
+                            underway.finish(end);
                         }
                     }
                 }
@@ -328,8 +330,8 @@
             }
             Err(Bad { refused: Some(class), .. }) => {
                 log_refused(node, &sock, "no room for its body");
-                node.process().figures.request(class).end(RequestOutcome::Dropped);
-                let mut answer = refusal(node.stay_away(class));
+                node.process().metrics.start_request(class).finish(RequestOutcome::Dropped);
+                let mut answer = refusal(node.retry_after(class));
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 answer
             }
@@ -337,10 +339,10 @@
         }
     };
     let first = sock.answers() == 0;
-    let life = node.process().life();
+    let life = node.process().lifecycle();
     // While the node sends its clients away, what only asks how it is must not push out those that can be served.
-    let of_no_use = asks_ready && (life.stopping().is_some() || life.draining().is_some());
-    if life.closes_answers(Instant::now()) || of_no_use || (first && clients.many_idle()) {
+    let of_no_use = asks_ready && (life.stopping_since().is_some() || life.draining_since().is_some());
+    if life.closes_after_response(Instant::now()) || of_no_use || (first && clients.many_idle()) {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     sock.begin(if head { Some(0) } else { body_length(&answer) });
--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -111,7 +111,7 @@
     /// descriptors stay short: whatever became free would else be taken by the next of the backlog.
     fn make_room(&self, listener: &Listener, shortage: &Shortage, lasts: bool) {
         if shortage.is_of_own_descriptors() || lasts {
-            self.node.carrier().pool.evict();
+            self.node.transport().pool.evict();
         }
         if shortage.is_of_own_descriptors() && lasts && !listener.has_spare_descriptor() {
             let held = self.count().saturating_sub(LEFT);
--- a/crates/http/src/clients/answer.rs
+++ b/crates/http/src/clients/answer.rs
@@ -81,17 +81,17 @@
     let mut last = arrived + remaining;
     let uploading = asked.request.body.uploading().cloned();
     let (margin, guard) = kept_back(remaining);
-    let fails_open = || node.process().life().fails_open(Instant::now());
-    while node.fleet_holds() && !fails_open() && Instant::now() + HELD_LOOK < last - margin {
+    let fails_open = || node.process().lifecycle().fails_open_requests(Instant::now());
+    while node.fleet_is_changing_policy() && !fails_open() && Instant::now() + HELD_LOOK < last - margin {
         tokio::time::sleep(HELD_LOOK).await;
     }
     // What came before is failed by now: this one would be sent, and failed in the same breath.
-    if !node.has_room() || fails_open() {
+    if !node.has_capacity() || fails_open() {
         let why = if fails_open() { "the node ends" } else { "too many are open" };
         log_refused(node, sock, why);
-        return refusal(node.stay_away(asked.class));
+        return refusal(node.retry_after(asked.class));
     }
-    let (id, answered) = match node.request(asked, last - margin) {
+    let (id, answered) = match node.submit(asked, last - margin) {
         Ok(taken) => taken,
         Err(Rejection::DuplicateId) => {
             log_refused(node, sock, "one with its id is open");
@@ -174,7 +174,7 @@
 
 /// Logs why a request is answered in the module's place, if this second has room for a line.
 pub(super) fn log_refused(node: &Node, sock: &Sock, why: &str) {
-    node.carrier().pool.sample.line(|| {
+    node.transport().pool.sample.log(|| {
         let id = sock.request();
         let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("none");
         tracing::info!(target: "refused", "request {id}: {why}");
--- a/crates/http/src/clients/closes.rs
+++ b/crates/http/src/clients/closes.rs
@@ -35,7 +35,7 @@
         let node = clients.node.clone();
         let (stream, client) = resting(&clients, &listener).await;
         let (_rests, idle) = resting(&clients, &listener).await;
-        node.process().change(|life| life.stop(Instant::now() - Duration::from_secs(3)));
+        node.process().update(|life| life.stop(Instant::now() - Duration::from_secs(3)));
         let mut stream = stream.into_std().expect("a socket");
         stream.write_all(ASKS).expect("it is open");
         // The kernel has it, and nobody has read it yet.
@@ -78,7 +78,7 @@
     play(async {
         let (clients, listener) = (clients(512, TIME), listener().await);
         let node = clients.node.clone();
-        node.process().change(|life| life.stop(Instant::now() - Duration::from_secs(3)));
+        node.process().update(|life| life.stop(Instant::now() - Duration::from_secs(3)));
         let mut stream = connected(&clients, &listener).await;
         // More than whoever reads the head takes with it: the rest is unread in the socket when the answer is out.
         let behind = b"x".repeat(100_000);
--- a/crates/http/src/clients/closing.rs
+++ b/crates/http/src/clients/closing.rs
@@ -53,7 +53,7 @@
 impl Clients {
     /// Logs a line, if this second has room for one.
     pub(super) fn log(&self, line: impl FnOnce()) {
-        self.node.carrier().pool.sample.line(line);
+        self.node.transport().pool.sample.log(line);
     }
 
     /// A connection is closed by the node.
--- a/crates/http/src/clients/ends.rs
+++ b/crates/http/src/clients/ends.rs
@@ -47,8 +47,8 @@
             before.write_all(asks(class, 0).as_bytes()).await.expect("it is open");
             until("it is held", || node.open_requests() == 1).await;
             let mut stream = connected(&clients, &listener).await;
-            node.process().change(|life| life.stop(Instant::now() - FAILS));
-            node.fail_open();
+            node.process().update(|life| life.stop(Instant::now() - FAILS));
+            node.fail_open_requests();
             let words = asks(class, 0).replace("X-Txn: t", "X-Txn: later");
             stream.write_all(words.as_bytes()).await.expect("it is open");
             let heard = all_of(stream).await;
@@ -71,7 +71,7 @@
         let mut stream = connected(&clients, &listener).await;
         stream.write_all(asks("look", 0).as_bytes()).await.expect("it is open");
         until("it is held", || node.open_requests() == 1).await;
-        node.process().change(|life| life.stop(Instant::now() - ENDS));
+        node.process().update(|life| life.stop(Instant::now() - ENDS));
         stop(&node, &clients, listener).await;
         stream.into_std().expect("a socket")
     });
--- a/crates/http/src/clients/request.rs
+++ b/crates/http/src/clients/request.rs
@@ -72,7 +72,7 @@
     request: Request<Incoming>,
     framed_once: bool,
 ) -> Result<(Asked, Duration), Bad> {
-    let told = &node.carrier().config.told;
+    let told = &node.transport().config.told;
     let (parts, body) = request.into_parts();
     let bodied = !hyper::body::Body::is_end_stream(&body);
     // Nothing more is read of one whose end is in doubt, or that has a body where none may be.
@@ -125,7 +125,7 @@
     length: Option<u64>,
     mut body: Incoming,
 ) -> Result<Content, StatusCode> {
-    let (mut held, mut lease) = (Held::default(), node.carrier().budget.lease());
+    let (mut held, mut lease) = (Held::default(), node.transport().budget.lease());
     while let Some(frame) = body.frame().await {
         held.push(frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data().unwrap_or_default());
         if held.len() <= BODY_MOST {
@@ -138,7 +138,7 @@
         if held.len() <= HELD_MOST && lease.hold(above.max(PASSING)) {
             continue;
         }
-        let underway = Rc::new(RefCell::new(Some(node.process().figures.request(class))));
+        let underway = Rc::new(RefCell::new(Some(node.process().metrics.start_request(class))));
         let (uploading, held, from) = (Rc::new(Uploading::default()), held.bytes(), sock.clone());
         let upload = Upload {
             held,
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -11,7 +11,7 @@
 use magpietally_os_error::retry::START_WITHIN;
 use magpietally_os_error::{classify, Call};
 use magpietally_policy::Discovery;
-use magpietally_settings::{parse, ReceivedSettings};
+use magpietally_settings::ReceivedSettings;
 use magpietally_structures::GOLDEN;
 use serde_json::{Map, Value};
 
@@ -209,7 +209,7 @@
     let seed = text_of("seed")?;
     let known = there("known").map(|known| listing(known.clone()).map_err(|e| here(format!("known: {e}"))));
     let settings = there("settings").ok_or_else(|| here("settings is missing".into()))?;
-    let mut told = parse(settings).map_err(here)?;
+    let mut told = magpietally_settings::parse(settings).map_err(here)?;
     speakable(&told).map_err(here)?;
     // Nothing comes by itself over HTTP: where lists are pushed, it is an agent that has them, and it has to be watched.
     if told.settings.discovery == Discovery::Pushed {
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -72,23 +72,23 @@
 
 impl<C: UpstreamTransport> Reader for Rc<Core<C>> {
     fn patience(&self) -> Duration {
-        Core::list_patience(self)
+        Core::list_timeout(self)
     }
 
     fn version(&self) -> Option<u64> {
-        Core::version(self)
+        Core::list_version(self)
     }
 
     fn forget_version(&self) {
-        Core::forget_version(self);
+        Core::reset_list_version(self);
     }
 
     fn list_alive(&self) {
-        Core::list_alive(self);
+        Core::list_unchanged(self);
     }
 
     fn listed(&self, listing: ServerListing) {
-        Core::listed(self, listing);
+        Core::list_received(self, listing);
     }
 }
 
@@ -131,7 +131,7 @@
             (ListFailure::Broken, format!("unreadable line dropped: {words}"))
         }
     };
-    ListStreamEnd { failure, words }
+    ListStreamEnd { failure, message: words }
 }
 
 async fn watch(reader: &impl Reader, to: &impl Dial) -> Result<(), Ended> {
@@ -176,7 +176,7 @@
 /// Takes a line of a watch. Changes of an older version than the node has would bring back what has been told to be over.
 fn follow_on(reader: &impl Reader, listing: ServerListing) -> Result<(), Ended> {
     match reader.version() {
-        Some(had) if !listing.whole && listing.version < had => {
+        Some(had) if !listing.complete && listing.version < had => {
             Err(Ended::Unreadable(format!("seq: {} after {had}", listing.version)))
         }
         _ => {
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -77,13 +77,13 @@
     fn from(host: Host) -> Self {
         Self {
             name: host.host,
-            dial: host.dial,
+            address: host.dial,
             zone: host.zone,
             kind: host.kind,
             cell: host.cell,
             state: host.health.into(),
             weight: host.weight,
-            born_ms: host.born_ms,
+            start_ms: host.born_ms,
         }
     }
 }
@@ -131,5 +131,5 @@
         return Err(format!("{}: dial is missing", host.host));
     }
     let members = update.hosts.into_iter().map(ListedServer::from).collect();
-    Ok(ServerListing { version: update.version, whole: update.whole, members })
+    Ok(ServerListing { version: update.version, complete: update.whole, servers: members })
 }
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -60,10 +60,10 @@
         let stream = match listener.accept().await {
             Ok(accepted) => accepted.socket,
             Err(shortage) => {
-                node.carrier()
+                node.transport()
                     .pool
                     .sample
-                    .line(|| tracing::warn!(target: "management", "{}", shortage.error));
+                    .log(|| tracing::warn!(target: "management", "{}", shortage.error));
                 sleep(REST).await;
                 continue;
             }
@@ -108,8 +108,8 @@
     let wanted = match path {
         "/v1/readyz" | "/v1/metrics" => Method::GET,
         "/v1/node/drain" | "/v1/node/activate" => Method::PUT,
-        "/v1/fleet" if node.gate().is_some() => Method::GET,
-        POLICY if node.gate().is_some() => Method::PUT,
+        "/v1/fleet" if node.admission().is_some() => Method::GET,
+        POLICY if node.admission().is_some() => Method::PUT,
         _ => return say(StatusCode::NOT_FOUND, "no such call\n".to_string()),
     };
     if *method != wanted {
@@ -121,23 +121,25 @@
     }
     let process = node.process();
     match path {
-        "/v1/readyz" if process.life().takes_clients() && node.has_list() && node.fleet_ready() => {
+        "/v1/readyz" if process.lifecycle().is_serving() && node.has_list() && node.fleet_is_ready() => {
             say(StatusCode::OK, doing(node))
         }
         "/v1/readyz" => say(StatusCode::SERVICE_UNAVAILABLE, doing(node)),
         "/v1/metrics" => {
-            let (known, skipped) = node.servers();
-            say(StatusCode::OK, process.figures.lines(&node.carrier().config.told.classes, known, skipped))
+            let (known, skipped) = node.server_counts();
+            say(StatusCode::OK, process.metrics.render(&node.transport().config.told.classes, known, skipped))
         }
-        "/v1/fleet" => say(StatusCode::OK, node.gate().map_or(String::new(), AdmissionControl::describe)),
-        "/v1/node/drain" => told(node, "drain", process.change(|life| life.drain(Instant::now()))),
-        _ => told(node, "activate", process.change(|life| life.activate())),
+        "/v1/fleet" => {
+            say(StatusCode::OK, node.admission().map_or(String::new(), AdmissionControl::describe))
+        }
+        "/v1/node/drain" => told(node, "drain", process.update(|life| life.drain(Instant::now()))),
+        _ => told(node, "activate", process.update(|life| life.activate())),
     }
 }
 
 /// Hands a document to the fleet. That it was proposed says nothing yet of whether it is taken: `/v1/fleet` does.
 async fn propose(node: &Rc<Node>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Some(gate) = node.gate() else {
+    let Some(gate) = node.admission() else {
         return say(StatusCode::NOT_FOUND, "no such call\n".to_string());
     };
     let Ok(document) = Limited::new(request.into_body(), DOCUMENT_MOST).collect().await else {
@@ -158,7 +160,7 @@
 
 /// What the node is doing, in a word.
 fn doing(node: &Rc<Node>) -> String {
-    let word = match node.process().life().doing() {
+    let word = match node.process().lifecycle().phase() {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
         Phase::Draining(_) => "draining",
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    fn once(&self) -> bool {
+    fn is_single_use(&self) -> bool {
         self.body.uploading().is_some()
     }
 }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -220,16 +220,16 @@
         }
         self.held.set(self.held.get() + 1);
         let held = Held(self.held.clone());
-        let stream = match timeout(self.connect, magpietally_net::connect(place.dial)).await {
+        let stream = match timeout(self.connect, magpietally_net::connect(place.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(DialError::Lacking(error))) => {
                 self.sample
-                    .line(|| tracing::warn!(target: "connect", "{}: lacking here: {error}", place.dial));
+                    .log(|| tracing::warn!(target: "connect", "{}: lacking here: {error}", place.address));
                 self.evict();
                 return Err(Outcome::NotSent);
             }
             Ok(Err(DialError::Failed(error))) => {
-                self.sample.line(|| tracing::info!(target: "connect", "{}: {error}", place.dial));
+                self.sample.log(|| tracing::info!(target: "connect", "{}: {error}", place.address));
                 return Err(unconnected(&error));
             }
             Err(_) => return Err(Outcome::ConnectFailed),
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -153,13 +153,13 @@
         classes: told.classes.clone(),
         tenants: told.tenants.clone(),
         open_cap: told.open_cap,
-        known: config.known.take(),
+        saved_list: config.known.take(),
         process,
         label,
         ledger: extras.ledger,
-        gate: extras.gate,
+        admission: extras.gate,
     };
-    let figures = setup.process.figures.clone();
+    let figures = setup.process.metrics.clone();
     Core::new(setup, Http::new(config, extras.boxes, figures))
 }
 
@@ -189,11 +189,11 @@
     spawn_local(reload(node.clone(), to_reload));
     let begin = spawn_local({
         let node = node.clone();
-        async move { node.begin().await }
+        async move { node.wait_for_list().await }
     });
     let life = async {
         let accept = async {
-            if process.life().shared() {
+            if process.lifecycle().has_shared_socket() {
                 // The process before this one accepts from the same socket, and serves: who came here would be told that
                 // the node is not ready.
                 let _ = timeout(ACCEPT_AFTER, begin).await;
@@ -224,9 +224,9 @@
         match reloaded().await {
             Ok(config) => {
                 tracing::info!(target: "reload", "discovery is {}", config.discovery);
-                node.carrier().discovery.set(config.discovery);
-                node.list_moved();
-                if let Some(field) = node.carrier().config.changed(&config) {
+                node.transport().discovery.set(config.discovery);
+                node.list_source_moved();
+                if let Some(field) = node.transport().config.changed(&config) {
                     tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
                 }
             }
@@ -256,7 +256,7 @@
     let mut told = 0;
     loop {
         let lost = lost_lines();
-        node.log_status(node.carrier().pool.sample.renew() + lost.saturating_sub(told));
+        node.log_status(node.transport().pool.sample.start_second() + lost.saturating_sub(told));
         told = lost;
         tokio::time::sleep(STATUS).await;
     }
@@ -265,10 +265,10 @@
 async fn sweep(node: Rc<Node>, clients: Rc<Clients>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        node.carrier().pool.sweep();
+        node.transport().pool.sweep();
         clients.sweep();
         // A drained node is looked at more often; one that stops, by whoever ends it.
-        while node.process().life().draining().is_some() {
+        while node.process().lifecycle().draining_since().is_some() {
             clients.close_idle();
             clients.sweep();
             tokio::time::sleep(DRAIN_LOOK).await;
@@ -278,38 +278,38 @@
 
 /// Finishes all that was taken, by the times that the node's state tells.
 pub(crate) async fn stop(node: &Rc<Node>, clients: &Rc<Clients>, listener: Listener) {
-    let life = node.process().life();
+    let life = node.process().lifecycle();
     let leave = async {
-        while life.accepts(Instant::now(), clients.count()) {
+        while life.accepts_connections(Instant::now(), clients.count()) {
             clients.close_idle();
             tokio::time::sleep(LOOK).await;
         }
     };
     tokio::select! {
-        () = clients.accept(&listener), if !life.shared() => {}
+        () = clients.accept(&listener), if !life.has_shared_socket() => {}
         () = leave => {}
     }
-    if !life.shared() {
+    if !life.has_shared_socket() {
         clients.empty_backlog(&listener).await;
     }
     drop(listener);
     log_stage("accepts no more", node, clients);
     let mut failed = false;
-    while !life.over(Instant::now()) && (clients.count() > 0 || node.open_requests() > 0) {
-        if life.fails_open(Instant::now()) {
+    while !life.must_exit(Instant::now()) && (clients.count() > 0 || node.open_requests() > 0) {
+        if life.fails_open_requests(Instant::now()) {
             if !std::mem::replace(&mut failed, true) {
                 log_stage("answers what is open", node, clients);
             }
-            node.fail_open();
+            node.fail_open_requests();
         }
-        if life.shared() {
-            node.carrier().pool.let_go(UNUSED);
+        if life.has_shared_socket() {
+            node.transport().pool.let_go(UNUSED);
         }
         clients.close_idle();
         tokio::time::sleep(LOOK).await;
     }
     // A process that had no processor time comes here with all that is open unanswered.
-    node.fail_open();
+    node.fail_open_requests();
     let began = Instant::now();
     while clients.owes() && began.elapsed() < LAST_WORDS {
         tokio::time::sleep(LOOK).await;
--- a/crates/http/src/sock.rs
+++ b/crates/http/src/sock.rs
@@ -359,7 +359,7 @@
         self.took_at.set(tokio::time::Instant::now());
         if self.whole() {
             if let Some(figures) = self.counted.take() {
-                figures.tried();
+                figures.count_upstream_try();
             }
         }
         if self.phase.get() != Phase::Answering {
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -53,7 +53,7 @@
     let (outcome, reply) = talk(pool, may, now_at, to, message, fresh, &kept).await;
     // What is passed on while it comes has kept its server waiting until its last byte.
     let took = message.body.uploading().and_then(|u| u.over_since()).map(|since| since.elapsed());
-    AttemptResult { outcome, reply, kept: kept.get(), took }
+    AttemptResult { outcome, reply, idle_before: kept.get(), took }
 }
 
 async fn talk(
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -157,7 +157,7 @@
 }
 
 impl AdmissionControl for Shared {
-    fn rule(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
+    fn decide(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
         let now = clock::now().boot;
         let rooms = &mut *self.rooms();
         // With no time of its own left, nothing is held here: the front waits before it asks.
@@ -216,19 +216,19 @@
         AdmissionDecision::Admit { epoch: version.0, at: now }
     }
 
-    fn may_go_on(&self, epoch: u64, at: Duration) -> bool {
+    fn may_send(&self, epoch: u64, at: Duration) -> bool {
         let now = clock::now().boot;
         self.rooms().policy.may_decide(now, &Epoch::taken(Version(epoch), at)).is_ok()
     }
 
-    fn holds(&self) -> bool {
+    fn is_changing_policy(&self) -> bool {
         let now = clock::now().boot;
         let rooms = self.rooms();
         // `ready` goes on saying yes while a version closes, for as long as a request may be held.
         rooms.policy.may_begin(now) == Err(RefusalWhy::Closing) && rooms.policy.ready(now)
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.rooms().policy.ready(clock::now().boot)
     }
 
@@ -281,7 +281,7 @@
         out
     }
 
-    fn answered(&self, epoch: u64, id: &str) {
+    fn record_answer(&self, epoch: u64, id: &str) {
         if self.keeps_records() {
             let what = policy_check::What::Left { request: stable_hash(id), version: epoch };
             self.record_policy(clock::now().boot, what);
