--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -9,15 +9,15 @@
 use magpietally_policy::{Effect, Event, Group, Millis, Outcome, RequestId, ServerId};
 use tokio::time::timeout_at;
 
-use crate::carrier::{Carrier, Payload};
 use crate::node::{Core, State};
-use crate::table::{Answer, Asked, Intent, Open};
+use crate::requests::{Answer, ClientRequest, Intent, Open};
+use crate::upstream::{Payload, UpstreamTransport};
 
 /// Why a request is not taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turned {
+pub enum Rejection {
     /// One with its id is open: to send it on would be to run that one again.
-    Open,
+    DuplicateId,
     /// The ledger can't note it at present, or the fleet does not let this node decide: trying again is harmless, after
     /// this time.
     Refused(Millis),
@@ -56,7 +56,7 @@
     }
 }
 
-impl<C: Carrier> State<C> {
+impl<C: UpstreamTransport> State<C> {
     /// What a request is told that no server will answer any more: to come again, where none of its attempts may have run.
     pub(crate) fn unserved(&self, open: &Open<C::Request, C::Reply>) -> Answer<C::Reply> {
         // One that is still out may run yet.
@@ -70,9 +70,13 @@
     }
 }
 
-impl<C: Carrier> Core<C> {
+impl<C: UpstreamTransport> Core<C> {
     /// May this request be taken, as far as the ledger goes?
-    pub(crate) fn admit(&self, asked: &Asked<C::Request>, deadline: Instant) -> Result<(), Turned> {
+    pub(crate) fn admit(
+        &self,
+        asked: &ClientRequest<C::Request>,
+        deadline: Instant,
+    ) -> Result<(), Rejection> {
         let Some(ledger) = &self.ledger else { return Ok(()) };
         let right = self.right(asked.class);
         if !right.needs_intent() {
@@ -81,7 +85,7 @@
         if ledger.standing().is_err() {
             let state = &mut *self.state.borrow_mut();
             state.counts.refused += 1;
-            return Err(Turned::Refused(state.epochs.newest().stay_away(asked.class)));
+            return Err(Rejection::Refused(state.epochs.newest().stay_away(asked.class)));
         }
         // Only where something was out at a node's death is there anything to look for.
         if ledger.unknown() == 0 {
@@ -91,7 +95,7 @@
         ledger.judge(right, &asked.id, self.key(right, &asked.request), left).map_err(|why| {
             self.state.borrow_mut().counts.failed += 1;
             tracing::warn!(target: "ledger", "{} is not sent: {}", asked.id, why.word());
-            Turned::Failed(why)
+            Rejection::Failed(why)
         })
     }
 
@@ -125,8 +129,8 @@
             tenant: name(&self.tenants, open.tenant),
             key: self.key(right, &open.request),
             attempt: open.attempts.len(),
-            server: state.members.name(server).unwrap_or_default().to_string(),
-            server_start_ms: state.members.born_ms(server).max(0.0) as u64,
+            server: state.servers.name(server).unwrap_or_default().to_string(),
+            server_start_ms: state.servers.start_ms(server).max(0.0) as u64,
             left: open.deadline.saturating_duration_since(Instant::now()),
         })
     }
--- a/crates/core/src/sample.rs
+++ b/crates/core/src/log_limiter.rs
@@ -7,14 +7,14 @@
 
 /// Bounds what is logged of single requests: a day on which all fail must not cost the node its core.
 #[derive(Default)]
-pub struct Sample {
+pub struct LogLimiter {
     left: Cell<u32>,
     dropped: Cell<u64>,
 }
 
-impl Sample {
+impl LogLimiter {
     /// Calls `log` while this second has room for a line.
-    pub fn line(&self, log: impl FnOnce()) {
+    pub fn log(&self, log: impl FnOnce()) {
         match self.left.get() {
             0 => self.dropped.set(self.dropped.get() + 1),
             left => {
@@ -25,7 +25,7 @@
     }
 
     /// A new second begins; gives how many lines the old one had no room for.
-    pub fn renew(&self) -> u64 {
+    pub fn start_second(&self) -> u64 {
         self.left.set(PER_SECOND);
         self.dropped.take()
     }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/servers.rs
@@ -7,22 +7,22 @@
 
 /// What a source of the list says: all of it, or what changed.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct ServerListing {
     /// The list's version.
     pub version: u64,
     /// The whole list, not just changes.
-    pub whole: bool,
+    pub complete: bool,
     /// The entries.
-    pub members: Vec<Member>,
+    pub servers: Vec<ListedServer>,
 }
 
 /// One server of a listing.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct ListedServer {
     /// Its name, the same at every node.
     pub name: String,
     /// Where it listens; one that is gone may have none.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: String,
     /// Its kind of machine.
@@ -34,20 +34,20 @@
     /// Its weight.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
-    pub born_ms: Millis,
+    pub start_ms: Millis,
 }
 
 /// One life of a server: a connection to another one is of no use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct Endpoint {
     /// Where it listens.
-    pub dial: SocketAddr,
-    born_ms: Millis,
+    pub address: SocketAddr,
+    start_ms: Millis,
 }
 
 struct Known {
     name: String,
-    place: Place,
+    place: Endpoint,
     state: Listed,
     /// When this life began, by the policy's clock. Reckoned once: it must not move while the life goes on.
     started: Option<Millis>,
@@ -60,7 +60,7 @@
 
 /// The table of servers.
 #[derive(Default)]
-pub(crate) struct Members {
+pub(crate) struct ServerTable {
     known: HashMap<ServerId, Known>,
     /// The version of the list; `None` asks for the whole.
     pub(crate) version: Option<u64>,
@@ -68,14 +68,14 @@
 
 /// The same number for a name at every node and after every restart: FNV-1a, mixed so that names that differ
 /// in their last digit alone do not stay neighbours.
-pub fn number_of(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     let hash =
         name.bytes().fold(0xCBF2_9CE4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3));
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
     mixed ^ (mixed >> 32)
 }
 
-impl Members {
+impl ServerTable {
     pub(crate) fn len(&self) -> usize {
         self.known.len()
     }
@@ -85,12 +85,12 @@
     }
 
     /// When a server last started, Unix time in milliseconds; 0 for long ago.
-    pub(crate) fn born_ms(&self, server: ServerId) -> Millis {
-        self.known.get(&server).map_or(0.0, |k| k.place.born_ms)
+    pub(crate) fn start_ms(&self, server: ServerId) -> Millis {
+        self.known.get(&server).map_or(0.0, |k| k.place.start_ms)
     }
 
     /// Where a server listens, if something new may be sent to it.
-    pub(crate) fn place(&self, server: ServerId) -> Option<Place> {
+    pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         self.known.get(&server).filter(|k| k.state == Listed::Up).map(|k| k.place)
     }
 
@@ -113,10 +113,10 @@
     /// Takes a listing in: the policy's entries, and the servers whose connections are void.
     pub(crate) fn take(
         &mut self,
-        listing: Listing,
+        listing: ServerListing,
         started: impl Fn(Millis) -> Option<Millis>,
     ) -> (Vec<Entry>, Vec<ServerId>) {
-        if listing.whole {
+        if listing.complete {
             for known in self.known.values_mut() {
                 known.state = Listed::Gone;
             }
@@ -124,8 +124,8 @@
         self.version = Some(listing.version);
         let mut void = Vec::new();
         let entries: Vec<Entry> =
-            listing.members.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
-        if listing.whole {
+            listing.servers.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
+        if listing.complete {
             void.extend(
                 self.known.iter().filter(|(_, k)| k.state == Listed::Gone).map(|(server, _)| *server),
             );
@@ -146,27 +146,27 @@
     /// Notes what a listing says of a server. It holds from now on, also for sends on their way.
     fn enter(
         &mut self,
-        member: Member,
+        member: ListedServer,
         started: impl Fn(Millis) -> Option<Millis>,
         void: &mut Vec<ServerId>,
     ) -> Option<Entry> {
-        let server = ServerId(number_of(&member.name));
+        let server = ServerId(stable_hash(&member.name));
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != member.name) {
             tracing::warn!(target: "list", "{} and {} have one number, left out", other.name, member.name);
             return None;
         }
-        let dial = member.dial.or(before.map(|b| b.place.dial));
-        if before.is_some_and(|b| b.place.born_ms != member.born_ms || Some(b.place.dial) != dial) {
+        let dial = member.address.or(before.map(|b| b.place.address));
+        if before.is_some_and(|b| b.place.start_ms != member.start_ms || Some(b.place.address) != dial) {
             // Its connections ended with the old process.
             void.push(server);
         }
-        let same_life = before.filter(|b| b.place.born_ms == member.born_ms);
-        let started = same_life.map_or_else(|| started(member.born_ms), |b| b.started);
-        let (zone, kind) = (number_of(&member.zone), number_of(&member.kind));
-        let Member { name, cell, state, weight, born_ms, .. } = member;
+        let same_life = before.filter(|b| b.place.start_ms == member.start_ms);
+        let started = same_life.map_or_else(|| started(member.start_ms), |b| b.started);
+        let (zone, kind) = (stable_hash(&member.zone), stable_hash(&member.kind));
+        let ListedServer { name, cell, state, weight, start_ms: born_ms, .. } = member;
         if let Some(dial) = dial {
-            let place = Place { dial, born_ms };
+            let place = Endpoint { address: dial, start_ms: born_ms };
             self.known.insert(server, Known { name, place, state, started, zone, cell, kind, weight });
         }
         Some(Entry { server, zone, cell, kind, state, weight, started })
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/admission.rs
@@ -7,39 +7,41 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use magpietally_core::{Answer, Ask, Asked, Core, Gate, Ruling, Setup, Turned};
+use magpietally_core::{
+    AdmissionControl, AdmissionDecision, AdmissionRequest, Answer, ClientRequest, Core, Rejection, Setup,
+};
 use magpietally_policy::{Effect, Outcome, Settings};
 
-fn take(epoch: u64) -> Ruling {
-    Ruling::Take { epoch, at: Duration::ZERO }
+fn take(epoch: u64) -> AdmissionDecision {
+    AdmissionDecision::Admit { epoch, at: Duration::ZERO }
 }
 
 /// A gate that says what the test has laid out, and notes what it hears.
 #[derive(Debug)]
 struct Scripted {
-    ruling: Mutex<Ruling>,
+    ruling: Mutex<AdmissionDecision>,
     narrowed: Arc<Settings>,
     answered: Mutex<Vec<(u64, String)>>,
 }
 
-impl Gate for Scripted {
-    fn rule(&self, ask: &Ask<'_>) -> Ruling {
+impl AdmissionControl for Scripted {
+    fn decide(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
         assert_eq!(ask.key, Some(&b"k"[..]));
         *self.ruling.lock().expect("no panic")
     }
-    fn may_go_on(&self, _: u64, _: Duration) -> bool {
-        self.ready()
+    fn may_send(&self, _: u64, _: Duration) -> bool {
+        self.is_ready()
     }
-    fn holds(&self) -> bool {
+    fn is_changing_policy(&self) -> bool {
         false
     }
-    fn ready(&self) -> bool {
-        !matches!(*self.ruling.lock().expect("no panic"), Ruling::Away { .. })
+    fn is_ready(&self) -> bool {
+        !matches!(*self.ruling.lock().expect("no panic"), AdmissionDecision::NoLease { .. })
     }
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>> {
         (epoch >= 2).then(|| self.narrowed.clone())
     }
-    fn answered(&self, epoch: u64, id: &str) {
+    fn record_answer(&self, epoch: u64, id: &str) {
         self.answered.lock().expect("no panic").push((epoch, id.to_string()));
     }
 }
@@ -59,17 +61,17 @@
             narrowed: Arc::new(narrowed),
             answered: Mutex::default(),
         });
-        let setup = Setup { gate: Some(gate.clone()), ..setup(settings(20_000.0)) };
+        let setup = Setup { admission: Some(gate.clone()), ..setup(settings(20_000.0)) };
         Self { core: Core::new(setup, Boxes::default()).expect("good settings"), gate }
     }
 
-    fn rule(&self, ruling: Ruling) {
+    fn rule(&self, ruling: AdmissionDecision) {
         *self.gate.ruling.lock().expect("no panic") = ruling;
     }
 
-    fn ask(&self, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Turned> {
-        let asked = Asked { id: id.into(), class: LOOK, tenant: None, request: Request("k") };
-        let (_, answered) = self.core.request(asked, Instant::now() + Duration::from_secs(60))?;
+    fn ask(&self, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
+        let asked = ClientRequest { id: id.into(), class: LOOK, tenant: None, request: Request("k") };
+        let (_, answered) = self.core.submit(asked, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
 }
@@ -79,7 +81,7 @@
     run(async {
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
-        let boxes = site.core.carrier();
+        let boxes = site.core.transport();
         boxes.lasts.set(Duration::from_millis(30));
         // Each first attempt of the two breaks after it may have run: what is safe runs again, what may run once does not.
         boxes.outcomes.borrow_mut().extend([Outcome::Reset, Outcome::Reset]);
@@ -108,17 +110,17 @@
     run(async {
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
-        site.rule(Ruling::OverQuota { retry_after: 250.0 });
-        assert_eq!(site.ask("a").err(), Some(Turned::OverQuota(250.0)));
-        assert!(site.core.fleet_ready());
-        site.rule(Ruling::Away { retry_after: 1000.0 });
-        assert_eq!(site.ask("a").err(), Some(Turned::Refused(1000.0)));
-        assert!(!site.core.fleet_ready() && site.core.open_requests() == 0);
-        assert!(site.core.carrier().sent.borrow().is_empty());
+        site.rule(AdmissionDecision::OverQuota { retry_after: 250.0 });
+        assert_eq!(site.ask("a").err(), Some(Rejection::OverQuota(250.0)));
+        assert!(site.core.fleet_is_ready());
+        site.rule(AdmissionDecision::NoLease { retry_after: 1000.0 });
+        assert_eq!(site.ask("a").err(), Some(Rejection::Refused(1000.0)));
+        assert!(!site.core.fleet_is_ready() && site.core.open_requests() == 0);
+        assert!(site.core.transport().sent.borrow().is_empty());
         // Its id is free, and an open one is not asked about twice.
         site.rule(take(1));
         let first = site.ask("a").expect("its id is free again");
-        assert_eq!(site.ask("a").err(), Some(Turned::Open));
+        assert_eq!(site.ask("a").err(), Some(Rejection::DuplicateId));
         assert!(matches!(first.await, Answer::Served(())));
     });
 }
@@ -128,13 +130,13 @@
     run(async {
         let site = Site::new();
         tokio::task::spawn_local(site.core.clone().run_timer());
-        let boxes = site.core.carrier();
+        let boxes = site.core.transport();
         boxes.lasts.set(Duration::from_millis(30));
         // Neither ever ran at its server; each would be tried elsewhere.
         boxes.outcomes.borrow_mut().extend([Outcome::Full, Outcome::Full]);
         let (first, second) = (site.ask("1").expect("taken"), site.ask("2").expect("taken"));
         tokio::task::yield_now().await;
-        site.rule(Ruling::Away { retry_after: 1000.0 });
+        site.rule(AdmissionDecision::NoLease { retry_after: 1000.0 });
         let began = Instant::now();
         assert!(matches!(first.await, Answer::Refused(_)), "trying again is harmless");
         assert!(matches!(second.await, Answer::Refused(_)));
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use magpietally_core::{Answer, Asked, Core, Setup, Turned};
+use magpietally_core::{Answer, ClientRequest, Core, Rejection, Setup};
 use magpietally_ledger::dir::{recover, Reach};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
 use magpietally_ledger::record::{How, Record};
@@ -54,14 +54,18 @@
         Self { core, disk, ledger, running }
     }
 
-    fn ask(&self, class: usize, id: &str) -> Result<impl std::future::Future<Output = Answer<()>>, Turned> {
-        let asked = Asked { id: id.into(), class, tenant: None, request: Request("k") };
-        let (_, answered) = self.core.request(asked, Instant::now() + Duration::from_secs(60))?;
+    fn ask(
+        &self,
+        class: usize,
+        id: &str,
+    ) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
+        let asked = ClientRequest { id: id.into(), class, tenant: None, request: Request("k") };
+        let (_, answered) = self.core.submit(asked, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
 
     fn sent(&self) -> usize {
-        self.core.carrier().sent.borrow().len()
+        self.core.transport().sent.borrow().len()
     }
 
     /// Ends the writer: what was noted, by request.
@@ -103,7 +107,7 @@
             };
             assert!(matches!(answer, Answer::Served(())));
         }
-        let sent = site.core.carrier().sent.borrow().clone();
+        let sent = site.core.transport().sent.borrow().clone();
         assert_eq!(sent.len(), 3);
         assert!(sent[1..].iter().all(|(at, _)| *at - began >= 2 * slow), "sent before the promise");
         let noted = site.end();
@@ -125,7 +129,7 @@
         assert!(site.ledger.line().starts_with("ledger down (write: "), "{}", site.ledger.line());
         for (class, id) in [(SLIP, "2"), (PAY, "3")] {
             match site.ask(class, id) {
-                Err(Turned::Refused(after)) => assert!(after > 0.0),
+                Err(Rejection::Refused(after)) => assert!(after > 0.0),
                 Err(other) => panic!("{other:?}"),
                 Ok(_) => panic!("taken while the disk is full"),
             }
@@ -161,11 +165,10 @@
         let site = Site::with_aim(SimDisk::default(), Options { stall, ..options() }, 500.0);
         tokio::task::spawn_local(site.core.clone().run_timer());
         site.disk.slow(Duration::from_millis(1500));
-        let asked = Asked { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
-        let (_, waits) =
-            site.core.request(asked, Instant::now() + Duration::from_millis(400)).expect("taken");
+        let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
+        let (_, waits) = site.core.submit(asked, Instant::now() + Duration::from_millis(400)).expect("taken");
         until(|| site.ledger.standing() == Err(magpietally_ledger::Trouble::Slow)).await;
-        assert!(matches!(site.ask(SLIP, "2"), Err(Turned::Refused(_))));
+        assert!(matches!(site.ask(SLIP, "2"), Err(Rejection::Refused(_))));
         assert!(matches!(site.ask(LOOK, "3").expect("taken").await, Answer::Served(())));
         let answer = waits.await.expect("a final answer");
         assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{answer:?}");
@@ -183,7 +186,7 @@
     run(async {
         let site = Site::new(SimDisk::default(), options());
         tokio::task::spawn_local(site.core.clone().run_timer());
-        *site.core.carrier().outcomes.borrow_mut() = vec![Outcome::Done, Outcome::Reset, Outcome::Full];
+        *site.core.transport().outcomes.borrow_mut() = vec![Outcome::Done, Outcome::Reset, Outcome::Full];
         assert!(matches!(site.ask(PAY, "1").expect("taken").await, Answer::Served(())));
         let noted = &site.end()["1"];
         let outcomes: Vec<&String> = noted.iter().filter(|n| !n.starts_with("to ")).collect();
@@ -196,9 +199,9 @@
     run(async {
         let site = Site::new(SimDisk::default(), options());
         tokio::task::spawn_local(site.core.clone().run_timer());
-        site.core.carrier().lasts.set(Duration::from_secs(20));
-        let asked = Asked { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
-        let (id, _) = site.core.request(asked, Instant::now() + Duration::from_secs(60)).expect("taken");
+        site.core.transport().lasts.set(Duration::from_secs(20));
+        let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
+        let (id, _) = site.core.submit(asked, Instant::now() + Duration::from_secs(60)).expect("taken");
         until(|| site.sent() == 1).await;
         site.core.client_gone(id);
         let noted = &site.end()["1"];
--- a/crates/http/src/clients/answer.rs
+++ b/crates/http/src/clients/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use magpietally_core::{Answer, End, Turned};
+use magpietally_core::{Answer, Rejection, RequestOutcome};
 use magpietally_policy::{Millis, RequestId};
 use tokio::sync::oneshot;
 
@@ -42,11 +42,11 @@
 }
 
 /// What an answer to a proper request means for its client.
-pub(super) fn end_of(status: StatusCode) -> End {
+pub(super) fn end_of(status: StatusCode) -> RequestOutcome {
     match status {
-        StatusCode::OK => End::Passed,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Dropped,
-        _ => End::BadGateway,
+        StatusCode::OK => RequestOutcome::Passed,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Dropped,
+        _ => RequestOutcome::BadGateway,
     }
 }
 
@@ -81,33 +81,33 @@
     let mut last = arrived + remaining;
     let uploading = asked.request.body.uploading().cloned();
     let (margin, guard) = kept_back(remaining);
-    let fails_open = || node.process().life().fails_open(Instant::now());
-    while node.fleet_holds() && !fails_open() && Instant::now() + HELD_LOOK < last - margin {
+    let fails_open = || node.process().lifecycle().fails_open_requests(Instant::now());
+    while node.fleet_is_changing_policy() && !fails_open() && Instant::now() + HELD_LOOK < last - margin {
         tokio::time::sleep(HELD_LOOK).await;
     }
     // What came before is failed by now: this one would be sent, and failed in the same breath.
-    if !node.has_room() || fails_open() {
+    if !node.has_capacity() || fails_open() {
         let why = if fails_open() { "the node ends" } else { "too many are open" };
         log_refused(node, sock, why);
-        return refusal(node.stay_away(asked.class));
+        return refusal(node.retry_after(asked.class));
     }
-    let (id, answered) = match node.request(asked, last - margin) {
+    let (id, answered) = match node.submit(asked, last - margin) {
         Ok(taken) => taken,
-        Err(Turned::Open) => {
+        Err(Rejection::DuplicateId) => {
             log_refused(node, sock, "one with its id is open");
             return plain(StatusCode::CONFLICT);
         }
-        Err(Turned::Refused(stay_away)) => {
+        Err(Rejection::Refused(stay_away)) => {
             log_refused(node, sock, "turned away at its admission");
             return refusal(stay_away);
         }
-        Err(Turned::OverQuota(retry_after)) => {
+        Err(Rejection::OverQuota(retry_after)) => {
             log_refused(node, sock, "over its quota");
             let mut answer = refusal(retry_after);
             *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
             return answer;
         }
-        Err(Turned::Failed(why)) => {
+        Err(Rejection::Failed(why)) => {
             log_refused(node, sock, why.word());
             let mut answer = plain(StatusCode::BAD_GATEWAY);
             answer.headers_mut().insert(BECAUSE, HeaderValue::from_static(why.word()));
@@ -174,7 +174,7 @@
 
 /// Logs why a request is answered in the module's place, if this second has room for a line.
 pub(super) fn log_refused(node: &Node, sock: &Sock, why: &str) {
-    node.carrier().pool.sample.line(|| {
+    node.transport().pool.sample.log(|| {
         let id = sock.request();
         let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("none");
         tracing::info!(target: "refused", "request {id}: {why}");
--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -2,7 +2,7 @@
 
 use std::future::Future;
 
-use magpietally_core::{Life, Process};
+use magpietally_core::{Lifecycle, Process};
 use magpietally_net::{listen, Listener};
 use serde_json::json;
 use tokio::net::TcpStream;
@@ -40,10 +40,10 @@
         max_descriptors: sockets,
         memory_mb: 64,
         saved_list: None,
-        received: magpietally_settings::told(&settings).expect("good settings"),
+        received: magpietally_settings::parse(&settings).expect("good settings"),
         restart_only: Default::default(),
     };
-    let process = Process::new(2, Life::new(time, false));
+    let process = Process::new(2, Lifecycle::new(time, false));
     Clients::new(
         start_node(config, process, String::new(), OperatorOptions::default()).expect("good settings"),
     )
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use magpietally_config::file::read_plain_within;
-use magpietally_core::Listing;
+use magpietally_core::ServerListing;
 use magpietally_os_error::retry::START_WITHIN;
 use magpietally_os_error::{classify, Call};
 use magpietally_policy::Discovery;
-use magpietally_settings::{told, Told};
+use magpietally_settings::ReceivedSettings;
 use magpietally_structures::GOLDEN;
 use serde_json::{Map, Value};
 
@@ -38,9 +38,9 @@
     /// The most memory that it may use, in MB.
     pub memory_mb: usize,
     /// The list of servers as last had.
-    pub saved_list: Option<Listing>,
+    pub saved_list: Option<ServerListing>,
     /// The settings.
-    pub received: Told,
+    pub received: ReceivedSettings,
     /// What the file says of all that holds until the process ends.
     pub restart_only: Arc<Value>,
 }
@@ -186,7 +186,7 @@
     let there = |name: &str| f.get(name).filter(|v| !v.is_null());
     let text_of = |name: &str| {
         let value = there(name).ok_or_else(|| here(format!("{name} is missing")))?;
-        magpietally_settings::text(value, name).map_err(here)
+        magpietally_settings::string(value, name).map_err(here)
     };
     // Where it is from, as well.
     let text = |name: &str| {
@@ -210,7 +210,7 @@
     let known = there("known")
         .map(|known| server_list::parse_value(known.clone()).map_err(|e| here(format!("known: {e}"))));
     let settings = there("settings").ok_or_else(|| here("settings is missing".into()))?;
-    let mut received = told(settings).map_err(here)?;
+    let mut received = magpietally_settings::parse(settings).map_err(here)?;
     speakable(&received).map_err(here)?;
     // Nothing comes by itself over HTTP: where lists are pushed, it is an agent that has them, and it has to be watched.
     if received.settings.discovery == Discovery::Pushed {
@@ -240,7 +240,7 @@
 
 /// A class is the first part of a path, and a tenant the value of a header: what can't stand there would never be asked for,
 /// or be asked for under a name that is not the settings'.
-fn speakable(received: &Told) -> Result<(), String> {
+fn speakable(received: &ReceivedSettings) -> Result<(), String> {
     let in_path = |b: u8| b.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@".contains(&b);
     let class = |name: &str| name.bytes().all(in_path) && name != "." && name != "..";
     if let Some(n) = received.classes.iter().position(|name| !class(name)) {
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{rt, Request, Response, StatusCode};
-use magpietally_core::{Carrier, Core, Listing, Unfollowed};
+use magpietally_core::{Core, ListStreamEnd, ServerListing, UpstreamTransport};
 use magpietally_policy::{ListFailure, WATCH_SILENCE};
 use tokio::time::{sleep, timeout_at, Instant};
 
@@ -67,28 +67,28 @@
     /// The source has answered a call, with no news.
     fn list_alive(&self);
     /// The source has brought a list, or changes.
-    fn listed(&self, listing: Listing);
+    fn listed(&self, listing: ServerListing);
 }
 
-impl<C: Carrier> Reader for Rc<Core<C>> {
+impl<C: UpstreamTransport> Reader for Rc<Core<C>> {
     fn patience(&self) -> Duration {
-        Core::list_patience(self)
+        Core::list_timeout(self)
     }
 
     fn version(&self) -> Option<u64> {
-        Core::version(self)
+        Core::list_version(self)
     }
 
     fn forget_version(&self) {
-        Core::forget_version(self);
+        Core::reset_list_version(self);
     }
 
     fn list_alive(&self) {
-        Core::list_alive(self);
+        Core::list_unchanged(self);
     }
 
-    fn listed(&self, listing: Listing) {
-        Core::listed(self, listing);
+    fn listed(&self, listing: ServerListing) {
+        Core::list_received(self, listing);
     }
 }
 
@@ -116,11 +116,11 @@
 }
 
 /// Watches from the version that the core has, or asks for the whole list first where it has none. Ends when the watch ends.
-pub async fn follow<C: Carrier>(core: Rc<Core<C>>, to: SocketAddr) -> Unfollowed {
+pub async fn follow<C: UpstreamTransport>(core: Rc<Core<C>>, to: SocketAddr) -> ListStreamEnd {
     follow_by(&core, &to).await
 }
 
-async fn follow_by(reader: &impl Reader, to: &impl Dial) -> Unfollowed {
+async fn follow_by(reader: &impl Reader, to: &impl Dial) -> ListStreamEnd {
     let (failure, words) = match watch(reader, to).await {
         Ok(()) => (ListFailure::Broken, "the watch ended".to_string()),
         Err(Ended::Rejected(words)) => (ListFailure::Rejected, words),
@@ -131,7 +131,7 @@
             (ListFailure::Broken, format!("unreadable line dropped: {words}"))
         }
     };
-    Unfollowed { failure, words }
+    ListStreamEnd { failure, message: words }
 }
 
 async fn watch(reader: &impl Reader, to: &impl Dial) -> Result<(), Ended> {
@@ -174,9 +174,9 @@
 }
 
 /// Takes a line of a watch. Changes of an older version than the node has would bring back what has been told to be over.
-fn follow_on(reader: &impl Reader, listing: Listing) -> Result<(), Ended> {
+fn follow_on(reader: &impl Reader, listing: ServerListing) -> Result<(), Ended> {
     match reader.version() {
-        Some(had) if !listing.whole && listing.version < had => {
+        Some(had) if !listing.complete && listing.version < had => {
             Err(Ended::Unreadable(format!("seq: {} after {had}", listing.version)))
         }
         _ => {
@@ -204,7 +204,7 @@
     Ok(version)
 }
 
-fn read(line: &[u8]) -> Result<Listing, Ended> {
+fn read(line: &[u8]) -> Result<ServerListing, Ended> {
     server_list::parse_line(line).map_err(|e| Ended::Unreadable(e.message()))
 }
 
@@ -322,7 +322,7 @@
     /// An empty line.
     Nothing,
     /// An object.
-    News(Listing),
+    News(ServerListing),
 }
 
 /// Cuts a watch into its objects. Each has a line of its own; one that is indented has several.
@@ -364,7 +364,7 @@
     }
 
     /// The object that only lacks its line's end.
-    fn rest(mut self) -> Option<Listing> {
+    fn rest(mut self) -> Option<ServerListing> {
         self.begun.extend_from_slice(&self.lines.held);
         server_list::parse_line(&self.begun).ok()
     }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::client::conn::http1::{self, Connection, SendRequest};
-use magpietally_core::{Figures, Place, Sample};
+use magpietally_core::{Endpoint, LogLimiter, Metrics};
 use magpietally_net::DialError;
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
@@ -32,7 +32,7 @@
     pub(crate) send: SendRequest<Outgoing>,
     pub(crate) conn: Connection<Io, Outgoing>,
     /// Whom it leads to.
-    pub(crate) endpoint: Place,
+    pub(crate) endpoint: Endpoint,
     pub(crate) idle_since: Instant,
     _descriptor: Descriptor,
 }
@@ -78,15 +78,15 @@
     max_idle: Duration,
     pub(crate) connect_timeout: Duration,
     /// Where attempts are counted.
-    pub(crate) metrics: Figures,
+    pub(crate) metrics: Metrics,
     /// Bounds the log's lines on connects that failed.
-    pub sample: Sample,
+    pub sample: LogLimiter,
 }
 
 impl Pool {
     /// An empty pool of `max_open` connections at the most. Servers close what has been idle for `keepalive`; a
     /// connection that takes longer than `connect_timeout` has failed; both in milliseconds.
-    pub fn new(max_open: usize, keepalive: Millis, connect_timeout: Millis, metrics: Figures) -> Self {
+    pub fn new(max_open: usize, keepalive: Millis, connect_timeout: Millis, metrics: Metrics) -> Self {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         Self {
             idle: RefCell::default(),
@@ -97,7 +97,7 @@
             max_idle: ms(keepalive * IDLE_SHARE),
             connect_timeout: ms(connect_timeout),
             metrics,
-            sample: Sample::default(),
+            sample: LogLimiter::default(),
         }
     }
 
@@ -188,7 +188,7 @@
         link: PooledConnection,
         came: usize,
         chunked: bool,
-        now: Option<Place>,
+        now: Option<Endpoint>,
     ) {
         // One that has more to read than the answer would answer the next request with it.
         if link.stream.whole()
@@ -216,22 +216,22 @@
 
     /// A new connection, or how the attempt ends without one. A node that has no descriptor or port left has
     /// sent nothing, but that says nothing of the server: as a failed connect it would eject a good one.
-    pub(crate) async fn connect(&self, place: Place) -> Result<PooledConnection, Outcome> {
+    pub(crate) async fn connect(&self, place: Endpoint) -> Result<PooledConnection, Outcome> {
         if self.open.get() >= self.max_open && !self.evict_idle() {
             return Err(Outcome::NotSent);
         }
         self.open.set(self.open.get() + 1);
         let descriptor = Descriptor(self.open.clone());
-        let stream = match timeout(self.connect_timeout, magpietally_net::connect(place.dial)).await {
+        let stream = match timeout(self.connect_timeout, magpietally_net::connect(place.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(DialError::Lacking(error))) => {
                 self.sample
-                    .line(|| tracing::warn!(target: "connect", "{}: lacking here: {error}", place.dial));
+                    .log(|| tracing::warn!(target: "connect", "{}: lacking here: {error}", place.address));
                 self.evict_idle();
                 return Err(Outcome::NotSent);
             }
             Ok(Err(DialError::Failed(error))) => {
-                self.sample.line(|| tracing::info!(target: "connect", "{}: {error}", place.dial));
+                self.sample.log(|| tracing::info!(target: "connect", "{}: {error}", place.address));
                 return Err(outcome_of_failed_connect(&error));
             }
             Err(_) => return Err(Outcome::ConnectFailed),
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::client::conn::http1::Connection;
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Method, Request, StatusCode, Version};
-use magpietally_core::{Ended, Place};
+use magpietally_core::{AttemptResult, Endpoint};
 use magpietally_policy::{Outcome, ServerId};
 use tokio::time::{sleep, timeout_at};
 
@@ -43,23 +43,23 @@
 /// to tell whether the process takes connections, which a kept one could not.
 pub(crate) async fn exchange(
     pool: &Rc<Pool>,
-    may: impl Fn() -> Option<Place>,
-    now_at: impl Fn() -> Option<Place> + 'static,
+    may: impl Fn() -> Option<Endpoint>,
+    now_at: impl Fn() -> Option<Endpoint> + 'static,
     to: (ServerId, Instant),
     message: &Message,
     fresh: bool,
-) -> Ended<Reply> {
+) -> AttemptResult<Reply> {
     let kept = Cell::new(None);
     let (outcome, reply) = talk(pool, may, now_at, to, message, fresh, &kept).await;
     // What is passed on while it comes has kept its server waiting until its last byte.
     let took = message.body.uploading().and_then(|u| u.over_since()).map(|since| since.elapsed());
-    Ended { outcome, reply, kept: kept.get(), took }
+    AttemptResult { outcome, reply, idle_before: kept.get(), took }
 }
 
 async fn talk(
     pool: &Rc<Pool>,
-    may: impl Fn() -> Option<Place>,
-    now_at: impl Fn() -> Option<Place> + 'static,
+    may: impl Fn() -> Option<Endpoint>,
+    now_at: impl Fn() -> Option<Endpoint> + 'static,
     (server, end): (ServerId, Instant),
     message: &Message,
     fresh: bool,
@@ -167,7 +167,7 @@
         pool: &Rc<Pool>,
         server: ServerId,
         link: PooledConnection,
-        now_at: impl Fn() -> Option<Place> + 'static,
+        now_at: impl Fn() -> Option<Endpoint> + 'static,
     ) -> (Outcome, Option<Reply>) {
         let away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         let outcome = match self.status {
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -40,7 +40,7 @@
         max_descriptors: 512,
         memory_mb: 64,
         saved_list: None,
-        received: magpietally_settings::told(&settings).expect("good settings"),
+        received: magpietally_settings::parse(&settings).expect("good settings"),
         restart_only: Arc::default(),
     }
 }
