--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -19,7 +19,7 @@
 use crate::budget::Lease;
 use crate::message::BODY_MOST;
 use crate::pool::{Link, Pool};
-use crate::sock::Sock;
+use crate::watched_stream::WatchedStream;
 
 /// How long a server that has begun an answer may then give nothing of it while its client would take more, and one may take
 /// nothing of a request that is passed on.
@@ -121,7 +121,7 @@
     /// How much has been handed on.
     pub passed: u64,
     /// Where it comes from.
-    pub from: Rc<Sock>,
+    pub from: Rc<WatchedStream>,
     /// What it is counted as.
     pub underway: Rc<RefCell<Option<Underway>>>,
     /// How far it has come.
@@ -177,7 +177,7 @@
         if self.uploading.over.get().is_some() {
             return;
         }
-        self.from.request_is_whole();
+        self.from.finish_request_body();
         if let Some(underway) = &mut *self.underway.borrow_mut() {
             underway.taken();
         }
@@ -199,7 +199,7 @@
     /// Held whole.
     Whole(Bytes),
     /// Passed on, over this connection.
-    Passing(Box<Upload>, Rc<Sock>),
+    Passing(Box<Upload>, Rc<WatchedStream>),
 }
 
 impl Body for Outgoing {
@@ -216,7 +216,7 @@
             Self::Passing(upload, to) => {
                 let frame = ready!(upload.poll(cx));
                 if frame.is_none() {
-                    to.end_of_message();
+                    to.finish_message();
                 }
                 Poll::Ready(frame)
             }
@@ -311,7 +311,7 @@
     /// is over.
     pub late: Option<(Pin<Box<Sleep>>, Option<usize>)>,
     /// Where it goes.
-    pub to: Rc<Sock>,
+    pub to: Rc<WatchedStream>,
     /// What it is counted as.
     pub underway: Option<Underway>,
     /// It will not be whole.
@@ -348,8 +348,8 @@
                 return Poll::Pending;
             }
             None => {
-                self.to.end_of_message();
-                self.to.is_whole();
+                self.to.finish_message();
+                self.to.clear_reset_on_close();
                 self.end(cx);
             }
         }
@@ -421,7 +421,7 @@
 pub async fn within<T>(
     end: Instant,
     upload: Option<&Uploading>,
-    to: &Sock,
+    to: &WatchedStream,
     talk: impl Future<Output = T>,
 ) -> Option<T> {
     let Some(upload) = upload else { return tokio::time::timeout_at(end, talk).await.ok() };
@@ -431,7 +431,7 @@
         biased;
         done = &mut talk => return Some(done),
         () = upload.over() => {}
-        () = to.takes_nothing_for(STALLED) => return None,
+        () = to.write_stalled_for(STALLED) => return None,
     }
     tokio::time::timeout(span, talk).await.ok()
 }
--- a/crates/http/src/body/tests.rs
+++ b/crates/http/src/body/tests.rs
@@ -8,11 +8,11 @@
 use super::*;
 
 /// A connection to a server, and the listener that it is made to.
-async fn sock() -> (Rc<Sock>, TcpListener) {
+async fn sock() -> (Rc<WatchedStream>, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("it listens");
     let stream = Stream::new(stream.into_std().expect("a socket")).expect("a runtime");
-    (Sock::new(stream), listener)
+    (WatchedStream::new(stream), listener)
 }
 
 /// Both orders of an attempt's answer and the end of its time, in one turn of the loop: an answer that is there counts, one that
@@ -47,10 +47,10 @@
     let upload = Uploading::default();
     let mut attempt = Box::pin(within(Instant::now(), Some(&upload), &sock, std::future::pending::<()>()));
     for _ in 0..4 {
-        sock.begin(None);
+        sock.begin_message(None);
         assert!(timeout(STALLED * 9 / 10, &mut attempt).await.is_err(), "it goes on");
     }
-    sock.begin(None);
+    sock.begin_message(None);
     let began = Instant::now();
     assert_eq!(attempt.await, None);
     assert!((STALLED..STALLED * 11 / 10).contains(&began.elapsed()), "{:?}", began.elapsed());
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -20,7 +20,7 @@
 use crate::body::Out;
 use crate::carrier::Http;
 use crate::message::{Content, Message};
-use crate::sock::{io, Phase, Sock};
+use crate::watched_stream::{hyper_io, ConnectionPhase, WatchedStream};
 use accept::Reduction;
 use answer::{body_length, end_of, log_refused, plain, refusal, settle};
 use closing::CloseReason;
@@ -62,7 +62,7 @@
 
 struct Client {
     number: u64,
-    sock: Rc<Sock>,
+    sock: Rc<WatchedStream>,
     close: Notify,
     /// Why it is to be closed.
     reason: Cell<Option<CloseReason>>,
@@ -80,9 +80,9 @@
             self.close.notified().await;
             let evicted = self.evicted.take();
             let stays = match self.sock.phase().0 {
-                Phase::Reading if !evicted => self.reads_on().await,
-                Phase::Busy | Phase::Answering if !evicted => false,
-                _ => !self.sock.quiet(),
+                ConnectionPhase::Reading if !evicted => self.reads_on().await,
+                ConnectionPhase::Busy | ConnectionPhase::Answering if !evicted => false,
+                _ => !self.sock.is_quiet(),
             };
             if !stays {
                 return;
@@ -95,12 +95,12 @@
     /// Has the rest of a late request come since it was found late? What stands in the socket is read first.
     async fn reads_on(&self) -> bool {
         for _ in 0..READS_ON {
-            if !self.sock.overdue() || self.sock.quiet() {
+            if !self.sock.is_request_overdue() || self.sock.is_quiet() {
                 break;
             }
             yield_now().await;
         }
-        !self.sock.overdue()
+        !self.sock.is_request_overdue()
     }
 }
 
@@ -152,16 +152,19 @@
         let (phase, since) = client.sock.phase();
         let age = since.elapsed();
         match phase {
-            Phase::Idle if !client.sock.spoke() => (age >= SILENT).then_some(CloseReason::Silent),
-            Phase::Idle => {
-                let once = client.sock.answers() == 1 && self.node.process().life().stopping().is_none();
+            ConnectionPhase::Idle if !client.sock.has_received_any() => {
+                (age >= SILENT).then_some(CloseReason::Silent)
+            }
+            ConnectionPhase::Idle => {
+                let once =
+                    client.sock.responses_started() == 1 && self.node.process().life().stopping().is_none();
                 let most = if once { IDLE_ONCE } else { IDLE };
-                (age >= most && client.sock.quiet()).then_some(CloseReason::Idle)
+                (age >= most && client.sock.is_quiet()).then_some(CloseReason::Idle)
             }
-            Phase::Reading => client.sock.overdue().then_some(CloseReason::SlowRequest),
-            Phase::Busy => None,
-            Phase::Answering => {
-                let most = if client.sock.passes_on() { PASSING_ON } else { ANSWERING };
+            ConnectionPhase::Reading => client.sock.is_request_overdue().then_some(CloseReason::SlowRequest),
+            ConnectionPhase::Busy => None,
+            ConnectionPhase::Answering => {
+                let most = if client.sock.is_streaming() { PASSING_ON } else { ANSWERING };
                 (age >= most).then_some(CloseReason::SlowReader)
             }
         }
@@ -172,7 +175,7 @@
         let Some(least) = self.node.process().life().closes_idle(Instant::now()) else { return };
         for client in self.open.borrow().values() {
             let (phase, since) = client.sock.phase();
-            if phase == Phase::Idle && since.elapsed() >= least && client.sock.quiet() {
+            if phase == ConnectionPhase::Idle && since.elapsed() >= least && client.sock.is_quiet() {
                 client.close_for(CloseReason::Leaving);
             }
         }
@@ -181,9 +184,9 @@
     /// Does any client still wait for an answer that is held whole, or for its bytes to be written?
     pub fn owes(&self) -> bool {
         let owes = |c: &Rc<Client>| match c.sock.phase().0 {
-            Phase::Busy => true,
-            Phase::Answering => !c.sock.passes_on(),
-            Phase::Idle | Phase::Reading => false,
+            ConnectionPhase::Busy => true,
+            ConnectionPhase::Answering => !c.sock.is_streaming(),
+            ConnectionPhase::Idle | ConnectionPhase::Reading => false,
         };
         self.open.borrow().values().any(owes)
     }
@@ -205,7 +208,7 @@
 
     /// How many connections have been used and are idle.
     fn idle(&self) -> usize {
-        let idle = |c: &&Rc<Client>| c.sock.phase().0 == Phase::Idle && c.sock.spoke();
+        let idle = |c: &&Rc<Client>| c.sock.phase().0 == ConnectionPhase::Idle && c.sock.has_received_any();
         self.open.borrow().values().filter(idle).count()
     }
 
@@ -227,7 +230,7 @@
                 tokio::select! {
                     biased;
                     // hyper stops looking for the end where anything stands unread behind the request.
-                    () = gone.gone() => Err(Gone),
+                    () = gone.closed_by_peer() => Err(Gone),
                     answer = respond(clients, sock, request) => Ok(answer),
                 }
             }
@@ -235,7 +238,7 @@
         let conn = http1::Builder::new()
             .max_buf_size(HEAD_MOST)
             .auto_date_header(false)
-            .serve_connection(io(client.sock.clone()), service);
+            .serve_connection(hyper_io(client.sock.clone()), service);
         tokio::select! {
             // Before the connection is read: a request that it takes in this very turn would be dropped with it.
             biased;
@@ -244,7 +247,7 @@
                 if let Err(error) = &ended {
                     self.log_broken(&client, error);
                 }
-                if !client.sock.broken() {
+                if !client.sock.apply_reset_on_close() {
                     client.lingers.set(true);
                     let _ = timeout(LINGER, client.sock.linger()).await;
                 }
@@ -266,10 +269,10 @@
 impl Error for Gone {}
 
 /// Answers one request.
-async fn respond(clients: Rc<Clients>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<Out> {
+async fn respond(clients: Rc<Clients>, sock: Rc<WatchedStream>, request: Request<Incoming>) -> Response<Out> {
     let node = &clients.node;
-    let framed_once = sock.head_is_whole();
-    sock.set_request(request.headers().get(TXN).cloned());
+    let framed_once = sock.finish_request_head();
+    sock.set_request_id(request.headers().get(TXN).cloned());
     let head = *request.method() == Method::HEAD;
     let old = request.version() < Version::HTTP_11;
     let asks_ready = request.uri().path() == "/ready";
@@ -299,9 +302,9 @@
                     log_refused(node, &sock, "the node stops, and few connections are free");
                     refusal(node.stay_away(asked.class))
                 } else {
-                    let arrived = sock.arrived();
+                    let arrived = sock.request_arrived_at();
                     if uploading.is_none() {
-                        sock.enter(Phase::Busy);
+                        sock.enter_phase(ConnectionPhase::Busy);
                     }
                     settle(node, asked, &sock, arrived, remaining).await
                 };
@@ -315,7 +318,7 @@
                         passing.underway = underway;
                         if old && passing.length.is_none() {
                             // Until it is whole: the node's own end may cut it off.
-                            sock.will_break();
+                            sock.set_reset_on_close();
                         }
                     }
                     Out::Whole(_) => {
@@ -336,15 +339,15 @@
             Err(bad) => bad.answer(),
         }
     };
-    let first = sock.answers() == 0;
+    let first = sock.responses_started() == 0;
     let life = node.process().life();
     // While the node sends its clients away, what only asks how it is must not push out those that can be served.
     let of_no_use = asks_ready && (life.stopping().is_some() || life.draining().is_some());
     if life.closes_answers(Instant::now()) || of_no_use || (first && clients.many_idle()) {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    sock.begin(if head { Some(0) } else { body_length(&answer) });
-    sock.enter(Phase::Answering);
+    sock.begin_message(if head { Some(0) } else { body_length(&answer) });
+    sock.enter_phase(ConnectionPhase::Answering);
     answer
 }
 
--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -12,7 +12,7 @@
 
 use super::closing::CloseReason;
 use super::{Client, Clients};
-use crate::sock::{Phase, Sock};
+use crate::watched_stream::{ConnectionPhase, WatchedStream};
 
 /// From this age on a request that is still coming makes room for others where there is none.
 const STALE: Duration = Duration::from_millis(250);
@@ -157,18 +157,18 @@
         let open = self.open.borrow();
         let rank = |c: &Client| match c.sock.phase() {
             _ if c.lingers.get() => None,
-            (Phase::Idle, since) => {
+            (ConnectionPhase::Idle, since) => {
                 // A crowd that says nothing must not push out those that are used.
-                let crowd = !c.sock.spoke() && since.elapsed() >= FRESH;
+                let crowd = !c.sock.has_received_any() && since.elapsed() >= FRESH;
                 Some((if crowd { 0 } else { 1 }, since))
             }
-            (Phase::Reading, since) if since.elapsed() >= STALE => Some((2, since)),
+            (ConnectionPhase::Reading, since) if since.elapsed() >= STALE => Some((2, since)),
             _ => None,
         };
         let mut all: Vec<_> = open.iter().filter_map(|(n, c)| Some((rank(c)?, *n, c))).collect();
         all.sort_unstable_by_key(|(rank, number, _)| (*rank, *number));
         // The kernel is asked of no more than it takes.
-        if let Some((.., client)) = all.into_iter().find(|(.., client)| client.sock.quiet()) {
+        if let Some((.., client)) = all.into_iter().find(|(.., client)| client.sock.is_quiet()) {
             client.evicted.set(true);
             client.close_for(CloseReason::Evicted);
         }
@@ -214,7 +214,7 @@
         self.last.set(number);
         let client = Rc::new(Client {
             number,
-            sock: Sock::of_client(stream),
+            sock: WatchedStream::for_client(stream),
             close: Notify::new(),
             reason: Cell::default(),
             evicted: Cell::default(),
--- a/crates/http/src/clients/answer.rs
+++ b/crates/http/src/clients/answer.rs
@@ -13,7 +13,7 @@
 use super::{Asked, Node};
 use crate::body::{Out, Passing};
 use crate::message::Reply;
-use crate::sock::Sock;
+use crate::watched_stream::WatchedStream;
 
 /// How long before the client's deadline the module's ends: the answer still has to be written and to
 /// arrive.
@@ -74,7 +74,7 @@
 pub(super) async fn settle(
     node: &Rc<Node>,
     asked: Asked,
-    sock: &Rc<Sock>,
+    sock: &Rc<WatchedStream>,
     arrived: Instant,
     remaining: Duration,
 ) -> Response<Out> {
@@ -124,7 +124,7 @@
                 biased;
                 answer = &mut answered => answer.ok(),
                 () = uploading.over() => {
-                    last = sock.last_bytes_came() + remaining;
+                    last = sock.last_read_arrived_at() + remaining;
                     in_time(last - guard, answered).await
                 }
             }
@@ -152,7 +152,7 @@
     tokio::time::timeout_at(last.into(), answered).await.ok()?.ok()
 }
 
-fn served(reply: Reply, to: &Rc<Sock>, due: Instant) -> Response<Out> {
+fn served(reply: Reply, to: &Rc<WatchedStream>, due: Instant) -> Response<Out> {
     let Reply { headers, body: held, rest } = reply;
     let body = match rest {
         None => Out::Whole(held),
@@ -173,9 +173,9 @@
 }
 
 /// Logs why a request is answered in the module's place, if this second has room for a line.
-pub(super) fn log_refused(node: &Node, sock: &Sock, why: &str) {
+pub(super) fn log_refused(node: &Node, sock: &WatchedStream, why: &str) {
     node.carrier().pool.sample.line(|| {
-        let id = sock.request();
+        let id = sock.request_id();
         let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("none");
         tracing::info!(target: "refused", "request {id}: {why}");
     });
--- a/crates/http/src/clients/closes.rs
+++ b/crates/http/src/clients/closes.rs
@@ -40,8 +40,8 @@
         stream.write_all(ASKS).expect("it is open");
         // The kernel has it, and nobody has read it yet.
         clients.close_idle();
-        assert_eq!(client.sock.phase().0, Phase::Idle);
-        while client.sock.phase().0 != Phase::Busy {
+        assert_eq!(client.sock.phase().0, ConnectionPhase::Idle);
+        while client.sock.phase().0 != ConnectionPhase::Busy {
             yield_now().await;
         }
         tokio::time::sleep(Duration::from_millis(250)).await;
@@ -50,7 +50,10 @@
         while clients.count() > 1 {
             yield_now().await;
         }
-        assert_eq!((client.sock.phase().0, idle.sock.phase().0), (Phase::Busy, Phase::Idle));
+        assert_eq!(
+            (client.sock.phase().0, idle.sock.phase().0),
+            (ConnectionPhase::Busy, ConnectionPhase::Idle)
+        );
     });
 }
 
@@ -59,7 +62,7 @@
 fn nothing_small_is_held_back_on_either_side() {
     play(async {
         let listener = listener().await;
-        for open in [Sock::of_client, Sock::new] {
+        for open in [WatchedStream::for_client, WatchedStream::new] {
             let stream = TcpStream::connect(address(&listener)).await.expect("it listens");
             let accepted = listener.accept().await.expect("it comes");
             for side in [stream.into_std().expect("a socket"), accepted.socket] {
--- a/crates/http/src/clients/closing.rs
+++ b/crates/http/src/clients/closing.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use super::{Client, Clients};
-use crate::sock::Phase;
+use crate::watched_stream::ConnectionPhase;
 
 /// Why the node closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 
     /// The connection with the request that it was last about.
     fn name(&self) -> String {
-        let request = self.sock.request();
+        let request = self.sock.request_id();
         let request = request.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("none");
         format!("connection {}, {:?}, request {request}", self.number, self.sock.phase().0)
     }
@@ -64,7 +64,7 @@
 
     /// A connection broke; told where a request was on it.
     pub(super) fn log_broken(&self, client: &Client, error: &hyper::Error) {
-        if client.sock.phase().0 != Phase::Idle {
+        if client.sock.phase().0 != ConnectionPhase::Idle {
             self.log(|| tracing::info!(target: "close", "{}: {error}", client.name()));
         }
     }
--- a/crates/http/src/clients/crossing.rs
+++ b/crates/http/src/clients/crossing.rs
@@ -47,7 +47,7 @@
                 if spoke {
                     write(&far, READY);
                     assert_eq!(heard(&far).await, Some(503));
-                    until("it is idle", || only(&clients).sock.phase().0 == Phase::Idle).await;
+                    until("it is idle", || only(&clients).sock.phase().0 == ConnectionPhase::Idle).await;
                 }
                 decide(&clients);
                 if crossing {
@@ -58,7 +58,7 @@
                     write(&far, READY);
                     clients.evict();
                     assert_eq!(heard(&far).await, Some(503), "spoke {spoke}");
-                    until("it is idle", || only(&clients).sock.phase().0 == Phase::Idle).await;
+                    until("it is idle", || only(&clients).sock.phase().0 == ConnectionPhase::Idle).await;
                     decide(&clients);
                 }
                 assert_eq!(heard(&far).await, None, "spoke {spoke}");
@@ -128,7 +128,7 @@
             held.push(connected(&clients, &listener).await);
         }
         let all: Vec<Rc<Client>> = clients.open.borrow().values().cloned().collect();
-        all.iter().for_each(|c| c.sock.enter(Phase::Busy));
+        all.iter().for_each(|c| c.sock.enter_phase(ConnectionPhase::Busy));
         let watched = clients.clone();
         tokio::task::spawn_local(async move { watched.accept(&listener).await });
         let newcomer = TcpStream::connect(at).await.expect("it listens");
@@ -138,7 +138,7 @@
             tokio::task::yield_now().await;
         }
         assert_eq!(clients.last.get(), all.len() as u64);
-        all[0].sock.enter(Phase::Idle);
+        all[0].sock.enter_phase(ConnectionPhase::Idle);
         assert_eq!(heard(&newcomer).await, Some(503));
     });
 }
--- a/crates/http/src/clients/ends.rs
+++ b/crates/http/src/clients/ends.rs
@@ -92,14 +92,14 @@
             let mut stream = connected(&clients, &listener).await;
             stream.write_all(format!("{}half", asks("slip", 8)).as_bytes()).await.expect("it is open");
             let client = last(&clients);
-            until("it pauses for too long", || client.sock.overdue()).await;
+            until("it pauses for too long", || client.sock.is_request_overdue()).await;
             let mut stream = stream.into_std().expect("a socket");
             stream.write_all(&b"rest"[..comes]).expect("it is open");
             // The kernel has them, and nobody has read them yet.
             clients.sweep();
             if comes == 4 {
                 until("it is taken", || clients.node.open_requests() == 1 || clients.count() == 0).await;
-                assert_eq!((clients.count(), client.sock.phase().0), (1, Phase::Busy));
+                assert_eq!((clients.count(), client.sock.phase().0), (1, ConnectionPhase::Busy));
             } else {
                 until("it is closed", || clients.count() == 0).await;
             }
--- a/crates/http/src/clients/request.rs
+++ b/crates/http/src/clients/request.rs
@@ -16,7 +16,7 @@
 use crate::body::{Held, Out, Upload, Uploading};
 use crate::budget::PASSING;
 use crate::message::{keep_end_to_end, Content, Message, BODY_MOST, KEY, REMAINING, SERVICE};
-use crate::sock::Sock;
+use crate::watched_stream::WatchedStream;
 
 /// The longest time that is believed, whatever its class has.
 const LONGEST: u64 = 600_000;
@@ -68,7 +68,7 @@
 
 pub(super) async fn read(
     node: &Node,
-    sock: &Rc<Sock>,
+    sock: &Rc<WatchedStream>,
     request: Request<Incoming>,
     framed_once: bool,
 ) -> Result<(Asked, Duration), Bad> {
@@ -120,7 +120,7 @@
 /// would take a server's connection, and its turn, for as long as a slow client sends.
 async fn body_of(
     node: &Node,
-    sock: &Rc<Sock>,
+    sock: &Rc<WatchedStream>,
     class: usize,
     length: Option<u64>,
     mut body: Incoming,
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 use crate::list;
-use crate::sock::{io, Io, Sock};
+use crate::watched_stream::{hyper_io, HyperIo, WatchedStream};
 
 /// The longest line that is taken.
 const LINE_MOST: usize = 4 << 20;
@@ -102,10 +102,10 @@
 }
 
 impl Dial for SocketAddr {
-    type Io = Io;
+    type Io = HyperIo;
 
-    async fn dial(&self) -> std::io::Result<Io> {
-        Ok(io(Sock::new(magpietally_net::connect(*self).await?)))
+    async fn dial(&self) -> std::io::Result<HyperIo> {
+        Ok(hyper_io(WatchedStream::new(magpietally_net::connect(*self).await?)))
     }
 }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -19,8 +19,8 @@
 mod scan;
 mod service;
 mod signals;
-mod sock;
 mod upstream;
+mod watched_stream;
 mod workers;
 
 pub use service::{run, Extras};
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -24,7 +24,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::carrier::Http;
-use crate::sock::{io, Sock};
+use crate::watched_stream::{hyper_io, WatchedStream};
 
 type Node = Core<Http>;
 
@@ -88,7 +88,7 @@
         Ok(stream) => stream,
         Err(error) => return tracing::warn!(target: "management", "a call is closed unread: {error}"),
     };
-    let sock = Sock::new(stream);
+    let sock = WatchedStream::new(stream);
     let service = service_fn(|request| async move {
         let proposes = request.uri().path() == POLICY && *request.method() == Method::PUT;
         Ok::<_, Infallible>(if proposes { propose(node, request).await } else { answer(node, &request) })
@@ -97,7 +97,7 @@
         .max_buf_size(HEAD_MOST)
         .auto_date_header(false)
         .keep_alive(false)
-        .serve_connection(io(sock.clone()), service);
+        .serve_connection(hyper_io(sock.clone()), service);
     // What breaks a call is the caller's to see.
     let _ = conn.await;
     let _ = timeout(LINGER, sock.linger()).await;
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -14,7 +14,7 @@
 
 use crate::body::{Outgoing, Rest, Upload, Uploading};
 use crate::budget::Lease;
-use crate::sock::Sock;
+use crate::watched_stream::WatchedStream;
 
 /// The largest body that is held in any case, in bytes: an answer up to it is passed on only when it is whole.
 pub const BODY_MOST: usize = 64 * 1024;
@@ -73,7 +73,7 @@
     }
 
     /// The same for one attempt over this connection; `None` where another has taken it.
-    pub fn outgoing(&self, over: &Rc<Sock>) -> Option<Outgoing> {
+    pub fn outgoing(&self, over: &Rc<WatchedStream>) -> Option<Outgoing> {
         Some(match self {
             Self::Held { bytes, .. } => Outgoing::Whole(bytes.clone()),
             Self::Passing { upload, .. } => Outgoing::Passing(Box::new(upload.take()?), over.clone()),
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use crate::body::Outgoing;
-use crate::sock::{io, Io, Sock};
+use crate::watched_stream::{hyper_io, HyperIo, WatchedStream};
 
 /// The largest head of an answer.
 const HEAD_MOST: usize = 32 * 1024;
@@ -28,9 +28,9 @@
 
 /// A connection between requests. It is not polled meanwhile: what happened to it is looked up before use.
 pub(crate) struct Link {
-    pub(crate) sock: Rc<Sock>,
+    pub(crate) sock: Rc<WatchedStream>,
     pub(crate) send: SendRequest<Outgoing>,
-    pub(crate) conn: Connection<Io, Outgoing>,
+    pub(crate) conn: Connection<HyperIo, Outgoing>,
     /// Whom it leads to.
     pub(crate) place: Place,
     pub(crate) since: Instant,
@@ -116,7 +116,7 @@
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
-            links.retain(|l| l.since.elapsed() < self.idle_most && l.sock.seems_quiet());
+            links.retain(|l| l.since.elapsed() < self.idle_most && l.sock.is_quiet_cached());
         }
         idle.retain(|_, links| !links.is_empty());
     }
@@ -140,7 +140,7 @@
             let rested = links.partition_point(|l| l.since.elapsed() >= REST);
             let at = rested.checked_sub(1).or((links.len() >= RESTING).then_some(0))?;
             let link = links.remove(at);
-            let quiet = if sure { link.sock.quiet() } else { link.sock.seems_quiet() };
+            let quiet = if sure { link.sock.is_quiet() } else { link.sock.is_quiet_cached() };
             if link.since.elapsed() < self.idle_most && quiet {
                 return Some(link);
             }
@@ -191,9 +191,9 @@
         now: Option<Place>,
     ) {
         // One that has more to read than the answer would answer the next request with it.
-        if link.sock.whole()
-            && link.sock.heard_just(came, chunked)
-            && link.sock.nothing_behind()
+        if link.sock.is_message_sent()
+            && link.sock.received_exactly(came, chunked)
+            && link.sock.has_no_unread_bytes()
             && now == Some(link.place)
         {
             self.put(server, link);
@@ -235,8 +235,8 @@
             Err(_) => return Err(Outcome::ConnectFailed),
         };
         let failed = Outcome::ConnectFailed;
-        let sock = Sock::new(stream);
-        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io(sock.clone())).await;
+        let sock = WatchedStream::new(stream);
+        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(hyper_io(sock.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
         Ok(Link { sock, send, conn, place, since: Instant::now(), _held: held })
     }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -21,7 +21,7 @@
 use crate::body::{within, Held, Outgoing, Rest};
 use crate::message::{keep_end_to_end, Message, Reply, BODY_MOST, REMAINING};
 use crate::pool::{unfinished, Link, Pool};
-use crate::sock::{Io, Sock};
+use crate::watched_stream::{HyperIo, WatchedStream};
 
 /// Turned away unseen.
 const TURNED_AWAY: HeaderName = HeaderName::from_static("x-turned-away");
@@ -93,7 +93,7 @@
         let sent = Instant::now();
         let expected = pool.expect(server);
         if fresh {
-            link.sock.begin(message.body.len());
+            link.sock.begin_message(message.body.len());
         } else {
             link.sock.begin_attempt(message.body.len(), pool.figures.clone());
         }
@@ -105,8 +105,8 @@
         let ended = within(end.into(), uploading.map(|u| &**u), &to, talk).await;
         let overtaken = ended.is_none() && pool.overtaken(server, sent);
         drop(expected);
-        let (any, whole) = (link.sock.any(), link.sock.whole());
-        if ended.is_none() && whole && !link.sock.heard_any() {
+        let (any, whole) = (link.sock.has_sent_any(), link.sock.is_message_sent());
+        if ended.is_none() && whole && !link.sock.has_response_started() {
             pool.distrust(server, sent);
         }
         match ended {
@@ -127,7 +127,9 @@
             Some(Err(_)) => return (Outcome::Unwritten, None),
             // A connection that is dead, or an answer that was lost, must not pass for a slow server: that would eject it,
             // and lower its limit, for each. One that is slow with all it has is not overtaken.
-            None if whole && !link.sock.heard_any() && overtaken => return (Outcome::Unheard, None),
+            None if whole && !link.sock.has_response_started() && overtaken => {
+                return (Outcome::Unheard, None)
+            }
             None if whole => return (Outcome::TimedOut, None),
             // It took nothing for long.
             None if uploading.is_some_and(|u| u.over_since().is_none()) => return (Outcome::Unwritten, None),
@@ -262,7 +264,7 @@
 
 /// Ends an exchange of whose request the kernel has taken nothing while its head holds.
 async fn unless_untaken(
-    sock: &Sock,
+    sock: &WatchedStream,
     talk: impl Future<Output = Result<Heard, Broken>>,
 ) -> Result<Heard, Broken> {
     let mut talk = pin!(talk);
@@ -271,7 +273,7 @@
         ended = &mut talk => return ended,
         () = sleep(HEAD_HOLDS) => {}
     }
-    if sock.any() {
+    if sock.has_sent_any() {
         talk.await
     } else {
         Err(Broken::Untaken)
@@ -339,13 +341,13 @@
 }
 
 /// Has the connection come to its end? hyper sees bytes behind the answer, and closes, only when polled.
-async fn over(conn: &mut Connection<Io, Outgoing>) -> bool {
+async fn over(conn: &mut Connection<HyperIo, Outgoing>) -> bool {
     let mut conn = pin!(conn);
     std::future::poll_fn(|cx| Poll::Ready(conn.as_mut().poll(cx).is_ready())).await
 }
 
 /// Polls the connection for as long as what goes on over it lasts.
-async fn drive<T>(conn: &mut Connection<Io, Outgoing>, talk: impl Future<Output = T>) -> T {
+async fn drive<T>(conn: &mut Connection<HyperIo, Outgoing>, talk: impl Future<Output = T>) -> T {
     let mut talk = pin!(talk);
     tokio::select! {
         biased;
--- a/crates/http/src/sock.rs
+++ b/crates/http/src/watched_stream.rs
@@ -35,7 +35,7 @@
 
 /// What a client's connection is in the middle of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ConnectionPhase {
     /// Between requests.
     Idle,
     /// A request has begun to come.
@@ -47,7 +47,7 @@
 }
 
 /// A watched socket.
-pub struct Sock {
+pub struct WatchedStream {
     stream: Stream,
     out: RefCell<Progress>,
     /// Where it is counted when the message's last byte is written.
@@ -56,7 +56,7 @@
     took_at: Cell<tokio::time::Instant>,
     /// What came back since the message was begun.
     back: RefCell<Back>,
-    phase: Cell<Phase>,
+    phase: Cell<ConnectionPhase>,
     /// When the phase began.
     since: Cell<Instant>,
     /// By when a request that is coming must be whole, but for the time that the bytes of its body may take.
@@ -85,14 +85,14 @@
     request: RefCell<Option<HeaderValue>>,
 }
 
-impl Sock {
+impl WatchedStream {
     /// Takes over a connection.
     pub fn new(stream: Stream) -> Rc<Self> {
         Self::open(stream, false)
     }
 
     /// Takes over the connection of a client, whose requests are watched.
-    pub fn of_client(stream: Stream) -> Rc<Self> {
+    pub fn for_client(stream: Stream) -> Rc<Self> {
         Self::open(stream, true)
     }
 
@@ -104,7 +104,7 @@
             counted: RefCell::default(),
             took_at: Cell::new(tokio::time::Instant::now()),
             back: RefCell::default(),
-            phase: Cell::new(Phase::Idle),
+            phase: Cell::new(ConnectionPhase::Idle),
             since: Cell::new(now),
             due: Cell::new(now + HEAD_WITHIN),
             head_came: Cell::new(None),
@@ -121,8 +121,8 @@
         })
     }
 
-    /// A message with so long a body is about to be written; `None`: in chunks, until [`Sock::end_of_message`].
-    pub fn begin(&self, body: Option<usize>) {
+    /// A message with so long a body is about to be written; `None`: in chunks, until [`WatchedStream::finish_message`].
+    pub fn begin_message(&self, body: Option<usize>) {
         let (chunked, body) = (body.is_none(), body.unwrap_or_default());
         *self.out.borrow_mut() = Progress { body, chunked, ..Progress::default() };
         *self.back.borrow_mut() = Back::default();
@@ -131,45 +131,45 @@
 
     /// The same of an attempt, which counts once its last byte is written, whatever becomes of it then.
     pub fn begin_attempt(&self, body: Option<usize>, figures: Figures) {
-        self.begin(body);
+        self.begin_message(body);
         *self.counted.borrow_mut() = Some(figures);
     }
 
     /// The message's body has been handed on to its last byte.
-    pub fn end_of_message(&self) {
+    pub fn finish_message(&self) {
         self.out.borrow_mut().ended = true;
     }
 
     /// Is the message passed on as it comes?
-    pub fn passes_on(&self) -> bool {
+    pub fn is_streaming(&self) -> bool {
         let out = self.out.borrow();
         out.chunked || out.body > BODY_MOST
     }
 
     /// Nothing but the connection's end tells who reads the message where it ends: until it is whole the connection is to end
     /// by a reset, whoever ends it.
-    pub fn will_break(&self) {
+    pub fn set_reset_on_close(&self) {
         self.breaks.set(true);
     }
 
     /// It is whole, and may end in order.
-    pub fn is_whole(&self) {
+    pub fn clear_reset_on_close(&self) {
         self.breaks.set(false);
     }
 
     /// Is it to end by a reset? Then that is seen to.
-    pub fn broken(&self) -> bool {
+    pub fn apply_reset_on_close(&self) -> bool {
         // Where the socket is broken already, it is broken.
         self.breaks.get() && self.stream.reset_on_close()
     }
 
     /// Has the kernel taken any byte of the message?
-    pub fn any(&self) -> bool {
+    pub fn has_sent_any(&self) -> bool {
         self.out.borrow().any
     }
 
     /// Waits until the kernel has taken nothing of the message for so long.
-    pub async fn takes_nothing_for(&self, span: Duration) {
+    pub async fn write_stalled_for(&self, span: Duration) {
         loop {
             let end = self.took_at.get() + span;
             tokio::time::sleep_until(end).await;
@@ -180,25 +180,25 @@
     }
 
     /// Has any byte come back?
-    pub fn heard_any(&self) -> bool {
+    pub fn has_response_started(&self) -> bool {
         self.back.borrow().head.any
     }
 
     /// Has the kernel taken the message's last byte?
-    pub fn whole(&self) -> bool {
+    pub fn is_message_sent(&self) -> bool {
         self.out.borrow().whole()
     }
 
     /// What a client's connection is in the middle of, and since when.
-    pub fn phase(&self) -> (Phase, Instant) {
+    pub fn phase(&self) -> (ConnectionPhase, Instant) {
         (self.phase.get(), self.since.get())
     }
 
     /// Enters a phase.
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter_phase(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
-        if phase == Phase::Answering {
+        if phase == ConnectionPhase::Answering {
             self.answers.set(self.answers.get() + 1);
             // What still waits is not of this request.
             self.stream.caught_up();
@@ -208,7 +208,7 @@
     /// The head of the next request is whole; what still comes is its body. Is it clear where the request ends? One with a
     /// length and a transfer coding may hide another in its body: what is the body by the one is the next request by the
     /// other. hyper drops a length that stands behind a transfer coding before anyone can see it.
-    pub fn head_is_whole(&self) -> bool {
+    pub fn finish_request_head(&self) -> bool {
         self.head_came.set(Some(self.came.get()));
         self.due.set(self.due.get().max(Instant::now() + BODY_WAIT));
         self.waited.set(Duration::ZERO);
@@ -216,26 +216,26 @@
     }
 
     /// Notes the id of the request whose head is whole.
-    pub fn set_request(&self, id: Option<HeaderValue>) {
+    pub fn set_request_id(&self, id: Option<HeaderValue>) {
         *self.request.borrow_mut() = id;
     }
 
     /// The id of the latest request.
-    pub fn request(&self) -> Option<HeaderValue> {
+    pub fn request_id(&self) -> Option<HeaderValue> {
         self.request.borrow().clone()
     }
 
     /// The last byte of a request that is passed on while it comes has come.
-    pub fn request_is_whole(&self) {
-        if self.phase.get() == Phase::Reading {
-            self.enter(Phase::Busy);
+    pub fn finish_request_body(&self) {
+        if self.phase.get() == ConnectionPhase::Reading {
+            self.enter_phase(ConnectionPhase::Busy);
         }
     }
 
     /// Has the request that is coming taken too long?
-    pub fn overdue(&self) -> bool {
+    pub fn is_request_overdue(&self) -> bool {
         let now = Instant::now();
-        if self.phase.get() != Phase::Reading {
+        if self.phase.get() != ConnectionPhase::Reading {
             return false;
         }
         let Some(head) = self.head_came.get() else { return now >= self.due.get() };
@@ -251,20 +251,20 @@
     }
 
     /// Has anything ever come?
-    pub fn spoke(&self) -> bool {
+    pub fn has_received_any(&self) -> bool {
         self.spoke.get()
     }
 
     /// How many requests have been answered, or are being.
-    pub fn answers(&self) -> usize {
+    pub fn responses_started(&self) -> usize {
         self.answers.get()
     }
 
     /// When the last bytes of the present request came: that is when its time begins, however slowly it was sent. Where a call
     /// that failed kept them from being read, that is when they may have come at the earliest. One that came right behind
     /// another was read with it; its time counts from now.
-    pub fn arrived(&self) -> Instant {
-        if self.phase.get() == Phase::Reading {
+    pub fn request_arrived_at(&self) -> Instant {
+        if self.phase.get() == ConnectionPhase::Reading {
             self.heard.get().max(self.since.get())
         } else {
             Instant::now()
@@ -272,24 +272,24 @@
     }
 
     /// When the bytes that were read last may have come, at the earliest.
-    pub fn last_bytes_came(&self) -> Instant {
+    pub fn last_read_arrived_at(&self) -> Instant {
         self.stream.unread_since().unwrap_or_else(Instant::now)
     }
 
     /// Nothing to read, and not closed by the other side. Asks the kernel, as what the runtime knows may be
     /// a turn of its loop old.
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         self.stream.is_quiet()
     }
 
     /// The same by what the runtime knows, which costs no call to the kernel and may be a turn of its loop old.
-    pub fn seems_quiet(&self) -> bool {
+    pub fn is_quiet_cached(&self) -> bool {
         self.stream.seems_quiet()
     }
 
     /// Nothing behind what was read last: the last read found nothing, or the kernel is asked.
-    pub fn nothing_behind(&self) -> bool {
-        self.stream.is_drained() || self.quiet()
+    pub fn has_no_unread_bytes(&self) -> bool {
+        self.stream.is_drained() || self.is_quiet()
     }
 
     /// Says that nothing more will be written, and reads what still comes until the other side closes.
@@ -310,13 +310,13 @@
     /// Waits until a client has closed its connection or broken it off, whatever it left unread: whoever reads a message
     /// may have stopped, and would not see the end behind more bytes. Reads nothing, and looks at nothing until the
     /// runtime has word of it.
-    pub async fn gone(&self) {
+    pub async fn closed_by_peer(&self) {
         self.stream.closed_by_peer().await;
     }
 
     /// Was what came back one head and a body of this length as it stands, or else chunks up to the last? More
     /// than that would be taken for the answer to the next request.
-    pub fn heard_just(&self, body: usize, chunked: bool) -> bool {
+    pub fn received_exactly(&self, body: usize, chunked: bool) -> bool {
         let back = self.back.borrow();
         let came = back.head.left.map(|left| usize::MAX - left);
         if chunked {
@@ -332,12 +332,12 @@
             return;
         }
         let now = Instant::now();
-        let heard = self.last_bytes_came();
+        let heard = self.last_read_arrived_at();
         self.heard.set(heard);
         if let Some(since) = self.waits.take() {
             self.waited.set(self.waited.get() + (now - since));
         }
-        if self.phase.get() == Phase::Idle {
+        if self.phase.get() == ConnectionPhase::Idle {
             self.coming(self.spoke.replace(true));
             self.since.set(heard);
         }
@@ -347,7 +347,7 @@
 
     /// A request begins to come, the first of its connection or a later one.
     fn coming(&self, later: bool) {
-        self.enter(Phase::Reading);
+        self.enter_phase(ConnectionPhase::Reading);
         self.head_came.set(None);
         if later {
             self.due.set(self.since.get() + HEAD_WITHIN);
@@ -357,45 +357,45 @@
     fn took(&self, bytes: &[u8]) {
         self.out.borrow_mut().took(bytes);
         self.took_at.set(tokio::time::Instant::now());
-        if self.whole() {
+        if self.is_message_sent() {
             if let Some(figures) = self.counted.take() {
                 figures.tried();
             }
         }
-        if self.phase.get() != Phase::Answering {
+        if self.phase.get() != ConnectionPhase::Answering {
             return;
         }
         // A reader that is slow is one that still reads.
         self.since.set(Instant::now());
-        if self.whole() {
+        if self.is_message_sent() {
             // What came ahead is the next request: half of one must not pass for an idle connection.
             if self.scan.borrow().ahead() {
                 self.coming(true);
             } else {
-                self.enter(Phase::Idle);
+                self.enter_phase(ConnectionPhase::Idle);
             }
         }
     }
 }
 
-impl Drop for Sock {
+impl Drop for WatchedStream {
     fn drop(&mut self) {
-        self.broken();
+        self.apply_reset_on_close();
     }
 }
 
 /// hyper's side of a watched socket.
-pub type Io = TokioIo<Watched>;
+pub type HyperIo = TokioIo<HyperStream>;
 
 /// What hyper reads and writes, with a look at it.
-pub struct Watched(Rc<Sock>);
+pub struct HyperStream(Rc<WatchedStream>);
 
 /// A socket as hyper takes it.
-pub fn io(sock: Rc<Sock>) -> Io {
-    TokioIo::new(Watched(sock))
+pub fn hyper_io(sock: Rc<WatchedStream>) -> HyperIo {
+    TokioIo::new(HyperStream(sock))
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for HyperStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let sock = &self.0;
         let before = buf.filled().len();
@@ -409,7 +409,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for HyperStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let sock = &self.0;
         let taken = ready!(sock.stream.poll_send(cx, buf))?;
