--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -16,8 +16,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-use crate::budget::Lease;
-use crate::message::BODY_MOST;
+use crate::memory_budget::Reservation;
+use crate::message::BUFFERED_BODY_MAX_BYTES;
 use crate::pool::{Link, Pool};
 use crate::watched_stream::WatchedStream;
 
@@ -32,19 +32,19 @@
 
 /// What has come of a body. A single piece is not copied.
 #[derive(Default)]
-pub struct Held {
+pub struct BufferedBody {
     one: Bytes,
     more: Vec<u8>,
 }
 
-impl Held {
+impl BufferedBody {
     /// How many bytes there are.
     pub fn len(&self) -> usize {
         self.one.len() + self.more.len()
     }
 
     /// How many bytes of memory they take.
-    pub fn takes(&self) -> usize {
+    pub fn capacity_bytes(&self) -> usize {
         self.one.len() + self.more.capacity()
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// All of it.
-    pub fn bytes(self) -> Bytes {
+    pub fn into_bytes(self) -> Bytes {
         if self.more.is_empty() {
             self.one
         } else {
@@ -78,27 +78,27 @@
 
 /// How far the passing on of a request's body has come.
 #[derive(Default)]
-pub struct Uploading {
+pub struct UploadProgress {
     over: Cell<Option<Instant>>,
     broken: Cell<bool>,
     told: Notify,
 }
 
-impl Uploading {
+impl UploadProgress {
     /// Waits until the last byte has been handed on, or it is clear that it never will be.
-    pub async fn over(&self) {
+    pub async fn finished(&self) {
         while self.over.get().is_none() {
             self.told.notified().await;
         }
     }
 
     /// When that was.
-    pub fn over_since(&self) -> Option<Instant> {
+    pub fn finished_at(&self) -> Option<Instant> {
         self.over.get()
     }
 
     /// Did the client break off?
-    pub fn broken(&self) -> bool {
+    pub fn is_aborted(&self) -> bool {
         self.broken.get()
     }
 
@@ -111,7 +111,7 @@
 }
 
 /// A request's body that is passed on while it comes.
-pub struct Upload {
+pub struct StreamedRequestBody {
     /// What had come before it was clear that it is passed on.
     pub held: Bytes,
     /// What still comes.
@@ -125,16 +125,16 @@
     /// What it is counted as.
     pub underway: Rc<RefCell<Option<Underway>>>,
     /// How far it has come.
-    pub uploading: Rc<Uploading>,
+    pub uploading: Rc<UploadProgress>,
     /// What it holds.
-    pub lease: Lease,
+    pub reservation: Reservation,
 }
 
-impl Upload {
+impl StreamedRequestBody {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let data = if self.held.is_empty() {
             // The held part has gone on.
-            self.lease.hold(crate::budget::PASSING);
+            self.reservation.try_reserve(crate::memory_budget::STREAMED_MESSAGE_BYTES);
             match ready!(self.poll_rest(cx)) {
                 Some(Ok(data)) => data,
                 Some(Err(error)) => {
@@ -186,7 +186,7 @@
 }
 
 /// One that is dropped before its end will have none.
-impl Drop for Upload {
+impl Drop for StreamedRequestBody {
     fn drop(&mut self) {
         if self.uploading.over.get().is_none() {
             self.uploading.end(true);
@@ -195,14 +195,14 @@
 }
 
 /// The body of a request to a server.
-pub enum Outgoing {
+pub enum OutgoingBody {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Passed on, over this connection.
-    Passing(Box<Upload>, Rc<WatchedStream>),
+    Streamed(Box<StreamedRequestBody>, Rc<WatchedStream>),
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -211,9 +211,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Passing(upload, to) => {
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Streamed(upload, to) => {
                 let frame = ready!(upload.poll(cx));
                 if frame.is_none() {
                     to.finish_message();
@@ -224,13 +224,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(bytes) if bytes.is_empty())
+        matches!(self, Self::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Passing(upload, _) => upload.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Streamed(upload, _) => upload.length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -238,7 +238,7 @@
 // ---- What goes to a client ----
 
 /// What a server still gives of an answer that is passed on.
-pub struct Rest {
+pub struct RemainingBody {
     /// What still comes.
     pub incoming: Incoming,
     /// The connection that it comes by; gone when it is over.
@@ -248,38 +248,38 @@
     /// Whom it leads to.
     pub server: ServerId,
     /// Where the server is now.
-    pub now_at: Box<dyn Fn() -> Option<Place>>,
+    pub current_endpoint: Box<dyn Fn() -> Option<Place>>,
     /// May the connection be used again?
-    pub keep: bool,
+    pub reusable: bool,
     /// Does the answer come in chunks?
     pub chunked: bool,
     /// How many bytes have come.
-    pub came: usize,
+    pub received_bytes: usize,
     /// The connection has come to its end; what it brought is still to be read.
-    pub over: bool,
+    pub connection_closed: bool,
     /// Ends a wait for a server that gives nothing.
-    pub stall: Option<Pin<Box<Sleep>>>,
+    pub stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Rest {
+impl RemainingBody {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
         loop {
-            if let Some(link) = self.link.as_mut().filter(|_| !self.over) {
+            if let Some(link) = self.link.as_mut().filter(|_| !self.connection_closed) {
                 // What breaks it is told by the body.
-                self.over = Pin::new(&mut link.conn).poll(cx).is_ready();
+                self.connection_closed = Pin::new(&mut link.conn).poll(cx).is_ready();
             }
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.stall = None;
+                    self.stall_timer = None;
                     if let Ok(data) = frame.into_data() {
-                        self.came += data.len();
+                        self.received_bytes += data.len();
                         return Poll::Ready(Some(Ok(data)));
                     }
                 }
                 Poll::Ready(Some(Err(error))) => return Poll::Ready(Some(Err(io::Error::other(error)))),
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Pending => {
-                    let stall = self.stall.get_or_insert_with(|| Box::pin(sleep(STALLED)));
+                    let stall = self.stall_timer.get_or_insert_with(|| Box::pin(sleep(STALLED)));
                     ready!(stall.as_mut().poll(cx));
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
@@ -290,19 +290,25 @@
     /// The answer is whole: its connection may be used again, if nothing came behind.
     fn give_back(&mut self, cx: &mut Context<'_>) {
         let Some(mut link) = self.link.take() else { return };
-        let over = self.over || Pin::new(&mut link.conn).poll(cx).is_ready();
-        if self.keep && !over {
-            self.pool.give_back(self.server, link, self.came, self.chunked, (self.now_at)());
+        let over = self.connection_closed || Pin::new(&mut link.conn).poll(cx).is_ready();
+        if self.reusable && !over {
+            self.pool.give_back(
+                self.server,
+                link,
+                self.received_bytes,
+                self.chunked,
+                (self.current_endpoint)(),
+            );
         }
     }
 }
 
 /// An answer that is passed on.
-pub struct Passing {
+pub struct StreamedResponse {
     /// What had come before it was clear that it is passed on.
     pub held: Bytes,
     /// What still comes.
-    pub rest: Rest,
+    pub rest: RemainingBody,
     /// How long it is in all, where the server has told it.
     pub length: Option<u64>,
     /// When its client's time is over.
@@ -318,7 +324,7 @@
     pub broken: bool,
 }
 
-impl Passing {
+impl StreamedResponse {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if !self.held.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.held)))));
@@ -335,7 +341,7 @@
         };
         match &next {
             // Whoever writes a body of a known length does not ask for its end.
-            Some(Ok(_)) if self.length == Some(self.rest.came as u64) => self.end(cx),
+            Some(Ok(_)) if self.length == Some(self.rest.received_bytes as u64) => self.end(cx),
             Some(Ok(_)) => {}
             Some(Err(_)) => {
                 if let Some(underway) = self.underway.take() {
@@ -358,11 +364,11 @@
 
     /// Waits until its client's time is over and next to nothing more comes, where nobody knows how long it will be.
     fn ceases(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        while self.length.is_none() && self.rest.came <= BODY_MOST {
+        while self.length.is_none() && self.rest.received_bytes <= BUFFERED_BODY_MAX_BYTES {
             let due = self.due;
             let (end, before) = self.late.get_or_insert_with(|| (Box::pin(sleep_until(due)), None));
             ready!(end.as_mut().poll(cx));
-            let came = self.rest.came;
+            let came = self.rest.received_bytes;
             if before.replace(came).is_some_and(|before| came - before < COMES) {
                 return Poll::Ready(());
             }
@@ -381,14 +387,14 @@
 }
 
 /// The body of an answer to a client.
-pub enum Out {
+pub enum ResponseBody {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Passed on.
-    Passing(Box<Passing>),
+    Streamed(Box<StreamedResponse>),
 }
 
-impl Body for Out {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -397,20 +403,20 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Passing(passing) => passing.poll(cx),
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Streamed(passing) => passing.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(bytes) if bytes.is_empty())
+        matches!(self, Self::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Passing(passing) => passing.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Streamed(passing) => passing.length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -418,9 +424,9 @@
 /// When an attempt of a request that is passed on is given up: its time begins with its last byte. Until then its server has
 /// to take some of it now and then: one that hangs would else keep its client without an answer for good, and one that the
 /// network cut off until the kernel gives up.
-pub async fn within<T>(
+pub async fn run_until_deadline<T>(
     end: Instant,
-    upload: Option<&Uploading>,
+    upload: Option<&UploadProgress>,
     to: &WatchedStream,
     talk: impl Future<Output = T>,
 ) -> Option<T> {
@@ -430,7 +436,7 @@
     tokio::select! {
         biased;
         done = &mut talk => return Some(done),
-        () = upload.over() => {}
+        () = upload.finished() => {}
         () = to.write_stalled_for(STALLED) => return None,
     }
     tokio::time::timeout(span, talk).await.ok()
--- a/crates/http/src/body/tests.rs
+++ b/crates/http/src/body/tests.rs
@@ -22,21 +22,21 @@
     let (sock, _listener) = sock().await;
     let over = Instant::now();
     advance(Duration::from_millis(5)).await;
-    let whole = Uploading::default();
+    let whole = UploadProgress::default();
     whole.end(false);
     for upload in [None, Some(&whole)] {
-        assert_eq!(within(over, upload, &sock, ready("answer")).await, Some("answer"));
+        assert_eq!(run_until_deadline(over, upload, &sock, ready("answer")).await, Some("answer"));
         let (server, answer) = oneshot::channel();
-        assert_eq!(within(over, upload, &sock, answer).await, None);
+        assert_eq!(run_until_deadline(over, upload, &sock, answer).await, None);
         assert!(server.send("late").is_err());
     }
     // The answer and the body's last byte come in one turn: it counts, whatever is left of its time.
-    let last = Uploading::default();
+    let last = UploadProgress::default();
     let both = poll_fn(|_| {
         last.end(false);
         Poll::Ready("early")
     });
-    assert_eq!(within(over, Some(&last), &sock, both).await, Some("early"));
+    assert_eq!(run_until_deadline(over, Some(&last), &sock, both).await, Some("early"));
 }
 
 /// A request that is passed on: as long as its server takes some of it now and then it goes on, past its time; one that takes
@@ -44,8 +44,9 @@
 #[tokio::test(start_paused = true)]
 async fn an_upload_that_its_server_does_not_take_is_given_up() {
     let (sock, _listener) = sock().await;
-    let upload = Uploading::default();
-    let mut attempt = Box::pin(within(Instant::now(), Some(&upload), &sock, std::future::pending::<()>()));
+    let upload = UploadProgress::default();
+    let mut attempt =
+        Box::pin(run_until_deadline(Instant::now(), Some(&upload), &sock, std::future::pending::<()>()));
     for _ in 0..4 {
         sock.begin_message(None);
         assert!(timeout(STALLED * 9 / 10, &mut attempt).await.is_err(), "it goes on");
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -17,9 +17,9 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-use crate::body::Out;
-use crate::carrier::Http;
-use crate::message::{Content, Message};
+use crate::body::ResponseBody;
+use crate::http_transport::HttpTransport;
+use crate::message::{RequestBody, UpstreamRequest};
 use crate::watched_stream::{hyper_io, ConnectionPhase, WatchedStream};
 use accept::Reduction;
 use answer::{body_length, end_of, log_refused, plain, refusal, settle};
@@ -31,8 +31,8 @@
 mod closing;
 mod request;
 
-type Node = Core<Http>;
-type Asked = magpietally_core::Asked<Message>;
+type Node = Core<HttpTransport>;
+type Asked = magpietally_core::Asked<UpstreamRequest>;
 
 /// How long a client may take nothing of its answer.
 const ANSWERING: Duration = Duration::from_secs(5);
@@ -105,7 +105,7 @@
 }
 
 /// The connections of clients.
-pub struct Clients {
+pub struct ClientConnections {
     node: Rc<Node>,
     open: RefCell<HashMap<u64, Rc<Client>>>,
     last: Cell<u64>,
@@ -117,7 +117,7 @@
     freed: Notify,
 }
 
-impl Clients {
+impl ClientConnections {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
         let most = node.carrier().config.clients_most();
@@ -138,7 +138,7 @@
     }
 
     /// Closes connections that say nothing, on which a request takes too long to come, or whose answer is not read.
-    pub fn sweep(&self) {
+    pub fn close_overdue(&self) {
         self.fewer.ease();
         for client in self.open.borrow().values() {
             if let Some(reason) = self.overdue(client) {
@@ -182,7 +182,7 @@
     }
 
     /// Does any client still wait for an answer that is held whole, or for its bytes to be written?
-    pub fn owes(&self) -> bool {
+    pub fn has_pending_responses(&self) -> bool {
         let owes = |c: &Rc<Client>| match c.sock.phase().0 {
             ConnectionPhase::Busy => true,
             ConnectionPhase::Answering => !c.sock.is_streaming(),
@@ -269,7 +269,11 @@
 impl Error for Gone {}
 
 /// Answers one request.
-async fn respond(clients: Rc<Clients>, sock: Rc<WatchedStream>, request: Request<Incoming>) -> Response<Out> {
+async fn respond(
+    clients: Rc<ClientConnections>,
+    sock: Rc<WatchedStream>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let node = &clients.node;
     let framed_once = sock.finish_request_head();
     sock.set_request_id(request.headers().get(TXN).cloned());
@@ -288,16 +292,16 @@
             Ok((asked, remaining)) => {
                 // One that is passed on while it comes is taken with its last byte.
                 let underway = match &asked.request.body {
-                    Content::Held { .. } => {
+                    RequestBody::Buffered { .. } => {
                         let mut underway = node.process().figures.request(asked.class);
                         underway.taken();
                         Rc::new(RefCell::new(Some(underway)))
                     }
-                    Content::Passing { upload, .. } => {
+                    RequestBody::Streamed { upload, .. } => {
                         upload.borrow().as_ref().map(|u| u.underway.clone()).unwrap_or_default()
                     }
                 };
-                let uploading = asked.request.body.uploading().cloned();
+                let uploading = asked.request.body.upload_progress().cloned();
                 let mut answer = if clients.all_in_use() {
                     log_refused(node, &sock, "the node stops, and few connections are free");
                     refusal(node.stay_away(asked.class))
@@ -308,20 +312,20 @@
                     }
                     settle(node, asked, &sock, arrived, remaining).await
                 };
-                if uploading.is_some_and(|u| u.over_since().is_none()) {
+                if uploading.is_some_and(|u| u.finished_at().is_none()) {
                     // What its client still sends is read by nobody.
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 let (end, underway) = (end_of(answer.status()), underway.take());
                 match answer.body_mut() {
-                    Out::Passing(passing) => {
+                    ResponseBody::Streamed(passing) => {
                         passing.underway = underway;
                         if old && passing.length.is_none() {
                             // Until it is whole: the node's own end may cut it off.
                             sock.set_reset_on_close();
                         }
                     }
-                    Out::Whole(_) => {
+                    ResponseBody::Buffered(_) => {
                         if let Some(underway) = underway {
                             underway.end(end);
                         }
--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::closing::CloseReason;
-use super::{Client, Clients};
+use super::{Client, ClientConnections};
 use crate::watched_stream::{ConnectionPhase, WatchedStream};
 
 /// From this age on a request that is still coming makes room for others where there is none.
@@ -84,7 +84,7 @@
     }
 }
 
-impl Clients {
+impl ClientConnections {
     /// Accepts connections; never ends.
     pub async fn accept(self: &Rc<Self>, listener: &Listener) {
         let mut lack = Lack::default();
@@ -132,7 +132,7 @@
     }
 
     /// Accepts what the backlog still holds, but not without end what a crowd goes on adding to it.
-    pub async fn empty_backlog(self: &Rc<Self>, listener: &Listener) {
+    pub async fn drain_backlog(self: &Rc<Self>, listener: &Listener) {
         let began = Instant::now();
         let mut lack = Lack::default();
         while began.elapsed() < BACKLOG_WITHIN {
--- a/crates/http/src/clients/answer.rs
+++ b/crates/http/src/clients/answer.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 
 use super::{Asked, Node};
-use crate::body::{Out, Passing};
-use crate::message::Reply;
+use crate::body::{ResponseBody, StreamedResponse};
+use crate::message::UpstreamResponse;
 use crate::watched_stream::WatchedStream;
 
 /// How long before the client's deadline the module's ends: the answer still has to be written and to
@@ -31,12 +31,12 @@
 const BECAUSE: HeaderName = HeaderName::from_static("x-failed-because");
 
 /// How long an answer's body is; `None` where it goes out in chunks.
-pub(super) fn body_length(answer: &Response<Out>) -> Option<usize> {
+pub(super) fn body_length(answer: &Response<ResponseBody>) -> Option<usize> {
     hyper::body::Body::size_hint(answer.body()).exact().and_then(|n| usize::try_from(n).ok())
 }
 
-pub(super) fn plain(status: StatusCode) -> Response<Out> {
-    let mut answer = Response::new(Out::Whole(Bytes::new()));
+pub(super) fn plain(status: StatusCode) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::Buffered(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
@@ -77,9 +77,9 @@
     sock: &Rc<WatchedStream>,
     arrived: Instant,
     remaining: Duration,
-) -> Response<Out> {
+) -> Response<ResponseBody> {
     let mut last = arrived + remaining;
-    let uploading = asked.request.body.uploading().cloned();
+    let uploading = asked.request.body.upload_progress().cloned();
     let (margin, guard) = kept_back(remaining);
     let fails_open = || node.process().life().fails_open(Instant::now());
     while node.fleet_holds() && !fails_open() && Instant::now() + HELD_LOOK < last - margin {
@@ -123,7 +123,7 @@
             tokio::select! {
                 biased;
                 answer = &mut answered => answer.ok(),
-                () = uploading.over() => {
+                () = uploading.finished() => {
                     last = sock.last_read_arrived_at() + remaining;
                     in_time(last - guard, answered).await
                 }
@@ -147,16 +147,16 @@
 /// kept waiting past that.
 pub(super) async fn in_time(
     last: Instant,
-    answered: oneshot::Receiver<Answer<Reply>>,
-) -> Option<Answer<Reply>> {
+    answered: oneshot::Receiver<Answer<UpstreamResponse>>,
+) -> Option<Answer<UpstreamResponse>> {
     tokio::time::timeout_at(last.into(), answered).await.ok()?.ok()
 }
 
-fn served(reply: Reply, to: &Rc<WatchedStream>, due: Instant) -> Response<Out> {
-    let Reply { headers, body: held, rest } = reply;
+fn served(reply: UpstreamResponse, to: &Rc<WatchedStream>, due: Instant) -> Response<ResponseBody> {
+    let UpstreamResponse { headers, body: held, rest } = reply;
     let body = match rest {
-        None => Out::Whole(held),
-        Some((rest, length)) => Out::Passing(Box::new(Passing {
+        None => ResponseBody::Buffered(held),
+        Some((rest, length)) => ResponseBody::Streamed(Box::new(StreamedResponse {
             held,
             rest: *rest,
             length,
@@ -182,7 +182,7 @@
 }
 
 /// A refusal, with the module's word on when to come back in decimal seconds.
-pub(super) fn refusal(stay_away: Millis) -> Response<Out> {
+pub(super) fn refusal(stay_away: Millis) -> Response<ResponseBody> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
     if stay_away > 0.0 {
         if let Ok(span) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
--- a/crates/http/src/clients/closes.rs
+++ b/crates/http/src/clients/closes.rs
@@ -19,7 +19,7 @@
 const TIME: f64 = 20_000.0;
 
 /// A client that has asked once and rests, and the node's side of its connection.
-async fn resting(clients: &Rc<Clients>, listener: &Listener) -> (TcpStream, Rc<Client>) {
+async fn resting(clients: &Rc<ClientConnections>, listener: &Listener) -> (TcpStream, Rc<Client>) {
     let mut stream = connected(clients, listener).await;
     let client = clients.open.borrow().get(&clients.last.get()).cloned().expect("it is open");
     stream.write_all(READY).await.expect("it is open");
@@ -46,7 +46,7 @@
         }
         tokio::time::sleep(Duration::from_millis(250)).await;
         clients.close_idle();
-        clients.sweep();
+        clients.close_overdue();
         while clients.count() > 1 {
             yield_now().await;
         }
--- a/crates/http/src/clients/closing.rs
+++ b/crates/http/src/clients/closing.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{Client, Clients};
+use super::{Client, ClientConnections};
 use crate::watched_stream::ConnectionPhase;
 
 /// Why the node closes a connection.
@@ -50,7 +50,7 @@
     }
 }
 
-impl Clients {
+impl ClientConnections {
     /// Logs a line, if this second has room for one.
     pub(super) fn log(&self, line: impl FnOnce()) {
         self.node.carrier().pool.sample.line(line);
--- a/crates/http/src/clients/crossing.rs
+++ b/crates/http/src/clients/crossing.rs
@@ -30,16 +30,16 @@
     assert_eq!(far.try_write(bytes).expect("room for it"), bytes.len());
 }
 
-fn only(clients: &Clients) -> Rc<Client> {
+fn only(clients: &ClientConnections) -> Rc<Client> {
     clients.open.borrow().values().next().cloned().expect("one is open")
 }
 
 #[test]
 fn a_request_that_crosses_the_closing_of_its_connection_is_answered() {
     // What makes room, what has been idle for too long, and what a node that ends closes.
-    let evict = |clients: &Clients| clients.evict();
-    let notify = |clients: &Clients| only(clients).close.notify_one();
-    for decide in [&evict as &dyn Fn(&Clients), &notify] {
+    let evict = |clients: &ClientConnections| clients.evict();
+    let notify = |clients: &ClientConnections| only(clients).close.notify_one();
+    for decide in [&evict as &dyn Fn(&ClientConnections), &notify] {
         for (spoke, crossing) in [(true, true), (false, true), (true, false), (false, false)] {
             play(async {
                 let (clients, listener) = (clients(64, 1000.0), listener().await);
--- a/crates/http/src/clients/ends.rs
+++ b/crates/http/src/clients/ends.rs
@@ -24,7 +24,7 @@
 }
 
 /// The node's side of the connection that came last.
-fn last(clients: &Clients) -> Rc<Client> {
+fn last(clients: &ClientConnections) -> Rc<Client> {
     clients.open.borrow().get(&clients.last.get()).cloned().expect("it is open")
 }
 
@@ -96,7 +96,7 @@
             let mut stream = stream.into_std().expect("a socket");
             stream.write_all(&b"rest"[..comes]).expect("it is open");
             // The kernel has them, and nobody has read them yet.
-            clients.sweep();
+            clients.close_overdue();
             if comes == 4 {
                 until("it is taken", || clients.node.open_requests() == 1 || clients.count() == 0).await;
                 assert_eq!((clients.count(), client.sock.phase().0), (1, ConnectionPhase::Busy));
--- a/crates/http/src/clients/harness.rs
+++ b/crates/http/src/clients/harness.rs
@@ -18,7 +18,7 @@
 pub(super) const PATIENCE: Duration = Duration::from_secs(30);
 
 /// The clients of a node that may hold so many descriptors. Its classes `look` and `slip` have so many milliseconds.
-pub(super) fn clients(sockets: usize, time: f64) -> Rc<Clients> {
+pub(super) fn clients(sockets: usize, time: f64) -> Rc<ClientConnections> {
     let class = |name: &str, effect: &str| json!({"Name": name, "Slo": time, "Deadline": time, "Idempotency": effect, "Value": 1.0, "LateValue": 0.0});
     let settings = json!({
         "Classes": [class("look", "pure"), class("slip", "side_effect")],
@@ -44,7 +44,7 @@
         lasting: Default::default(),
     };
     let process = Process::new(2, Life::new(time, false));
-    Clients::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
+    ClientConnections::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
 }
 
 /// Runs to its end, which must come.
@@ -54,7 +54,7 @@
 }
 
 /// A connection that the node holds, and its far end.
-pub(super) async fn connected(clients: &Rc<Clients>, listener: &Listener) -> TcpStream {
+pub(super) async fn connected(clients: &Rc<ClientConnections>, listener: &Listener) -> TcpStream {
     let far = TcpStream::connect(address(listener)).await.expect("it listens");
     clients.serve(listener.accept().await.expect("one has come"));
     far
--- a/crates/http/src/clients/request.rs
+++ b/crates/http/src/clients/request.rs
@@ -13,9 +13,12 @@
 
 use super::answer::plain;
 use super::{Asked, Node, TXN};
-use crate::body::{Held, Out, Upload, Uploading};
-use crate::budget::PASSING;
-use crate::message::{keep_end_to_end, Content, Message, BODY_MOST, KEY, REMAINING, SERVICE};
+use crate::body::{BufferedBody, ResponseBody, StreamedRequestBody, UploadProgress};
+use crate::memory_budget::STREAMED_MESSAGE_BYTES;
+use crate::message::{
+    remove_hop_by_hop_headers, RequestBody, UpstreamRequest, BUFFERED_BODY_MAX_BYTES, DEFAULT_HOST,
+    IDEMPOTENCY_KEY, X_REMAINING_MS,
+};
 use crate::watched_stream::WatchedStream;
 
 /// The longest time that is believed, whatever its class has.
@@ -35,7 +38,7 @@
 }
 
 impl Bad {
-    pub(super) fn answer(&self) -> Response<Out> {
+    pub(super) fn answer(&self) -> Response<ResponseBody> {
         let mut answer = plain(self.status);
         if self.closes {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -106,12 +109,12 @@
         }
     };
     let mut headers = parts.headers;
-    keep_end_to_end(&mut headers);
-    headers.remove(REMAINING);
+    remove_hop_by_hop_headers(&mut headers);
+    headers.remove(X_REMAINING_MS);
     if !headers.contains_key(HOST) {
-        headers.insert(HOST, SERVICE);
+        headers.insert(HOST, DEFAULT_HOST);
     }
-    let request = Message { method: parts.method, uri, headers, body };
+    let request = UpstreamRequest { method: parts.method, uri, headers, body };
     Ok((Asked { id: txn, class, tenant, request }, remaining))
 }
 
@@ -124,23 +127,23 @@
     class: usize,
     length: Option<u64>,
     mut body: Incoming,
-) -> Result<Content, StatusCode> {
-    let (mut held, mut lease) = (Held::default(), node.carrier().budget.lease());
+) -> Result<RequestBody, StatusCode> {
+    let (mut held, mut reservation) = (BufferedBody::default(), node.carrier().memory_budget.reservation());
     while let Some(frame) = body.frame().await {
         held.push(frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data().unwrap_or_default());
-        if held.len() <= BODY_MOST {
+        if held.len() <= BUFFERED_BODY_MAX_BYTES {
             continue;
         }
-        if lease.bytes() == 0 && timeout(ROOM, lease.pass()).await.is_err() {
+        if reservation.bytes() == 0 && timeout(ROOM, reservation.reserve_streaming()).await.is_err() {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let above = held.takes().saturating_sub(BODY_MOST);
-        if held.len() <= HELD_MOST && lease.hold(above.max(PASSING)) {
+        let above = held.capacity_bytes().saturating_sub(BUFFERED_BODY_MAX_BYTES);
+        if held.len() <= HELD_MOST && reservation.try_reserve(above.max(STREAMED_MESSAGE_BYTES)) {
             continue;
         }
         let underway = Rc::new(RefCell::new(Some(node.process().figures.request(class))));
-        let (uploading, held, from) = (Rc::new(Uploading::default()), held.bytes(), sock.clone());
-        let upload = Upload {
+        let (uploading, held, from) = (Rc::new(UploadProgress::default()), held.into_bytes(), sock.clone());
+        let upload = StreamedRequestBody {
             held,
             rest: body,
             length,
@@ -148,11 +151,11 @@
             from,
             underway,
             uploading: uploading.clone(),
-            lease,
+            reservation,
         };
-        return Ok(Content::Passing { upload: RefCell::new(Some(upload)), uploading, length });
+        return Ok(RequestBody::Streamed { upload: RefCell::new(Some(upload)), uploading, length });
     }
-    Ok(Content::Held { bytes: held.bytes(), _lease: lease })
+    Ok(RequestBody::Buffered { bytes: held.into_bytes(), _reservation: reservation })
 }
 
 /// How much of the time that a client claims is believed, of a class whose clients wait for so long.
@@ -172,7 +175,7 @@
     deadline: Millis,
 ) -> Result<(String, Duration), Bad> {
     let txn = token(header(headers, &TXN)?)?.to_string();
-    let remaining = header(headers, &REMAINING)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
+    let remaining = header(headers, &X_REMAINING_MS)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let remaining = remaining.and_then(|v| v.parse::<u64>().ok()).ok_or(StatusCode::BAD_REQUEST)?;
     let fits =
         if effect == Effect::Safe { [Method::GET, Method::HEAD] } else { [Method::POST, Method::POST] };
@@ -180,7 +183,7 @@
         return Err(StatusCode::BAD_REQUEST.into());
     }
     if matches!(effect, Effect::Keyed { .. }) {
-        token(header(headers, &KEY)?)?;
+        token(header(headers, &IDEMPOTENCY_KEY)?)?;
     }
     Ok((txn, believed(remaining, deadline)))
 }
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/http_transport.rs
@@ -9,43 +9,47 @@
 use magpietally_core::{Carrier, Core, Ended, Figures, Listing, Member, Target, Unfollowed};
 use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
 
-use crate::budget::Budget;
 use crate::config::Config;
 use crate::discovery;
-use crate::message::{Message, Reply};
+use crate::memory_budget::MemoryBudget;
+use crate::message::{UpstreamRequest, UpstreamResponse};
 use crate::pool::Pool;
 use crate::upstream::exchange;
 
 /// What carries HTTP for a core: its configuration, its pool, and where discovery is.
-pub struct Http {
+pub struct HttpTransport {
     /// The node's configuration.
     pub config: Config,
     /// Where discovery is now; a reload moves it.
-    pub discovery: Cell<SocketAddr>,
+    pub discovery_addr: Cell<SocketAddr>,
     /// Its connections to servers.
     pub pool: Rc<Pool>,
     /// What may be held of large messages.
-    pub budget: Budget,
+    pub memory_budget: MemoryBudget,
     /// The file that the list comes from, in place of discovery.
-    pub boxes: Option<ListFile>,
+    pub list_file: Option<ListFile>,
 }
 
-impl Http {
+impl HttpTransport {
     /// A carrier with no connections yet.
-    pub fn new(config: Config, boxes: Option<ListFile>, figures: Figures) -> Self {
+    pub fn new(config: Config, list_file: Option<ListFile>, figures: Figures) -> Self {
         let connect = config.told.settings.limits.connect_timeout;
         let pool = Rc::new(Pool::new(config.servers_most(), config.told.keepalive, connect, figures));
-        let budget = Budget::of(config.memory_mb);
-        let discovery = Cell::new(config.discovery);
-        Self { discovery, config, pool, budget, boxes }
+        let memory_budget = MemoryBudget::new(config.memory_mb);
+        let discovery_addr = Cell::new(config.discovery);
+        Self { discovery_addr, config, pool, memory_budget, list_file }
     }
 }
 
-impl Carrier for Http {
-    type Request = Message;
-    type Reply = Reply;
+impl Carrier for HttpTransport {
+    type Request = UpstreamRequest;
+    type Reply = UpstreamResponse;
 
-    async fn attempt(core: Rc<Core<Self>>, to: Target, request: Rc<Message>) -> Ended<Reply> {
+    async fn attempt(
+        core: Rc<Core<Self>>,
+        to: Target,
+        request: Rc<UpstreamRequest>,
+    ) -> Ended<UpstreamResponse> {
         let (may, at) = (core.clone(), core.clone());
         let server = to.server;
         let may = move || may.place_for(&to);
@@ -56,16 +60,16 @@
         let pool = &core.carrier().pool;
         // As long as a connection may take, and as long again for the answer.
         let end = Instant::now() + 2 * pool.connect;
-        let (at, probe) = (core.clone(), Message::probe(core.carrier().budget.lease()));
+        let (at, probe) = (core.clone(), UpstreamRequest::probe(core.carrier().memory_budget.reservation()));
         let place = move || at.place(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
     }
 
     async fn follow(core: Rc<Core<Self>>) -> Unfollowed {
-        if let Some(file) = core.carrier().boxes.clone() {
+        if let Some(file) = core.carrier().list_file.clone() {
             return follow_file(core, file).await;
         }
-        let to = core.carrier().discovery.get();
+        let to = core.carrier().discovery_addr.get();
         discovery::follow(core, to).await
     }
 
@@ -79,7 +83,7 @@
 }
 
 /// Hands each list of a file on, whole: the policy sees what is not in it any more as gone.
-async fn follow_file(core: Rc<Core<Http>>, mut file: ListFile) -> Unfollowed {
+async fn follow_file(core: Rc<Core<HttpTransport>>, mut file: ListFile) -> Unfollowed {
     while let Some(applied) = file.next().await {
         let member = |b: &magpietally_config::AppBox| Member {
             name: b.name.clone(),
--- a/crates/http/src/inherited.rs
+++ b/crates/http/src/inherited_listener.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// One line that says what is wrong with the descriptor.
-pub(crate) fn listener(fd: u32, at: SocketAddr) -> Result<TcpListener, String> {
+pub(crate) fn from_fd(fd: u32, at: SocketAddr) -> Result<TcpListener, String> {
     let fail = |words: String| Err(format!("BALANCER_FD: {words}"));
     if fd < FIRST {
         return fail(format!("{fd} is a standard stream, {FIRST} or more is expected"));
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -6,17 +6,17 @@
 //! requests end; `inherited` takes over the platform's socket; `signals` waits for signals.
 
 mod body;
-mod budget;
-mod carrier;
 mod clients;
 pub mod config;
 mod discovery;
-mod inherited;
+mod http_transport;
+mod inherited_listener;
 mod list;
 mod management;
+mod memory_budget;
 mod message;
 mod pool;
-mod scan;
+mod request_scanner;
 mod service;
 mod signals;
 mod upstream;
--- a/crates/http/src/management.rs
+++ b/crates/http/src/management.rs
@@ -23,10 +23,10 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-use crate::carrier::Http;
+use crate::http_transport::HttpTransport;
 use crate::watched_stream::{hyper_io, WatchedStream};
 
-type Node = Core<Http>;
+type Node = Core<HttpTransport>;
 
 /// Calls that may be open at once; one more makes the oldest give way.
 const CALLS_MOST: usize = 12;
--- a/crates/http/src/budget.rs
+++ b/crates/http/src/memory_budget.rs
@@ -1,5 +1,5 @@
 //! The bytes that a node may hold of large messages: one budget for all of them, so that its memory stays in its limit however
-//! many there are. Up to [`BODY_MOST`](crate::message::BODY_MOST) of a message is not counted here: that is what a
+//! many there are. Up to [`BUFFERED_BODY_MAX_BYTES`](crate::message::BUFFERED_BODY_MAX_BYTES) of a message is not counted here: that is what a
 //! connection is taken to cost.
 
 use std::cell::Cell;
@@ -10,11 +10,11 @@
 /// Which part of the memory may be held.
 const PART: usize = 6;
 /// What passing a message on holds while it lasts: what either side of it has read or has not yet written.
-pub const PASSING: usize = 96 * 1024;
+pub const STREAMED_MESSAGE_BYTES: usize = 96 * 1024;
 
 /// What is left of the budget. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Budget(Rc<State>);
+pub struct MemoryBudget(Rc<State>);
 
 #[derive(Debug)]
 struct State {
@@ -23,27 +23,27 @@
     freed: Notify,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// The budget of a node with so much memory.
-    pub fn of(memory_mb: usize) -> Self {
+    pub fn new(memory_mb: usize) -> Self {
         let whole = (memory_mb << 20) / PART;
         Self(Rc::new(State { whole, left: Cell::new(whole), freed: Notify::new() }))
     }
 
-    /// A lease of nothing yet.
-    pub fn lease(&self) -> Lease {
-        Lease { of: self.clone(), bytes: 0 }
+    /// A reservation of nothing yet.
+    pub fn reservation(&self) -> Reservation {
+        Reservation { of: self.clone(), bytes: 0 }
     }
 }
 
 /// Bytes that are held; given back when it is dropped.
 #[derive(Debug)]
-pub struct Lease {
-    of: Budget,
+pub struct Reservation {
+    of: MemoryBudget,
     bytes: usize,
 }
 
-impl Lease {
+impl Reservation {
     /// How many it holds.
     pub fn bytes(&self) -> usize {
         self.bytes
@@ -51,18 +51,18 @@
 
     /// Takes what passing a message on needs; waits while there is no room. Whoever waits holds nothing, so that what is
     /// held comes back.
-    pub async fn pass(&mut self) {
+    pub async fn reserve_streaming(&mut self) {
         self.set(0);
         // One thread: nothing is freed between the look and the wait.
-        while self.of.0.left.get() < PASSING {
+        while self.of.0.left.get() < STREAMED_MESSAGE_BYTES {
             self.of.0.freed.notified().await;
         }
-        self.set(PASSING);
+        self.set(STREAMED_MESSAGE_BYTES);
     }
 
     /// Takes so many in all to hold a message that could also be passed on; false where that would leave less than half of
     /// the budget, and nothing has changed then.
-    pub fn hold(&mut self, bytes: usize) -> bool {
+    pub fn try_reserve(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.bytes || self.of.0.left.get() + self.bytes >= bytes + self.of.0.whole / 2;
         if fits {
             self.set(bytes);
@@ -80,7 +80,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -12,19 +12,19 @@
 use hyper::{HeaderMap, Method, Uri};
 use magpietally_core::{number_of, Payload};
 
-use crate::body::{Outgoing, Rest, Upload, Uploading};
-use crate::budget::Lease;
+use crate::body::{OutgoingBody, RemainingBody, StreamedRequestBody, UploadProgress};
+use crate::memory_budget::Reservation;
 use crate::watched_stream::WatchedStream;
 
 /// The largest body that is held in any case, in bytes: an answer up to it is passed on only when it is whole.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
 /// The time that is left.
-pub const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
+pub const X_REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 /// The `Host` of what goes to servers, where the client named none.
-pub const SERVICE: HeaderValue = HeaderValue::from_static("service.internal");
+pub const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("service.internal");
 
 /// A request as it goes on to a server.
-pub struct Message {
+pub struct UpstreamRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -32,74 +32,74 @@
     /// The headers that go on.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Content,
+    pub body: RequestBody,
 }
 
 /// A request's body.
-pub enum Content {
+pub enum RequestBody {
     /// It has come whole, and is held for as long as the request may need it.
-    Held {
+    Buffered {
         /// All of it.
         bytes: Bytes,
         /// What it holds of the budget until it is dropped.
-        _lease: Lease,
+        _reservation: Reservation,
     },
     /// It is passed on as it comes.
-    Passing {
+    Streamed {
         /// What is passed on; taken by the attempt that writes it.
-        upload: RefCell<Option<Upload>>,
+        upload: RefCell<Option<StreamedRequestBody>>,
         /// How far it has come.
-        uploading: Rc<Uploading>,
+        uploading: Rc<UploadProgress>,
         /// Its length, where it is known.
         length: Option<u64>,
     },
 }
 
-impl Content {
+impl RequestBody {
     /// How long it is, where that is known.
-    pub fn len(&self) -> Option<usize> {
+    pub fn known_length(&self) -> Option<usize> {
         match self {
-            Self::Held { bytes, .. } => Some(bytes.len()),
-            Self::Passing { length, .. } => length.and_then(|n| usize::try_from(n).ok()),
+            Self::Buffered { bytes, .. } => Some(bytes.len()),
+            Self::Streamed { length, .. } => length.and_then(|n| usize::try_from(n).ok()),
         }
     }
 
     /// How far it has come, where it is passed on.
-    pub fn uploading(&self) -> Option<&Rc<Uploading>> {
+    pub fn upload_progress(&self) -> Option<&Rc<UploadProgress>> {
         match self {
-            Self::Held { .. } => None,
-            Self::Passing { uploading, .. } => Some(uploading),
+            Self::Buffered { .. } => None,
+            Self::Streamed { uploading, .. } => Some(uploading),
         }
     }
 
     /// The same for one attempt over this connection; `None` where another has taken it.
-    pub fn outgoing(&self, over: &Rc<WatchedStream>) -> Option<Outgoing> {
+    pub fn outgoing(&self, over: &Rc<WatchedStream>) -> Option<OutgoingBody> {
         Some(match self {
-            Self::Held { bytes, .. } => Outgoing::Whole(bytes.clone()),
-            Self::Passing { upload, .. } => Outgoing::Passing(Box::new(upload.take()?), over.clone()),
+            Self::Buffered { bytes, .. } => OutgoingBody::Buffered(bytes.clone()),
+            Self::Streamed { upload, .. } => OutgoingBody::Streamed(Box::new(upload.take()?), over.clone()),
         })
     }
 }
 
-impl Message {
+impl UpstreamRequest {
     /// The request of a probe.
-    pub fn probe(lease: Lease) -> Self {
-        let headers = std::iter::once((HOST, SERVICE)).collect();
+    pub fn probe(reservation: Reservation) -> Self {
+        let headers = std::iter::once((HOST, DEFAULT_HOST)).collect();
         Self {
             method: Method::GET,
             uri: Uri::from_static("/health"),
             headers,
-            body: Content::Held { bytes: Bytes::new(), _lease: lease },
+            body: RequestBody::Buffered { bytes: Bytes::new(), _reservation: reservation },
         }
     }
 }
 
 /// The key by which servers drop a request's repeats.
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-impl Payload for Message {
+impl Payload for UpstreamRequest {
     fn key(&self) -> Option<&[u8]> {
-        self.headers.get(KEY).map(HeaderValue::as_bytes)
+        self.headers.get(IDEMPOTENCY_KEY).map(HeaderValue::as_bytes)
     }
 
     fn describe(&self, to: &mut dyn fmt::Write) -> fmt::Result {
@@ -107,29 +107,29 @@
         let text = |name: &str| self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
         let (key, work) = (number_of(text("cookie")) & 0xFFFF, text("x-estimate"));
         write!(to, "key {key:04x}, work {work}, ")?;
-        match self.body.len() {
+        match self.body.known_length() {
             Some(bytes) => write!(to, "{bytes} bytes"),
             None => write!(to, "in chunks"),
         }
     }
 
     fn once(&self) -> bool {
-        self.body.uploading().is_some()
+        self.body.upload_progress().is_some()
     }
 }
 
 /// A server's answer.
-pub struct Reply {
+pub struct UpstreamResponse {
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body, or as much of it as was read before it was clear that it is passed on.
     pub body: Bytes,
     /// What still comes of one that is passed on, and its whole length where that is known.
-    pub rest: Option<(Box<Rest>, Option<u64>)>,
+    pub rest: Option<(Box<RemainingBody>, Option<u64>)>,
 }
 
 /// Drops the headers that are about one connection alone, in place.
-pub fn keep_end_to_end(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     const HOP: [HeaderName; 9] = [
         CONTENT_LENGTH,
         EXPECT,
--- a/crates/http/src/message/tests.rs
+++ b/crates/http/src/message/tests.rs
@@ -18,7 +18,7 @@
     for (name, value) in all {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
     }
-    keep_end_to_end(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     let mut left: Vec<_> = headers.iter().map(|(n, v)| (n.as_str(), v.to_str().unwrap_or("?"))).collect();
     left.sort_unstable();
     assert_eq!(left, [("cookie", "m=1"), ("cookie", "n=2"), ("x-txn", "7")]);
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -12,7 +12,7 @@
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
 
-use crate::body::Outgoing;
+use crate::body::OutgoingBody;
 use crate::watched_stream::{hyper_io, HyperIo, WatchedStream};
 
 /// The largest head of an answer.
@@ -29,8 +29,8 @@
 /// A connection between requests. It is not polled meanwhile: what happened to it is looked up before use.
 pub(crate) struct Link {
     pub(crate) sock: Rc<WatchedStream>,
-    pub(crate) send: SendRequest<Outgoing>,
-    pub(crate) conn: Connection<HyperIo, Outgoing>,
+    pub(crate) send: SendRequest<OutgoingBody>,
+    pub(crate) conn: Connection<HyperIo, OutgoingBody>,
     /// Whom it leads to.
     pub(crate) place: Place,
     pub(crate) since: Instant,
--- a/crates/http/src/scan.rs
+++ b/crates/http/src/request_scanner.rs
@@ -28,7 +28,7 @@
 
 /// A scan of one client's connection.
 #[derive(Debug, Default)]
-pub struct Scan {
+pub struct RequestScanner {
     at: At,
     /// What came of a line that is not whole.
     line: Vec<u8>,
@@ -45,7 +45,7 @@
     asked: u64,
 }
 
-impl Scan {
+impl RequestScanner {
     /// Takes the next bytes.
     pub fn came(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
--- a/crates/http/src/scan/tests.rs
+++ b/crates/http/src/request_scanner/tests.rs
@@ -6,9 +6,9 @@
     5;name=\"v\"\r\nGET /\r\nA \r\n0\r\n\r\nPOST \r\n0;x\r\nX-Sum: 1\r\nContent-Length: 7\r\n\r\n";
 
 /// Feeds the text in pieces of each length; gives each time how many requests were seen, and what is known of the last.
-fn in_pieces(text: &str, check: impl Fn(&mut Scan)) {
+fn in_pieces(text: &str, check: impl Fn(&mut RequestScanner)) {
     for piece in 1..=text.len() {
-        let mut scan = Scan::default();
+        let mut scan = RequestScanner::default();
         text.as_bytes().chunks(piece).for_each(|bytes| scan.came(bytes));
         check(&mut scan);
     }
@@ -53,7 +53,7 @@
             assert!(!scan.next(), "{lines:?}");
         });
     }
-    let mut scan = Scan::default();
+    let mut scan = RequestScanner::default();
     scan.came(&vec![b'x'; LINE_MOST + 1]);
     assert!(scan.line.len() <= LINE_MOST && !scan.next(), "a line without an end is bounded");
 }
--- a/crates/http/src/service.rs
+++ b/crates/http/src/service.rs
@@ -15,13 +15,13 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::timeout;
 
-use crate::carrier::Http;
-use crate::clients::Clients;
+use crate::clients::ClientConnections;
 use crate::config::{self, Config, ConfigError};
+use crate::http_transport::HttpTransport;
 use crate::signals::Signals;
-use crate::{inherited, management, workers};
+use crate::{inherited_listener, management, workers};
 
-type Node = Core<Http>;
+type Node = Core<HttpTransport>;
 
 /// How often the node looks whether it can end.
 const LOOK: Duration = Duration::from_millis(5);
@@ -103,7 +103,7 @@
 fn listeners(config: &Config, workers: usize) -> Result<Vec<std::net::TcpListener>, String> {
     let cannot = |e| format!("listen: {}: {e}", config.listen);
     let first = match config.inherited {
-        Some(fd) => inherited::listener(fd, config.listen)?,
+        Some(fd) => inherited_listener::from_fd(fd, config.listen)?,
         None => listen(config.listen, workers > 1).map_err(cannot)?,
     };
     let at = address_of(&first).map_err(cannot)?;
@@ -160,7 +160,7 @@
         gate: extras.gate,
     };
     let figures = setup.process.figures.clone();
-    Core::new(setup, Http::new(config, extras.boxes, figures))
+    Core::new(setup, HttpTransport::new(config, extras.boxes, figures))
 }
 
 async fn serve(
@@ -179,7 +179,7 @@
     let node =
         start(config, process.clone(), part.label, part.extras).map_err(|e| format!("settings: {e}"))?;
     begun();
-    let clients = Clients::new(node.clone());
+    let clients = ClientConnections::new(node.clone());
     if let Some(listener) = management {
         spawn_local(management::serve(node.clone(), listener));
     }
@@ -224,7 +224,7 @@
         match reloaded().await {
             Ok(config) => {
                 tracing::info!(target: "reload", "discovery is {}", config.discovery);
-                node.carrier().discovery.set(config.discovery);
+                node.carrier().discovery_addr.set(config.discovery);
                 node.list_moved();
                 if let Some(field) = node.carrier().config.changed(&config) {
                     tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
@@ -262,22 +262,22 @@
     }
 }
 
-async fn sweep(node: Rc<Node>, clients: Rc<Clients>) {
+async fn sweep(node: Rc<Node>, clients: Rc<ClientConnections>) {
     loop {
         tokio::time::sleep(SWEEP).await;
         node.carrier().pool.sweep();
-        clients.sweep();
+        clients.close_overdue();
         // A drained node is looked at more often; one that stops, by whoever ends it.
         while node.process().life().draining().is_some() {
             clients.close_idle();
-            clients.sweep();
+            clients.close_overdue();
             tokio::time::sleep(DRAIN_LOOK).await;
         }
     }
 }
 
 /// Finishes all that was taken, by the times that the node's state tells.
-pub(crate) async fn stop(node: &Rc<Node>, clients: &Rc<Clients>, listener: Listener) {
+pub(crate) async fn stop(node: &Rc<Node>, clients: &Rc<ClientConnections>, listener: Listener) {
     let life = node.process().life();
     let leave = async {
         while life.accepts(Instant::now(), clients.count()) {
@@ -290,7 +290,7 @@
         () = leave => {}
     }
     if !life.shared() {
-        clients.empty_backlog(&listener).await;
+        clients.drain_backlog(&listener).await;
     }
     drop(listener);
     log_stage("accepts no more", node, clients);
@@ -311,14 +311,14 @@
     // A process that had no processor time comes here with all that is open unanswered.
     node.fail_open();
     let began = Instant::now();
-    while clients.owes() && began.elapsed() < LAST_WORDS {
+    while clients.has_pending_responses() && began.elapsed() < LAST_WORDS {
         tokio::time::sleep(LOOK).await;
     }
     log_stage("ends", node, clients);
 }
 
 /// Logs how far the node's end has come.
-fn log_stage(what: &str, node: &Node, clients: &Clients) {
+fn log_stage(what: &str, node: &Node, clients: &ClientConnections) {
     let (connections, requests) = (clients.count(), node.open_requests());
     tracing::info!(target: "node", "{what}: {connections} connections, {requests} requests open");
 }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -18,8 +18,10 @@
 use magpietally_policy::{Outcome, ServerId};
 use tokio::time::{sleep, timeout_at};
 
-use crate::body::{within, Held, Outgoing, Rest};
-use crate::message::{keep_end_to_end, Message, Reply, BODY_MOST, REMAINING};
+use crate::body::{run_until_deadline, BufferedBody, OutgoingBody, RemainingBody};
+use crate::message::{
+    remove_hop_by_hop_headers, UpstreamRequest, UpstreamResponse, BUFFERED_BODY_MAX_BYTES, X_REMAINING_MS,
+};
 use crate::pool::{unfinished, Link, Pool};
 use crate::watched_stream::{HyperIo, WatchedStream};
 
@@ -46,13 +48,13 @@
     may: impl Fn() -> Option<Place>,
     now_at: impl Fn() -> Option<Place> + 'static,
     to: (ServerId, Instant),
-    message: &Message,
+    message: &UpstreamRequest,
     fresh: bool,
-) -> Ended<Reply> {
+) -> Ended<UpstreamResponse> {
     let kept = Cell::new(None);
     let (outcome, reply) = talk(pool, may, now_at, to, message, fresh, &kept).await;
     // What is passed on while it comes has kept its server waiting until its last byte.
-    let took = message.body.uploading().and_then(|u| u.over_since()).map(|since| since.elapsed());
+    let took = message.body.upload_progress().and_then(|u| u.finished_at()).map(|since| since.elapsed());
     Ended { outcome, reply, kept: kept.get(), took }
 }
 
@@ -61,10 +63,10 @@
     may: impl Fn() -> Option<Place>,
     now_at: impl Fn() -> Option<Place> + 'static,
     (server, end): (ServerId, Instant),
-    message: &Message,
+    message: &UpstreamRequest,
     fresh: bool,
     kept: &Cell<Option<Duration>>,
-) -> (Outcome, Option<Reply>) {
+) -> (Outcome, Option<UpstreamResponse>) {
     // A request that may run again may be sent on a connection that its server has closed within the last turn of the
     // runtime's loop; any other would be lost with it.
     let sure = message.method != Method::GET;
@@ -93,16 +95,16 @@
         let sent = Instant::now();
         let expected = pool.expect(server);
         if fresh {
-            link.sock.begin_message(message.body.len());
+            link.sock.begin_message(message.body.known_length());
         } else {
-            link.sock.begin_attempt(message.body.len(), pool.figures.clone());
+            link.sock.begin_attempt(message.body.known_length(), pool.figures.clone());
         }
         let Some(body) = message.body.outgoing(&link.sock) else { return (Outcome::NotSent, None) };
         let request = request(message, body, end);
-        let uploading = message.body.uploading();
+        let uploading = message.body.upload_progress();
         let to = link.sock.clone();
         let talk = unless_untaken(&to, converse(&mut link, request, end));
-        let ended = within(end.into(), uploading.map(|u| &**u), &to, talk).await;
+        let ended = run_until_deadline(end.into(), uploading.map(|u| &**u), &to, talk).await;
         let overtaken = ended.is_none() && pool.overtaken(server, sent);
         drop(expected);
         let (any, whole) = (link.sock.has_sent_any(), link.sock.is_message_sent());
@@ -115,7 +117,7 @@
             Some(Err(Broken::Untaken)) if !any && uploading.is_none() => continue,
             Some(Err(_)) if reused && !any && uploading.is_none() => continue,
             // What its client broke off says nothing of the server, and never ran.
-            Some(Err(_)) if !whole && uploading.is_some_and(|u| u.broken()) => {
+            Some(Err(_)) if !whole && uploading.is_some_and(|u| u.is_aborted()) => {
                 return (Outcome::NotSent, None)
             }
             Some(Ok(heard)) => {
@@ -132,19 +134,21 @@
             }
             None if whole => return (Outcome::TimedOut, None),
             // It took nothing for long.
-            None if uploading.is_some_and(|u| u.over_since().is_none()) => return (Outcome::Unwritten, None),
+            None if uploading.is_some_and(|u| u.finished_at().is_none()) => {
+                return (Outcome::Unwritten, None)
+            }
             None => return (Outcome::NotSent, None),
         }
     }
 }
 
-fn request(message: &Message, body: Outgoing, end: Instant) -> Request<Outgoing> {
+fn request(message: &UpstreamRequest, body: OutgoingBody, end: Instant) -> Request<OutgoingBody> {
     let left = end.saturating_duration_since(Instant::now()).as_millis() as u64;
     let mut request = Request::new(body);
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
-    request.headers_mut().insert(REMAINING, HeaderValue::from(left));
+    request.headers_mut().insert(X_REMAINING_MS, HeaderValue::from(left));
     request
 }
 
@@ -168,7 +172,7 @@
         server: ServerId,
         link: Link,
         now_at: impl Fn() -> Option<Place> + 'static,
-    ) -> (Outcome, Option<Reply>) {
+    ) -> (Outcome, Option<UpstreamResponse>) {
         let away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         let outcome = match self.status {
             StatusCode::OK => Outcome::Done,
@@ -187,24 +191,24 @@
                 None
             }
             Some(incoming) => {
-                let (came, pool, now_at) = (held.len(), pool.clone(), Box::new(now_at));
+                let (received_bytes, pool, current_endpoint) = (held.len(), pool.clone(), Box::new(now_at));
                 let link = Some(link);
-                let rest = Rest {
+                let rest = RemainingBody {
                     incoming,
                     link,
                     pool,
                     server,
-                    now_at,
-                    keep,
+                    current_endpoint,
+                    reusable: keep,
                     chunked,
-                    came,
-                    over: false,
-                    stall: None,
+                    received_bytes,
+                    connection_closed: false,
+                    stall_timer: None,
                 };
                 Some((Box::new(rest), framing.length()))
             }
         };
-        (outcome, (outcome == Outcome::Done).then_some(Reply { headers, body: held, rest }))
+        (outcome, (outcome == Outcome::Done).then_some(UpstreamResponse { headers, body: held, rest }))
     }
 }
 
@@ -282,7 +286,7 @@
 
 /// Writes a request and reads the answer: whole, or as much as must be seen of one that is passed on. A second request on
 /// the connection is never begun here, and nothing is sent again.
-async fn converse(link: &mut Link, request: Request<Outgoing>, end: Instant) -> Result<Heard, Broken> {
+async fn converse(link: &mut Link, request: Request<OutgoingBody>, end: Instant) -> Result<Heard, Broken> {
     let Link { send, conn, .. } = link;
     let head = *request.method() == Method::HEAD;
     let talk = async {
@@ -296,12 +300,12 @@
             Framing::of(&parts.headers, parts.version).ok_or(Broken::Garbled)?
         };
         // One that is known to be large is passed on from its first bytes on: until then it may be repeated.
-        let large = framing.length().is_some_and(|n| n > BODY_MOST as u64);
-        let mut held = Held::default();
+        let large = framing.length().is_some_and(|n| n > BUFFERED_BODY_MAX_BYTES as u64);
+        let mut held = BufferedBody::default();
         // One of which nobody knows how long it will be may be as large, and come slowly: it is held for a moment only, and
         // not past the time that there is for its first bytes.
         let mut hold_until = None;
-        while held.len() <= BODY_MOST && !(large && held.len() > 0) {
+        while held.len() <= BUFFERED_BODY_MAX_BYTES && !(large && held.len() > 0) {
             if held.len() >= ENOUGH && framing.length().is_none() && hold_until.is_none() {
                 hold_until = Some((Instant::now() + HOLD_UNKNOWN).min(end - PASS_BEFORE));
             }
@@ -315,16 +319,16 @@
             match frame {
                 // What may stand behind the last chunk is not passed on.
                 Some(frame) => held.push(frame?.into_data().unwrap_or_default()),
-                None => return Ok((parts, held.bytes(), None, framing)),
+                None => return Ok((parts, held.into_bytes(), None, framing)),
             }
         }
-        Ok::<_, Broken>((parts, held.bytes(), Some(body), framing))
+        Ok::<_, Broken>((parts, held.into_bytes(), Some(body), framing))
     };
     let (parts, held, rest, framing) = drive(conn, talk).await?;
     let mut headers = parts.headers;
     let keep = framing != Framing::Close && !closes(&headers) && (rest.is_some() || !over(conn).await);
     let length = headers.get(CONTENT_LENGTH).filter(|_| head).cloned();
-    keep_end_to_end(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     if let Some(length) = length {
         // Of what would have been the body.
         headers.insert(CONTENT_LENGTH, length);
@@ -341,13 +345,13 @@
 }
 
 /// Has the connection come to its end? hyper sees bytes behind the answer, and closes, only when polled.
-async fn over(conn: &mut Connection<HyperIo, Outgoing>) -> bool {
+async fn over(conn: &mut Connection<HyperIo, OutgoingBody>) -> bool {
     let mut conn = pin!(conn);
     std::future::poll_fn(|cx| Poll::Ready(conn.as_mut().poll(cx).is_ready())).await
 }
 
 /// Polls the connection for as long as what goes on over it lasts.
-async fn drive<T>(conn: &mut Connection<HyperIo, Outgoing>, talk: impl Future<Output = T>) -> T {
+async fn drive<T>(conn: &mut Connection<HyperIo, OutgoingBody>, talk: impl Future<Output = T>) -> T {
     let mut talk = pin!(talk);
     tokio::select! {
         biased;
--- a/crates/http/src/watched_stream.rs
+++ b/crates/http/src/watched_stream.rs
@@ -14,8 +14,8 @@
 use magpietally_net::Stream;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::message::BODY_MOST;
-use crate::scan::Scan;
+use crate::message::BUFFERED_BODY_MAX_BYTES;
+use crate::request_scanner::RequestScanner;
 use progress::{Back, Progress, LAST_CHUNK};
 
 mod progress;
@@ -80,7 +80,7 @@
     /// How many bytes came.
     came: Cell<usize>,
     /// Where a client's requests begin and end.
-    scan: RefCell<Scan>,
+    scan: RefCell<RequestScanner>,
     /// The id of a client's latest request, as it sent it.
     request: RefCell<Option<HeaderValue>>,
 }
@@ -143,7 +143,7 @@
     /// Is the message passed on as it comes?
     pub fn is_streaming(&self) -> bool {
         let out = self.out.borrow();
-        out.chunked || out.body > BODY_MOST
+        out.chunked || out.body > BUFFERED_BODY_MAX_BYTES
     }
 
     /// Nothing but the connection's end tells who reads the message where it ends: until it is whole the connection is to end
