--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -17,10 +17,10 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-use crate::body::Out;
-use crate::carrier::Http;
-use crate::message::{Content, Message};
-use crate::sock::{io, Phase, Sock};
+use crate::body::ResponseBody;
+use crate::http_transport::HttpTransport;
+use crate::message::{RequestBody, UpstreamRequest};
+use crate::watched_stream::{hyper_io, ConnectionPhase, WatchedStream};
 use accept::Reduction;
 use answer::{body_length, end_of, log_refused, plain, refusal, settle};
 use closing::CloseReason;
@@ -31,8 +31,8 @@
 mod closing;
 mod request;
 
-type Node = Core<Http>;
-type Asked = magpietally_core::ClientRequest<Message>;
+type Node = Core<HttpTransport>;
+type Asked = magpietally_core::ClientRequest<UpstreamRequest>;
 
 /// How long a client may take nothing of its answer.
 const ANSWERING: Duration = Duration::from_secs(5);
@@ -62,7 +62,7 @@
 
 struct Client {
     number: u64,
-    sock: Rc<Sock>,
+    sock: Rc<WatchedStream>,
     close: Notify,
     /// Why it is to be closed.
     reason: Cell<Option<CloseReason>>,
@@ -80,9 +80,9 @@
             self.close.notified().await;
             let evicted = self.evicted.take();
             let stays = match self.sock.phase().0 {
-                Phase::Reading if !evicted => self.reads_on().await,
-                Phase::Busy | Phase::Answering if !evicted => false,
-                _ => !self.sock.quiet(),
+                ConnectionPhase::Reading if !evicted => self.reads_on().await,
+                ConnectionPhase::Busy | ConnectionPhase::Answering if !evicted => false,
+                _ => !self.sock.is_quiet(),
             };
             if !stays {
                 return;
@@ -95,17 +95,17 @@
     /// Has the rest of a late request come since it was found late? What stands in the socket is read first.
     async fn reads_on(&self) -> bool {
         for _ in 0..READS_ON {
-            if !self.sock.overdue() || self.sock.quiet() {
+            if !self.sock.is_request_overdue() || self.sock.is_quiet() {
                 break;
             }
             yield_now().await;
         }
-        !self.sock.overdue()
+        !self.sock.is_request_overdue()
     }
 }
 
 /// The connections of clients.
-pub struct Clients {
+pub struct ClientConnections {
     node: Rc<Node>,
     open: RefCell<HashMap<u64, Rc<Client>>>,
     last: Cell<u64>,
@@ -117,7 +117,7 @@
     freed: Notify,
 }
 
-impl Clients {
+impl ClientConnections {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
         let most = node.transport().config.max_client_connections();
@@ -138,7 +138,7 @@
     }
 
     /// Closes connections that say nothing, on which a request takes too long to come, or whose answer is not read.
-    pub fn sweep(&self) {
+    pub fn close_overdue(&self) {
         self.fewer.ease();
         for client in self.open.borrow().values() {
             if let Some(reason) = self.overdue(client) {
@@ -152,17 +152,19 @@
         let (phase, since) = client.sock.phase();
         let age = since.elapsed();
         match phase {
-            Phase::Idle if !client.sock.spoke() => (age >= SILENT).then_some(CloseReason::Silent),
-            Phase::Idle => {
-                let once =
-                    client.sock.answers() == 1 && self.node.process().lifecycle().stopping_since().is_none();
+            ConnectionPhase::Idle if !client.sock.has_received_any() => {
+                (age >= SILENT).then_some(CloseReason::Silent)
+            }
+            ConnectionPhase::Idle => {
+                let once = client.sock.responses_started() == 1
+                    && self.node.process().lifecycle().stopping_since().is_none();
                 let most = if once { IDLE_ONCE } else { IDLE };
-                (age >= most && client.sock.quiet()).then_some(CloseReason::Idle)
+                (age >= most && client.sock.is_quiet()).then_some(CloseReason::Idle)
             }
-            Phase::Reading => client.sock.overdue().then_some(CloseReason::SlowRequest),
-            Phase::Busy => None,
-            Phase::Answering => {
-                let most = if client.sock.passes_on() { PASSING_ON } else { ANSWERING };
+            ConnectionPhase::Reading => client.sock.is_request_overdue().then_some(CloseReason::SlowRequest),
+            ConnectionPhase::Busy => None,
+            ConnectionPhase::Answering => {
+                let most = if client.sock.is_streaming() { PASSING_ON } else { ANSWERING };
                 (age >= most).then_some(CloseReason::SlowReader)
             }
         }
@@ -173,18 +175,18 @@
         let Some(least) = self.node.process().lifecycle().idle_close_after(Instant::now()) else { return };
         for client in self.open.borrow().values() {
             let (phase, since) = client.sock.phase();
-            if phase == Phase::Idle && since.elapsed() >= least && client.sock.quiet() {
+            if phase == ConnectionPhase::Idle && since.elapsed() >= least && client.sock.is_quiet() {
                 client.close_for(CloseReason::Leaving);
             }
         }
     }
 
     /// Does any client still wait for an answer that is held whole, or for its bytes to be written?
-    pub fn owes(&self) -> bool {
+    pub fn has_pending_responses(&self) -> bool {
         let owes = |c: &Rc<Client>| match c.sock.phase().0 {
-            Phase::Busy => true,
-            Phase::Answering => !c.sock.passes_on(),
-            Phase::Idle | Phase::Reading => false,
+            ConnectionPhase::Busy => true,
+            ConnectionPhase::Answering => !c.sock.is_streaming(),
+            ConnectionPhase::Idle | ConnectionPhase::Reading => false,
         };
         self.open.borrow().values().any(owes)
     }
@@ -207,7 +209,7 @@
 
     /// How many connections have been used and are idle.
     fn idle(&self) -> usize {
-        let idle = |c: &&Rc<Client>| c.sock.phase().0 == Phase::Idle && c.sock.spoke();
+        let idle = |c: &&Rc<Client>| c.sock.phase().0 == ConnectionPhase::Idle && c.sock.has_received_any();
         self.open.borrow().values().filter(idle).count()
     }
 
@@ -229,7 +231,7 @@
                 tokio::select! {
                     biased;
                     // hyper stops looking for the end where anything stands unread behind the request.
-                    () = gone.gone() => Err(Gone),
+                    () = gone.closed_by_peer() => Err(Gone),
                     answer = respond(clients, sock, request) => Ok(answer),
                 }
             }
@@ -237,7 +239,7 @@
         let conn = http1::Builder::new()
             .max_buf_size(HEAD_MOST)
             .auto_date_header(false)
-            .serve_connection(io(client.sock.clone()), service);
+            .serve_connection(hyper_io(client.sock.clone()), service);
         tokio::select! {
             // Before the connection is read: a request that it takes in this very turn would be dropped with it.
             biased;
@@ -246,7 +248,7 @@
                 if let Err(error) = &ended {
                     self.log_broken(&client, error);
                 }
-                if !client.sock.broken() {
+                if !client.sock.apply_reset_on_close() {
                     client.lingers.set(true);
                     let _ = timeout(LINGER, client.sock.linger()).await;
                 }
@@ -268,10 +270,14 @@
 impl Error for Gone {}
 
 /// Answers one request.
-async fn respond(clients: Rc<Clients>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<Out> {
+async fn respond(
+    clients: Rc<ClientConnections>,
+    sock: Rc<WatchedStream>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let node = &clients.node;
-    let framed_once = sock.head_is_whole();
-    sock.set_request(request.headers().get(TXN).cloned());
+    let framed_once = sock.finish_request_head();
+    sock.set_request_id(request.headers().get(TXN).cloned());
     let head = *request.method() == Method::HEAD;
     let old = request.version() < Version::HTTP_11;
     let asks_ready = request.uri().path() == "/ready";
@@ -287,40 +293,40 @@
             Ok((asked, remaining)) => {
                 // One that is passed on while it comes is taken with its last byte.
                 let underway = match &asked.request.body {
-                    Content::Held { .. } => {
+                    RequestBody::Buffered { .. } => {
                         let mut underway = node.process().metrics.start_request(asked.class);
                         underway.mark_received();
                         Rc::new(RefCell::new(Some(underway)))
                     }
-                    Content::Passing { upload, .. } => {
+                    RequestBody::Streamed { upload, .. } => {
                         upload.borrow().as_ref().map(|u| u.underway.clone()).unwrap_or_default()
                     }
                 };
-                let uploading = asked.request.body.uploading().cloned();
+                let uploading = asked.request.body.upload_progress().cloned();
                 let mut answer = if clients.all_in_use() {
                     log_refused(node, &sock, "the node stops, and few connections are free");
                     refusal(node.retry_after(asked.class))
                 } else {
-                    let arrived = sock.arrived();
+                    let arrived = sock.request_arrived_at();
                     if uploading.is_none() {
-                        sock.enter(Phase::Busy);
+                        sock.enter_phase(ConnectionPhase::Busy);
                     }
                     settle(node, asked, &sock, arrived, remaining).await
                 };
-                if uploading.is_some_and(|u| u.over_since().is_none()) {
+                if uploading.is_some_and(|u| u.finished_at().is_none()) {
                     // What its client still sends is read by nobody.
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 let (end, underway) = (end_of(answer.status()), underway.take());
                 match answer.body_mut() {
-                    Out::Passing(passing) => {
+                    ResponseBody::Streamed(passing) => {
                         passing.underway = underway;
                         if old && passing.length.is_none() {
                             // Until it is whole: the node's own end may cut it off.
-                            sock.will_break();
+                            sock.set_reset_on_close();
                         }
                     }
-                    Out::Whole(_) => {
+                    ResponseBody::Buffered(_) => {
                         if let Some(underway) = underway {
                             underway.finish(end);
                         }
@@ -338,15 +344,15 @@
             Err(bad) => bad.answer(),
         }
     };
-    let first = sock.answers() == 0;
+    let first = sock.responses_started() == 0;
     let life = node.process().lifecycle();
     // While the node sends its clients away, what only asks how it is must not push out those that can be served.
     let of_no_use = asks_ready && (life.stopping_since().is_some() || life.draining_since().is_some());
     if life.closes_after_response(Instant::now()) || of_no_use || (first && clients.many_idle()) {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    sock.begin(if head { Some(0) } else { body_length(&answer) });
-    sock.enter(Phase::Answering);
+    sock.begin_message(if head { Some(0) } else { body_length(&answer) });
+    sock.enter_phase(ConnectionPhase::Answering);
     answer
 }
 
--- a/crates/http/src/clients/closes.rs
+++ b/crates/http/src/clients/closes.rs
@@ -19,7 +19,7 @@
 const TIME: f64 = 20_000.0;
 
 /// A client that has asked once and rests, and the node's side of its connection.
-async fn resting(clients: &Rc<Clients>, listener: &Listener) -> (TcpStream, Rc<Client>) {
+async fn resting(clients: &Rc<ClientConnections>, listener: &Listener) -> (TcpStream, Rc<Client>) {
     let mut stream = connected(clients, listener).await;
     let client = clients.open.borrow().get(&clients.last.get()).cloned().expect("it is open");
     stream.write_all(READY).await.expect("it is open");
@@ -40,17 +40,20 @@
         stream.write_all(ASKS).expect("it is open");
         // The kernel has it, and nobody has read it yet.
         clients.close_idle();
-        assert_eq!(client.sock.phase().0, Phase::Idle);
-        while client.sock.phase().0 != Phase::Busy {
+        assert_eq!(client.sock.phase().0, ConnectionPhase::Idle);
+        while client.sock.phase().0 != ConnectionPhase::Busy {
             yield_now().await;
         }
         tokio::time::sleep(Duration::from_millis(250)).await;
         clients.close_idle();
-        clients.sweep();
+        clients.close_overdue();
         while clients.count() > 1 {
             yield_now().await;
         }
-        assert_eq!((client.sock.phase().0, idle.sock.phase().0), (Phase::Busy, Phase::Idle));
+        assert_eq!(
+            (client.sock.phase().0, idle.sock.phase().0),
+            (ConnectionPhase::Busy, ConnectionPhase::Idle)
+        );
     });
 }
 
@@ -59,7 +62,7 @@
 fn nothing_small_is_held_back_on_either_side() {
     play(async {
         let listener = listener().await;
-        for open in [Sock::of_client, Sock::new] {
+        for open in [WatchedStream::for_client, WatchedStream::new] {
             let stream = TcpStream::connect(address(&listener)).await.expect("it listens");
             let accepted = listener.accept().await.expect("it comes");
             for side in [stream.into_std().expect("a socket"), accepted.socket] {
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/http_transport.rs
@@ -11,44 +11,48 @@
 };
 use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
 
-use crate::budget::Budget;
 use crate::config::Config;
 use crate::discovery;
-use crate::message::{Message, Reply};
+use crate::memory_budget::MemoryBudget;
+use crate::message::{UpstreamRequest, UpstreamResponse};
 use crate::pool::Pool;
 use crate::upstream::exchange;
 
 /// What carries HTTP for a core: its configuration, its pool, and where discovery is.
-pub struct Http {
+pub struct HttpTransport {
     /// The node's configuration.
     pub config: Config,
     /// Where discovery is now; a reload moves it.
-    pub discovery: Cell<SocketAddr>,
+    pub discovery_addr: Cell<SocketAddr>,
     /// Its connections to servers.
     pub pool: Rc<Pool>,
     /// What may be held of large messages.
-    pub budget: Budget,
+    pub memory_budget: MemoryBudget,
     /// The file that the list comes from, in place of discovery.
-    pub boxes: Option<ListFile>,
+    pub list_file: Option<ListFile>,
 }
 
-impl Http {
+impl HttpTransport {
     /// A carrier with no connections yet.
-    pub fn new(config: Config, boxes: Option<ListFile>, figures: Metrics) -> Self {
+    pub fn new(config: Config, list_file: Option<ListFile>, figures: Metrics) -> Self {
         let connect = config.received.settings.limits.connect_timeout;
         let pool =
             Rc::new(Pool::new(config.max_server_connections(), config.received.keepalive, connect, figures));
-        let budget = Budget::of(config.memory_mb);
-        let discovery = Cell::new(config.discovery);
-        Self { discovery, config, pool, budget, boxes }
+        let memory_budget = MemoryBudget::new(config.memory_mb);
+        let discovery_addr = Cell::new(config.discovery);
+        Self { discovery_addr, config, pool, memory_budget, list_file }
     }
 }
 
-impl UpstreamTransport for Http {
-    type Request = Message;
-    type Reply = Reply;
+impl UpstreamTransport for HttpTransport {
+    type Request = UpstreamRequest;
+    type Reply = UpstreamResponse;
 
-    async fn attempt(core: Rc<Core<Self>>, to: Target, request: Rc<Message>) -> AttemptResult<Reply> {
+    async fn attempt(
+        core: Rc<Core<Self>>,
+        to: Target,
+        request: Rc<UpstreamRequest>,
+    ) -> AttemptResult<UpstreamResponse> {
         let (may, at) = (core.clone(), core.clone());
         let server = to.server;
         let may = move || may.endpoint_for_attempt(&to);
@@ -67,16 +71,17 @@
         let pool = &core.transport().pool;
         // As long as a connection may take, and as long again for the answer.
         let end = Instant::now() + 2 * pool.connect_timeout;
-        let (at, probe) = (core.clone(), Message::probe(core.transport().budget.lease()));
+        let (at, probe) =
+            (core.clone(), UpstreamRequest::probe(core.transport().memory_budget.reservation()));
         let place = move || at.endpoint(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
     }
 
     async fn follow_list(core: Rc<Core<Self>>) -> ListStreamEnd {
-        if let Some(file) = core.transport().boxes.clone() {
+        if let Some(file) = core.transport().list_file.clone() {
             return follow_file(core, file).await;
         }
-        let to = core.transport().discovery.get();
+        let to = core.transport().discovery_addr.get();
         discovery::follow(core, to).await
     }
 
@@ -90,7 +95,7 @@
 }
 
 /// Hands each list of a file on, whole: the policy sees what is not in it any more as gone.
-async fn follow_file(core: Rc<Core<Http>>, mut file: ListFile) -> ListStreamEnd {
+async fn follow_file(core: Rc<Core<HttpTransport>>, mut file: ListFile) -> ListStreamEnd {
     while let Some(applied) = file.next().await {
         let member = |b: &magpietally_config::AppBox| ListedServer {
             name: b.name.clone(),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -6,21 +6,21 @@
 //! requests end; `inherited` takes over the platform's socket; `signals` waits for signals.
 
 mod body;
-mod budget;
-mod carrier;
 mod clients;
 pub mod config;
 mod discovery;
-mod inherited;
+mod http_transport;
+mod inherited_listener;
 mod management;
+mod memory_budget;
 mod message;
 mod node;
 mod pool;
-mod scan;
+mod request_scanner;
 mod server_list;
 mod signals;
-mod sock;
 mod upstream;
+mod watched_stream;
 mod workers;
 
 pub use node::{run, OperatorOptions};
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -15,13 +15,13 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::timeout;
 
-use crate::carrier::Http;
-use crate::clients::Clients;
+use crate::clients::ClientConnections;
 use crate::config::{self, Config, ConfigError};
+use crate::http_transport::HttpTransport;
 use crate::signals::Signals;
-use crate::{inherited, management, workers};
+use crate::{inherited_listener, management, workers};
 
-type Node = Core<Http>;
+type Node = Core<HttpTransport>;
 
 /// How often the node looks whether it can end.
 const LOOK: Duration = Duration::from_millis(5);
@@ -107,7 +107,7 @@
 fn listeners(config: &Config, workers: usize) -> Result<Vec<std::net::TcpListener>, String> {
     let cannot = |e| format!("listen: {}: {e}", config.listen);
     let first = match config.inherited_fd {
-        Some(fd) => inherited::listener(fd, config.listen)?,
+        Some(fd) => inherited_listener::from_fd(fd, config.listen)?,
         None => listen(config.listen, workers > 1).map_err(cannot)?,
     };
     let at = listener_address(&first).map_err(cannot)?;
@@ -164,7 +164,7 @@
         admission: options.admission,
     };
     let figures = setup.process.metrics.clone();
-    Core::new(setup, Http::new(config, options.server_list, figures))
+    Core::new(setup, HttpTransport::new(config, options.server_list, figures))
 }
 
 async fn serve(
@@ -183,7 +183,7 @@
     let node = start_node(config, process.clone(), part.label, part.options)
         .map_err(|e| format!("settings: {e}"))?;
     begun();
-    let clients = Clients::new(node.clone());
+    let clients = ClientConnections::new(node.clone());
     if let Some(listener) = management {
         spawn_local(management::serve(node.clone(), listener));
     }
@@ -228,7 +228,7 @@
         match reloaded().await {
             Ok(config) => {
                 tracing::info!(target: "reload", "discovery is {}", config.discovery);
-                node.transport().discovery.set(config.discovery);
+                node.transport().discovery_addr.set(config.discovery);
                 node.list_source_moved();
                 if let Some(field) = node.transport().config.changed_restart_only_field(&config) {
                     tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
@@ -266,22 +266,22 @@
     }
 }
 
-async fn sweep(node: Rc<Node>, clients: Rc<Clients>) {
+async fn sweep(node: Rc<Node>, clients: Rc<ClientConnections>) {
     loop {
         tokio::time::sleep(SWEEP).await;
         node.transport().pool.close_unusable();
-        clients.sweep();
+        clients.close_overdue();
         // A drained node is looked at more often; one that stops, by whoever ends it.
         while node.process().lifecycle().draining_since().is_some() {
             clients.close_idle();
-            clients.sweep();
+            clients.close_overdue();
             tokio::time::sleep(DRAIN_LOOK).await;
         }
     }
 }
 
 /// Finishes all that was taken, by the times that the node's state tells.
-pub(crate) async fn stop_node(node: &Rc<Node>, clients: &Rc<Clients>, listener: Listener) {
+pub(crate) async fn stop_node(node: &Rc<Node>, clients: &Rc<ClientConnections>, listener: Listener) {
     let life = node.process().lifecycle();
     let leave = async {
         while life.accepts_connections(Instant::now(), clients.count()) {
@@ -294,7 +294,7 @@
         () = leave => {}
     }
     if !life.has_shared_socket() {
-        clients.empty_backlog(&listener).await;
+        clients.drain_backlog(&listener).await;
     }
     drop(listener);
     log_stage("accepts no more", node, clients);
@@ -315,14 +315,14 @@
     // A process that had no processor time comes here with all that is open unanswered.
     node.fail_open_requests();
     let began = Instant::now();
-    while clients.owes() && began.elapsed() < LAST_WORDS {
+    while clients.has_pending_responses() && began.elapsed() < LAST_WORDS {
         tokio::time::sleep(LOOK).await;
     }
     log_stage("ends", node, clients);
 }
 
 /// Logs how far the node's end has come.
-fn log_stage(what: &str, node: &Node, clients: &Clients) {
+fn log_stage(what: &str, node: &Node, clients: &ClientConnections) {
     let (connections, requests) = (clients.count(), node.open_requests());
     tracing::info!(target: "node", "{what}: {connections} connections, {requests} requests open");
 }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -12,8 +12,8 @@
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
 
-use crate::body::Outgoing;
-use crate::sock::{io, Io, Sock};
+use crate::body::OutgoingBody;
+use crate::watched_stream::{hyper_io, HyperIo, WatchedStream};
 
 /// The largest head of an answer.
 const HEAD_MOST: usize = 32 * 1024;
@@ -28,9 +28,9 @@
 
 /// A connection between requests. It is not polled meanwhile: what happened to it is looked up before use.
 pub(crate) struct PooledConnection {
-    pub(crate) stream: Rc<Sock>,
-    pub(crate) send: SendRequest<Outgoing>,
-    pub(crate) conn: Connection<Io, Outgoing>,
+    pub(crate) stream: Rc<WatchedStream>,
+    pub(crate) send: SendRequest<OutgoingBody>,
+    pub(crate) conn: Connection<HyperIo, OutgoingBody>,
     /// Whom it leads to.
     pub(crate) endpoint: Endpoint,
     pub(crate) idle_since: Instant,
@@ -116,7 +116,7 @@
     pub fn close_unusable(&self) {
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
-            links.retain(|l| l.idle_since.elapsed() < self.max_idle && l.stream.seems_quiet());
+            links.retain(|l| l.idle_since.elapsed() < self.max_idle && l.stream.is_quiet_cached());
         }
         idle.retain(|_, links| !links.is_empty());
     }
@@ -140,7 +140,7 @@
             let rested = links.partition_point(|l| l.idle_since.elapsed() >= REST);
             let at = rested.checked_sub(1).or((links.len() >= RESTING).then_some(0))?;
             let link = links.remove(at);
-            let quiet = if sure { link.stream.quiet() } else { link.stream.seems_quiet() };
+            let quiet = if sure { link.stream.is_quiet() } else { link.stream.is_quiet_cached() };
             if link.idle_since.elapsed() < self.max_idle && quiet {
                 return Some(link);
             }
@@ -191,9 +191,9 @@
         now: Option<Endpoint>,
     ) {
         // One that has more to read than the answer would answer the next request with it.
-        if link.stream.whole()
-            && link.stream.heard_just(came, chunked)
-            && link.stream.nothing_behind()
+        if link.stream.is_message_sent()
+            && link.stream.received_exactly(came, chunked)
+            && link.stream.has_no_unread_bytes()
             && now == Some(link.endpoint)
         {
             self.put(server, link);
@@ -237,8 +237,8 @@
             Err(_) => return Err(Outcome::ConnectFailed),
         };
         let failed = Outcome::ConnectFailed;
-        let sock = Sock::new(stream);
-        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io(sock.clone())).await;
+        let sock = WatchedStream::new(stream);
+        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(hyper_io(sock.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
         Ok(PooledConnection {
             stream: sock,
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -18,10 +18,12 @@
 use magpietally_policy::{Outcome, ServerId};
 use tokio::time::{sleep, timeout_at};
 
-use crate::body::{within, Held, Outgoing, Rest};
-use crate::message::{keep_end_to_end, Message, Reply, BODY_MOST, REMAINING};
+use crate::body::{run_until_deadline, BufferedBody, OutgoingBody, RemainingBody};
+use crate::message::{
+    remove_hop_by_hop_headers, UpstreamRequest, UpstreamResponse, BUFFERED_BODY_MAX_BYTES, X_REMAINING_MS,
+};
 use crate::pool::{outcome_of_unfinished_connect, Pool, PooledConnection};
-use crate::sock::{Io, Sock};
+use crate::watched_stream::{HyperIo, WatchedStream};
 
 /// Turned away unseen.
 const TURNED_AWAY: HeaderName = HeaderName::from_static("x-turned-away");
@@ -46,13 +48,13 @@
     may: impl Fn() -> Option<Endpoint>,
     now_at: impl Fn() -> Option<Endpoint> + 'static,
     to: (ServerId, Instant),
-    message: &Message,
+    message: &UpstreamRequest,
     fresh: bool,
-) -> AttemptResult<Reply> {
+) -> AttemptResult<UpstreamResponse> {
     let kept = Cell::new(None);
     let (outcome, reply) = talk(pool, may, now_at, to, message, fresh, &kept).await;
     // What is passed on while it comes has kept its server waiting until its last byte.
-    let took = message.body.uploading().and_then(|u| u.over_since()).map(|since| since.elapsed());
+    let took = message.body.upload_progress().and_then(|u| u.finished_at()).map(|since| since.elapsed());
     AttemptResult { outcome, reply, idle_before: kept.get(), took }
 }
 
@@ -61,10 +63,10 @@
     may: impl Fn() -> Option<Endpoint>,
     now_at: impl Fn() -> Option<Endpoint> + 'static,
     (server, end): (ServerId, Instant),
-    message: &Message,
+    message: &UpstreamRequest,
     fresh: bool,
     kept: &Cell<Option<Duration>>,
-) -> (Outcome, Option<Reply>) {
+) -> (Outcome, Option<UpstreamResponse>) {
     // A request that may run again may be sent on a connection that its server has closed within the last turn of the
     // runtime's loop; any other would be lost with it.
     let sure = message.method != Method::GET;
@@ -95,20 +97,20 @@
         let sent = Instant::now();
         let expected = pool.track_attempt(server);
         if fresh {
-            link.stream.begin(message.body.len());
+            link.stream.begin_message(message.body.known_length());
         } else {
-            link.stream.begin_attempt(message.body.len(), pool.metrics.clone());
+            link.stream.begin_attempt(message.body.known_length(), pool.metrics.clone());
         }
         let Some(body) = message.body.outgoing(&link.stream) else { return (Outcome::NotSent, None) };
         let request = request(message, body, end);
-        let uploading = message.body.uploading();
+        let uploading = message.body.upload_progress();
         let to = link.stream.clone();
         let talk = unless_untaken(&to, converse(&mut link, request, end));
-        let ended = within(end.into(), uploading.map(|u| &**u), &to, talk).await;
+        let ended = run_until_deadline(end.into(), uploading.map(|u| &**u), &to, talk).await;
         let overtaken = ended.is_none() && pool.is_overtaken(server, sent);
         drop(expected);
-        let (any, whole) = (link.stream.any(), link.stream.whole());
-        if ended.is_none() && whole && !link.stream.heard_any() {
+        let (any, whole) = (link.stream.has_sent_any(), link.stream.is_message_sent());
+        if ended.is_none() && whole && !link.stream.has_response_started() {
             pool.close_last_used_before(server, sent);
         }
         match ended {
@@ -117,7 +119,7 @@
             Some(Err(Broken::Untaken)) if !any && uploading.is_none() => continue,
             Some(Err(_)) if reused && !any && uploading.is_none() => continue,
             // What its client broke off says nothing of the server, and never ran.
-            Some(Err(_)) if !whole && uploading.is_some_and(|u| u.broken()) => {
+            Some(Err(_)) if !whole && uploading.is_some_and(|u| u.is_aborted()) => {
                 return (Outcome::NotSent, None)
             }
             Some(Ok(heard)) => {
@@ -129,22 +131,26 @@
             Some(Err(_)) => return (Outcome::Unwritten, None),
             // A connection that is dead, or an answer that was lost, must not pass for a slow server: that would eject it,
             // and lower its limit, for each. One that is slow with all it has is not overtaken.
-            None if whole && !link.stream.heard_any() && overtaken => return (Outcome::Unheard, None),
+            None if whole && !link.stream.has_response_started() && overtaken => {
+                return (Outcome::Unheard, None)
+            }
             None if whole => return (Outcome::TimedOut, None),
             // It took nothing for long.
-            None if uploading.is_some_and(|u| u.over_since().is_none()) => return (Outcome::Unwritten, None),
+            None if uploading.is_some_and(|u| u.finished_at().is_none()) => {
+                return (Outcome::Unwritten, None)
+            }
             None => return (Outcome::NotSent, None),
         }
     }
 }
 
-fn request(message: &Message, body: Outgoing, end: Instant) -> Request<Outgoing> {
+fn request(message: &UpstreamRequest, body: OutgoingBody, end: Instant) -> Request<OutgoingBody> {
     let left = end.saturating_duration_since(Instant::now()).as_millis() as u64;
     let mut request = Request::new(body);
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
-    request.headers_mut().insert(REMAINING, HeaderValue::from(left));
+    request.headers_mut().insert(X_REMAINING_MS, HeaderValue::from(left));
     request
 }
 
@@ -168,7 +174,7 @@
         server: ServerId,
         link: PooledConnection,
         now_at: impl Fn() -> Option<Endpoint> + 'static,
-    ) -> (Outcome, Option<Reply>) {
+    ) -> (Outcome, Option<UpstreamResponse>) {
         let away = self.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         let outcome = match self.status {
             StatusCode::OK => Outcome::Done,
@@ -187,24 +193,24 @@
                 None
             }
             Some(incoming) => {
-                let (came, pool, now_at) = (held.len(), pool.clone(), Box::new(now_at));
+                let (received_bytes, pool, current_endpoint) = (held.len(), pool.clone(), Box::new(now_at));
                 let link = Some(link);
-                let rest = Rest {
+                let rest = RemainingBody {
                     incoming,
                     link,
                     pool,
                     server,
-                    now_at,
-                    keep,
+                    current_endpoint,
+                    reusable: keep,
                     chunked,
-                    came,
-                    over: false,
-                    stall: None,
+                    received_bytes,
+                    connection_closed: false,
+                    stall_timer: None,
                 };
                 Some((Box::new(rest), framing.length()))
             }
         };
-        (outcome, (outcome == Outcome::Done).then_some(Reply { headers, body: held, rest }))
+        (outcome, (outcome == Outcome::Done).then_some(UpstreamResponse { headers, body: held, rest }))
     }
 }
 
@@ -264,7 +270,7 @@
 
 /// Ends an exchange of whose request the kernel has taken nothing while its head holds.
 async fn unless_untaken(
-    sock: &Sock,
+    sock: &WatchedStream,
     talk: impl Future<Output = Result<Heard, Broken>>,
 ) -> Result<Heard, Broken> {
     let mut talk = pin!(talk);
@@ -273,7 +279,7 @@
         ended = &mut talk => return ended,
         () = sleep(HEAD_HOLDS) => {}
     }
-    if sock.any() {
+    if sock.has_sent_any() {
         talk.await
     } else {
         Err(Broken::Untaken)
@@ -284,7 +290,7 @@
 /// the connection is never begun here, and nothing is sent again.
 async fn converse(
     link: &mut PooledConnection,
-    request: Request<Outgoing>,
+    request: Request<OutgoingBody>,
     end: Instant,
 ) -> Result<Heard, Broken> {
     let PooledConnection { send, conn, .. } = link;
@@ -300,12 +306,12 @@
             Framing::of(&parts.headers, parts.version).ok_or(Broken::Garbled)?
         };
         // One that is known to be large is passed on from its first bytes on: until then it may be repeated.
-        let large = framing.length().is_some_and(|n| n > BODY_MOST as u64);
-        let mut held = Held::default();
+        let large = framing.length().is_some_and(|n| n > BUFFERED_BODY_MAX_BYTES as u64);
+        let mut held = BufferedBody::default();
         // One of which nobody knows how long it will be may be as large, and come slowly: it is held for a moment only, and
         // not past the time that there is for its first bytes.
         let mut hold_until = None;
-        while held.len() <= BODY_MOST && !(large && held.len() > 0) {
+        while held.len() <= BUFFERED_BODY_MAX_BYTES && !(large && held.len() > 0) {
             if held.len() >= ENOUGH && framing.length().is_none() && hold_until.is_none() {
                 hold_until = Some((Instant::now() + HOLD_UNKNOWN).min(end - PASS_BEFORE));
             }
@@ -319,16 +325,16 @@
             match frame {
                 // What may stand behind the last chunk is not passed on.
                 Some(frame) => held.push(frame?.into_data().unwrap_or_default()),
-                None => return Ok((parts, held.bytes(), None, framing)),
+                None => return Ok((parts, held.into_bytes(), None, framing)),
             }
         }
-        Ok::<_, Broken>((parts, held.bytes(), Some(body), framing))
+        Ok::<_, Broken>((parts, held.into_bytes(), Some(body), framing))
     };
     let (parts, held, rest, framing) = drive(conn, talk).await?;
     let mut headers = parts.headers;
     let keep = framing != Framing::Close && !closes(&headers) && (rest.is_some() || !over(conn).await);
     let length = headers.get(CONTENT_LENGTH).filter(|_| head).cloned();
-    keep_end_to_end(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     if let Some(length) = length {
         // Of what would have been the body.
         headers.insert(CONTENT_LENGTH, length);
@@ -345,13 +351,13 @@
 }
 
 /// Has the connection come to its end? hyper sees bytes behind the answer, and closes, only when polled.
-async fn over(conn: &mut Connection<Io, Outgoing>) -> bool {
+async fn over(conn: &mut Connection<HyperIo, OutgoingBody>) -> bool {
     let mut conn = pin!(conn);
     std::future::poll_fn(|cx| Poll::Ready(conn.as_mut().poll(cx).is_ready())).await
 }
 
 /// Polls the connection for as long as what goes on over it lasts.
-async fn drive<T>(conn: &mut Connection<Io, Outgoing>, talk: impl Future<Output = T>) -> T {
+async fn drive<T>(conn: &mut Connection<HyperIo, OutgoingBody>, talk: impl Future<Output = T>) -> T {
     let mut talk = pin!(talk);
     tokio::select! {
         biased;
