--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -12,7 +12,7 @@
 use magpietally_os_error::{classify, Call};
 use magpietally_policy::Discovery;
 use magpietally_settings::{told, Told};
-use magpietally_structures::GOLDEN;
+use magpietally_structures::GOLDEN_GAMMA;
 use serde_json::{Map, Value};
 
 use crate::list::listing;
@@ -90,7 +90,7 @@
         settings.number = settings.number * workers + worker;
         settings.nodes *= workers;
         // Far apart, as the seeds of nodes are.
-        part.seed = self.seed.wrapping_add((worker as u64).wrapping_mul(GOLDEN));
+        part.seed = self.seed.wrapping_add((worker as u64).wrapping_mul(GOLDEN_GAMMA));
         Ok(part)
     }
 
--- a/crates/policy/examples/common/mod.rs
+++ b/crates/policy/examples/common/mod.rs
@@ -3,7 +3,7 @@
 use magpietally_policy::{
     Class, Discovery, Entry, Goal, Limits, Listed, Millis, Rules, ServerId, Settings, Weights,
 };
-use magpietally_structures::GOLDEN;
+use magpietally_structures::GOLDEN_GAMMA;
 
 /// The first of so many nodes, with the platform's usual rules.
 pub fn settings(nodes: usize, classes: Vec<Class>) -> Settings {
@@ -39,7 +39,7 @@
 
 /// A box by its number; their ids are in no order.
 pub fn entry(n: u64, state: Listed, started: Option<Millis>) -> Entry {
-    let server = ServerId(n.wrapping_mul(GOLDEN));
+    let server = ServerId(n.wrapping_mul(GOLDEN_GAMMA));
     Entry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
 }
 
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/asking.rs
@@ -211,7 +211,7 @@
             }
             _ => again,
         };
-        self.call = Call::AskAt(now + span * (0.5 + 0.5 * random.part()));
+        self.call = Call::AskAt(now + span * (0.5 + 0.5 * random.next_f64()));
     }
 
     /// When it is to be looked at again.
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -14,7 +14,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use magpietally_structures::{Age, Allowance, Aside, ByNumber, Held, Rate, Served, SplitMix};
+use magpietally_structures::{
+    ArrivalOrder, DeferredSet, GroupedQueue, PriorityMap, Rate, ServiceLevels, SplitMix, TokenBucket,
+};
 
 use crate::api::*;
 use crate::asking::Asking;
@@ -39,27 +41,27 @@
     subset: Vec<ServerId>,      // Those that it rotates over, sorted.
     reordered: bool,            // The ring has changed since.
     newcomers: Vec<ServerId>,   // Those that have no turn yet.
-    turns: ByNumber<ServerId>,  // The turns of those that may be ready.
-    aside: Aside<ServerId>,     // The others: from when, or from which factor of the fleet on, each may be.
+    turns: PriorityMap<ServerId>, // The turns of those that may be ready.
+    aside: DeferredSet<ServerId>, // The others: from when, or from which factor of the fleet on, each may be.
     ejected: BTreeSet<ServerId>, // Of the subset, those that are ejected.
-    looks: ByNumber<ServerId>,  // When these are looked at again, but for those that are being probed.
+    looks: PriorityMap<ServerId>, // When these are looked at again, but for those that are being probed.
     cold: BTreeSet<ServerId>,   // Of the subset, those that are cold, or were when their turn was set.
     warm_next: ServerId,        // From which of these on turns come closer next.
     sizes: Option<(Millis, f64, f64)>, // When added up last, the subset's size, and that of its warm ones.
     chosen: Millis,             // When the subset was last chosen.
     requests: BTreeMap<RequestId, Request>,
-    waiting: Held<Kind, RequestId>,    // Requests held at the node.
-    singles: Vec<ByNumber<RequestId>>, // By class, when each was first sent that may have a second copy.
-    left: Vec<RequestId>,              // Of these, those that are over.
-    cursor: f64,                       // The turn that was taken last.
-    cursor_at: Option<ServerId>,       // The server that it fell to.
+    waiting: GroupedQueue<Kind, RequestId>, // Requests held at the node.
+    singles: Vec<PriorityMap<RequestId>>,   // By class, when each was first sent that may have a second copy.
+    left: Vec<RequestId>,                   // Of these, those that are over.
+    cursor: f64,                            // The turn that was taken last.
+    cursor_at: Option<ServerId>,            // The server that it fell to.
     crowd: f64, // How many times more nodes share a server than wanted: a subset can be too small to.
     held_since: Option<Millis>, // Since when some have been held without a break.
     classes: Vec<ClassStats>,
     fleet: f64, // Factor to all limits where it is below 1: how far the fleet as a whole has slowed down.
-    class_served: Served, // How well each class, and each tenant within its share, is served.
-    tenant_served: Served,
-    quotas: Vec<Allowance>,            // Own part of each tenant's share.
+    class_served: ServiceLevels, // How well each class, and each tenant within its share, is served.
+    tenant_served: ServiceLevels,
+    quotas: Vec<TokenBucket>,          // Own part of each tenant's share.
     borne: f64,                        // What one unit of warm weight has borne so far, in requests.
     bore: Millis,                      // When a warm server last answered.
     times: BTreeMap<u64, Vec<Millis>>, // By kind of machine, each class's usual time with nothing else.
@@ -202,10 +204,10 @@
             crowd: 1.0,
             classes: settings.classes.iter().map(usual).collect(),
             fleet: 1.0,
-            class_served: Served::new(settings.classes.len(), MEMORY),
-            tenant_served: Served::new(settings.tenants.len(), MEMORY),
-            singles: vec![ByNumber::default(); settings.classes.len()],
-            quotas: vec![Allowance::default(); settings.tenants.len()],
+            class_served: ServiceLevels::new(settings.classes.len(), MEMORY),
+            tenant_served: ServiceLevels::new(settings.tenants.len(), MEMORY),
+            singles: vec![PriorityMap::default(); settings.classes.len()],
+            quotas: vec![TokenBucket::default(); settings.tenants.len()],
             retry_budget: settings.tuning.retry_most,
             timer_due: f64::INFINITY,
             swept: f64::NEG_INFINITY,
@@ -270,7 +272,7 @@
         let call = self.asking.due();
         let held = if self.waiting.is_empty() { f64::INFINITY } else { self.swept + self.period() };
         let hedge = self.hedged().filter_map(|class| self.hedges(class).next());
-        let soonest = call.min(held).min(self.looks.least().unwrap_or(f64::INFINITY));
+        let soonest = call.min(held).min(self.looks.min_priority().unwrap_or(f64::INFINITY));
         let mut due = hedge.fold(soonest, |due, (_, at)| due.min(at.max(self.swept + self.period())));
         if self.any_cold_turn() {
             due = due.min(self.chosen + self.warmth_step());
@@ -309,7 +311,7 @@
         if self.asking.look(now, &mut self.random) {
             actions.push(Action::Subscribe);
         }
-        let mut due: Vec<ServerId> = self.looks.within(now).collect();
+        let mut due: Vec<ServerId> = self.looks.up_to(now).collect();
         due.sort_unstable();
         for id in due {
             if self.set.limits.probes {
--- a/crates/policy/src/balance/ejection.rs
+++ b/crates/policy/src/balance/ejection.rs
@@ -42,7 +42,8 @@
     }
 
     pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome, took: Millis) {
-        let (now, borne, stagger) = (self.now, self.borne, self.random.part() - 1.0 / self.set.nodes as f64);
+        let (now, borne, stagger) =
+            (self.now, self.borne, self.random.next_f64() - 1.0 / self.set.nodes as f64);
         self.wake(id);
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.probing = false;
--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -1,6 +1,6 @@
 //! The list of servers, and which of them this node rotates over.
 
-use magpietally_structures::{apart, mix};
+use magpietally_structures::{mix, sorted_difference};
 
 use super::*;
 
@@ -20,7 +20,7 @@
         if whole {
             // Those that it names keep their state until it is read: to be named again is no return.
             let known: Vec<ServerId> = self.servers.keys().copied().collect();
-            let (left_out, _) = apart(&known, &touched);
+            let (left_out, _) = sorted_difference(&known, &touched);
             for id in &left_out {
                 self.servers.entry(*id).and_modify(|s| s.entry.state = Listed::Gone);
             }
@@ -153,7 +153,7 @@
         if self.reordered || taken != self.subset.len() {
             let mut subset: Vec<ServerId> = (0..taken).map(|place| self.preferred(place)).collect();
             subset.sort_unstable();
-            let (leaving, coming) = apart(&self.subset, &subset);
+            let (leaving, coming) = sorted_difference(&self.subset, &subset);
             (self.subset, self.reordered, self.sizes) = (subset, false, None);
             for id in leaving.iter().chain(&coming) {
                 if let Some(server) = self.servers.get_mut(id) {
@@ -183,7 +183,7 @@
         let first = self.cursor_at.map_or(self.set.number, behind) % count;
         for id in newcomers {
             let Ok(place) = self.subset.binary_search(&id) else { continue };
-            let stagger = self.random.part() - 1.0 / self.set.nodes as f64;
+            let stagger = self.random.next_f64() - 1.0 / self.set.nodes as f64;
             let Some(server) = self.servers.get_mut(&id).filter(|s| s.turn.is_nan()) else { continue };
             let after = (place + count - first) % count;
             let warmth = server.warmth(self.now, &self.set.rules);
--- a/crates/policy/src/balance/overload.rs
+++ b/crates/policy/src/balance/overload.rs
@@ -24,7 +24,7 @@
         let asked = came - self.age(class, deadline);
         let streaming = false;
         let request = Request { class, tenant, in_share, asked, came, deadline, attempts, streaming, once };
-        self.tally((class, tenant, in_share), Served::ask);
+        self.tally((class, tenant, in_share), ServiceLevels::add_demand);
         self.requests.insert(id, request);
         self.hold(id);
         self.serve_waiting(actions);
@@ -53,7 +53,7 @@
     /// Is a request within its tenant's share? The share of all nodes is taken to come evenly to each.
     fn take_quota(&mut self, tenant: usize) -> bool {
         let own = self.set.tenants[tenant].quota_per_s / self.set.nodes as f64;
-        self.quotas[tenant].take(self.now, own)
+        self.quotas[tenant].try_take(self.now, own)
     }
 
     fn worth(&self, class: usize, in_share: bool) -> f64 {
@@ -61,7 +61,11 @@
     }
 
     /// Counts what was asked for, or served, of a class and of a tenant within its share.
-    pub(super) fn tally(&mut self, of: (usize, Option<usize>, bool), add: fn(&mut Served, usize, f64, f64)) {
+    pub(super) fn tally(
+        &mut self,
+        of: (usize, Option<usize>, bool),
+        add: fn(&mut ServiceLevels, usize, f64, f64),
+    ) {
         let (class, tenant, in_share) = of;
         let worth = self.worth(class, in_share);
         add(&mut self.class_served, class, self.now, worth);
@@ -107,13 +111,13 @@
         let mut some = Vec::new();
         for kind in held.groups() {
             let (hold, mean) = (self.hold_for(kind.0), self.classes[kind.0].mean);
-            let old = held.oldest(kind).take_while(|(came, _)| kind.3 && now > came + hold);
-            let late = held.ending(kind, 0).take_while(|(until, _)| now > until - mean);
-            let last = held.ending(kind, 1).take_while(|(end, _)| now > end - last);
+            let old = held.oldest_first(kind).take_while(|(came, _)| kind.3 && now > came + hold);
+            let late = held.by_deadline(kind, 0).take_while(|(until, _)| now > until - mean);
+            let last = held.by_deadline(kind, 1).take_while(|(end, _)| now > end - last);
             some.extend(old.chain(late).chain(last).map(|(_, id)| id));
         }
         some.retain(|id| self.requests.get(id).is_some_and(|r| self.overdue(r)));
-        held.in_order(some)
+        held.in_queue_order(some)
     }
 
     /// Sends what is held, in the order of what it adds to the goal for the work it takes, and answers what
@@ -139,9 +143,9 @@
     }
 
     /// The youngest of a kind that may go to this server. What was never sent may go wherever its like may.
-    fn held_for(&self, kind: &Kind, to: &Server) -> Option<(Age, RequestId)> {
+    fn held_for(&self, kind: &Kind, to: &Server) -> Option<(ArrivalOrder, RequestId)> {
         let most = if kind.3 { 1 } else { usize::MAX };
-        self.waiting.youngest(kind).take(most).find(|(_, id)| self.may_go(*id, to))
+        self.waiting.newest_first(kind).take(most).find(|(_, id)| self.may_go(*id, to))
     }
 
     /// Which held request this server's turn goes to: the one that adds most to the goal for the time that
@@ -149,9 +153,9 @@
     fn best_held(&self, server: ServerId) -> Option<RequestId> {
         let to = self.servers.get(&server)?;
         let goal = &self.set.goal;
-        let asked = self.class_served.asked(self.now);
-        let by_class = self.class_served.adds_to_worst(self.now, goal.worst_class, NEAR_WORST);
-        let by_tenant = self.tenant_served.adds_to_worst(self.now, goal.worst_tenant, NEAR_WORST);
+        let asked = self.class_served.demand_rate(self.now);
+        let by_class = self.class_served.marginal_gains(self.now, goal.worst_class, NEAR_WORST);
+        let by_tenant = self.tenant_served.marginal_gains(self.now, goal.worst_tenant, NEAR_WORST);
         let times = self.times.get(&to.entry.kind);
         let adds = |&(class, tenant, in_share, _): &Kind| {
             let tenant = tenant.filter(|_| in_share).map_or(0.0, |t| by_tenant[t]);
--- a/crates/policy/src/balance/repeats.rs
+++ b/crates/policy/src/balance/repeats.rs
@@ -101,7 +101,7 @@
         self.learn(class, &ended, outcome, took);
         if finished {
             if in_time {
-                self.tally(kind, Served::serve);
+                self.tally(kind, ServiceLevels::add_served);
             }
             self.forget(id, actions);
         } else if !open {
--- a/crates/policy/src/balance/turns.rs
+++ b/crates/policy/src/balance/turns.rs
@@ -47,7 +47,7 @@
         });
         for (id, (at, fleet)) in aside {
             self.turns.remove(id);
-            self.aside.set(id, at, fleet);
+            self.aside.defer(id, at, fleet);
         }
         found
     }
--- a/crates/structures/examples/covers.rs
+++ b/crates/structures/examples/covers.rs
@@ -2,7 +2,7 @@
 //! connections move when a box or a node comes or goes. Each node takes the first K of an order of its own, K being as many
 //! as the policy takes; no node knows the others, only its number and how many there are.
 
-use magpietally_structures::{mix, SplitMix, GOLDEN};
+use magpietally_structures::{mix, SplitMix, GOLDEN_GAMMA};
 
 /// Nodes that share a box, and the fewest boxes of a node, as the policy has them.
 const NODES_PER_BOX: usize = 8;
@@ -23,7 +23,7 @@
         let walk = &mut walks[member];
         let mut tries = 0;
         let free = loop {
-            *walk = walk.wrapping_add(GOLDEN);
+            *walk = walk.wrapping_add(GOLDEN_GAMMA);
             tries += 1;
             let place = mix(*walk) as usize % size;
             // Not twice in what one node reads first, but where nothing else is left.
@@ -43,7 +43,7 @@
 
 /// Rendezvous hashing (Thaler and Ravishankar, 1998): each node ranks all by a hash of both.
 fn rendezvous(starts: &[u64], _: usize, number: usize, _: usize) -> Vec<usize> {
-    let own = mix((number as u64 + 1).wrapping_mul(GOLDEN));
+    let own = mix((number as u64 + 1).wrapping_mul(GOLDEN_GAMMA));
     let mut order: Vec<usize> = (0..starts.len()).collect();
     order.sort_by_key(|m| mix(starts[*m] ^ own));
     order
@@ -65,7 +65,7 @@
     let mut order: Vec<usize> = (0..starts.len()).collect();
     let mut random = SplitMix(mix((number / subsets) as u64 + 1));
     for last in (1..order.len()).rev() {
-        order.swap(last, (random.part() * (last + 1) as f64) as usize);
+        order.swap(last, (random.next_f64() * (last + 1) as f64) as usize);
     }
     order.rotate_left((number % subsets) * each);
     order
@@ -122,7 +122,8 @@
     );
     for nodes in [2, 10, 30, 100] {
         for boxes in [10usize, 100, 1000, 5000] {
-            let starts: Vec<u64> = (0..boxes as u64).map(|m| mix((m + 1).wrapping_mul(GOLDEN))).collect();
+            let starts: Vec<u64> =
+                (0..boxes as u64).map(|m| mix((m + 1).wrapping_mul(GOLDEN_GAMMA))).collect();
             let mut fewer = starts.clone();
             fewer.remove(boxes / 3);
             let mut more = starts.clone();
--- a/crates/structures/src/served.rs
+++ b/crates/structures/src/accounting.rs
@@ -4,39 +4,39 @@
 
 /// What was asked for and what was served, for each of some kinds, both forgotten by a factor e in each span.
 #[derive(Clone, Debug, Default)]
-pub struct Served {
+pub struct ServiceLevels {
     kinds: Vec<(Rate, Rate)>,
     span: f64,
 }
 
-impl Served {
+impl ServiceLevels {
     /// Nothing asked for or served yet; the span is in milliseconds.
     pub fn new(kinds: usize, span: f64) -> Self {
         Self { kinds: vec![(Rate::default(), Rate::default()); kinds], span }
     }
 
     /// So much more of a kind has been asked for.
-    pub fn ask(&mut self, kind: usize, now: f64, amount: f64) {
+    pub fn add_demand(&mut self, kind: usize, now: f64, amount: f64) {
         if let Some((asked, _)) = self.kinds.get_mut(kind) {
             asked.add(now, self.span, amount);
         }
     }
 
     /// So much more of a kind has been served.
-    pub fn serve(&mut self, kind: usize, now: f64, amount: f64) {
+    pub fn add_served(&mut self, kind: usize, now: f64, amount: f64) {
         if let Some((_, served)) = self.kinds.get_mut(kind) {
             served.add(now, self.span, amount);
         }
     }
 
     /// What is asked for a second, of all kinds.
-    pub fn asked(&self, now: f64) -> f64 {
+    pub fn demand_rate(&self, now: f64) -> f64 {
         self.kinds.iter().map(|(asked, _)| asked.at(now, self.span)).sum()
     }
 
     /// What serving one unit of each kind adds to `goal` times the part of the worst kind that is served: all of it for
     /// the worst, less by a factor e for each `near` that a kind is above it. Nothing for what nobody asks for.
-    pub fn adds_to_worst(&self, now: f64, goal: f64, near: f64) -> Vec<f64> {
+    pub fn marginal_gains(&self, now: f64, goal: f64, near: f64) -> Vec<f64> {
         let asked: Vec<f64> = self.kinds.iter().map(|(asked, _)| asked.at(now, self.span)).collect();
         let part = |((_, served), a): (&(Rate, Rate), &f64)| {
             if *a > 0.0 {
@@ -56,20 +56,20 @@
 
 /// An allowance that fills with time, up to what one second brings or one, whichever is more.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct TokenBucket {
     left: f64,
     since: f64,
 }
 
-impl Default for Allowance {
+impl Default for TokenBucket {
     fn default() -> Self {
         Self { left: 0.0, since: f64::NEG_INFINITY }
     }
 }
 
-impl Allowance {
+impl TokenBucket {
     /// Takes one, where one is left; the time is in milliseconds.
-    pub fn take(&mut self, now: f64, per_s: f64) -> bool {
+    pub fn try_take(&mut self, now: f64, per_s: f64) -> bool {
         let left = (self.left + per_s * (now - self.since) / 1000.0).min(per_s.max(1.0));
         let within = left >= 1.0;
         *self = Self { left: if within { left - 1.0 } else { left }, since: now };
--- a/crates/structures/src/held.rs
+++ b/crates/structures/src/grouped_queue.rs
@@ -2,16 +2,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::by_number::{number, ordered};
+use crate::priority_map::{number, ordered};
 
 /// How young something is: what came later is greater, of what came together what has the later place.
-pub type Age = (u64, u64);
+pub type ArrivalOrder = (u64, u64);
 
 /// Things that wait, each with its place in a list. Places are those of a vector from which things are taken anywhere: by
-/// [`Held::remove`] the others keep their order, by [`Held::swap_remove`] the last one takes the place that falls free.
+/// [`GroupedQueue::remove`] the others keep their order, by [`GroupedQueue::swap_remove`] the last one takes the place that falls free.
 /// Every call, and each step of an iterator, takes a time that grows with the logarithm of how many there are.
 #[derive(Clone, Debug)]
-pub struct Held<G, K> {
+pub struct GroupedQueue<G, K> {
     items: BTreeMap<K, Item<G>>,
     places: BTreeMap<u64, K>,
     groups: BTreeMap<G, Group<K>>,
@@ -27,17 +27,17 @@
 
 #[derive(Clone, Debug)]
 struct Group<K> {
-    by_age: BTreeSet<(Age, K)>,
+    by_age: BTreeSet<(ArrivalOrder, K)>,
     by_end: [BTreeSet<(u64, K)>; 2],
 }
 
-impl<G, K> Default for Held<G, K> {
+impl<G, K> Default for GroupedQueue<G, K> {
     fn default() -> Self {
         Self { items: BTreeMap::new(), places: BTreeMap::new(), groups: BTreeMap::new() }
     }
 }
 
-impl<G: Copy + Ord, K: Copy + Ord> Held<G, K> {
+impl<G: Copy + Ord, K: Copy + Ord> GroupedQueue<G, K> {
     /// Adds a thing at the end of the list. One that is there already stays as it is. Groups are kept when they become
     /// empty: there should be few.
     pub fn push(&mut self, key: K, group: G, came: f64, ends: [f64; 2]) {
@@ -114,12 +114,12 @@
     }
 
     /// A group's, the youngest first.
-    pub fn youngest(&self, group: &G) -> impl Iterator<Item = (Age, K)> + '_ {
+    pub fn newest_first(&self, group: &G) -> impl Iterator<Item = (ArrivalOrder, K)> + '_ {
         self.groups.get(group).into_iter().flat_map(|g| g.by_age.iter().rev().copied())
     }
 
     /// A group's with the times when they came, the oldest first.
-    pub fn oldest(&self, group: &G) -> impl Iterator<Item = (f64, K)> + '_ {
+    pub fn oldest_first(&self, group: &G) -> impl Iterator<Item = (f64, K)> + '_ {
         self.groups
             .get(group)
             .into_iter()
@@ -127,13 +127,13 @@
     }
 
     /// A group's by one of their two ends, the earliest first.
-    pub fn ending(&self, group: &G, which: usize) -> impl Iterator<Item = (f64, K)> + '_ {
+    pub fn by_deadline(&self, group: &G, which: usize) -> impl Iterator<Item = (f64, K)> + '_ {
         let ends = self.groups.get(group).and_then(|g| g.by_end.get(which));
         ends.into_iter().flatten().map(|(end, k)| (number(*end), *k))
     }
 
     /// Puts keys into the order of the list, each once; those that do not wait are left out.
-    pub fn in_order(&self, keys: impl IntoIterator<Item = K>) -> Vec<K> {
+    pub fn in_queue_order(&self, keys: impl IntoIterator<Item = K>) -> Vec<K> {
         let placed = keys.into_iter().filter_map(|key| Some((self.items.get(&key)?.place, key)));
         let sorted: BTreeMap<u64, K> = placed.collect();
         sorted.into_values().collect()
--- a/crates/structures/src/held/tests.rs
+++ b/crates/structures/src/grouped_queue/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use crate::{mix, GOLDEN};
+use crate::{mix, GOLDEN_GAMMA};
 
 /// Against a vector and walks over it.
 #[test]
 fn it_is_a_list_that_is_searched_without_a_walk() {
-    let mut held: Held<u8, u64> = Held::default();
+    let mut held: GroupedQueue<u8, u64> = GroupedQueue::default();
     let mut list: Vec<(u64, u8, f64, [f64; 2])> = Vec::new();
     let mut seed = 7u64;
     for key in 0..3_000u64 {
-        seed = seed.wrapping_add(GOLDEN);
+        seed = seed.wrapping_add(GOLDEN_GAMMA);
         let draw = mix(seed);
         let part = |shift: u32, of: u64| (draw >> shift) % of;
         let (group, came) = (part(0, 3) as u8, part(8, 9) as f64);
@@ -30,14 +30,14 @@
         let of = |g: u8| list.iter().filter(move |l| l.1 == g);
         // `max_by` takes the last of equals, which is the one with the later place.
         let youngest = of(group).max_by(|a, b| a.2.total_cmp(&b.2)).map(|l| l.0);
-        assert_eq!(held.youngest(&group).next().map(|y| y.1), youngest);
-        assert_eq!(held.oldest(&group).next().map(|o| o.0), of(group).map(|l| l.2).reduce(f64::min));
+        assert_eq!(held.newest_first(&group).next().map(|y| y.1), youngest);
+        assert_eq!(held.oldest_first(&group).next().map(|o| o.0), of(group).map(|l| l.2).reduce(f64::min));
         for which in 0..2 {
             let earliest = of(group).map(|l| l.3[which]).reduce(f64::min);
-            assert_eq!(held.ending(&group, which).next().map(|e| e.0), earliest);
+            assert_eq!(held.by_deadline(&group, which).next().map(|e| e.0), earliest);
         }
         if key % 97 == 0 {
-            let all = held.in_order((0..=key).rev());
+            let all = held.in_queue_order((0..=key).rev());
             assert!(all.iter().eq(list.iter().map(|l| &l.0)), "the order of the list");
         }
     }
--- a/crates/structures/src/lib.rs
+++ b/crates/structures/src/lib.rs
@@ -2,9 +2,9 @@
 //! numbers on every machine.
 //!
 //! ```
-//! use magpietally_structures::{ByNumber, Rate};
+//! use magpietally_structures::{PriorityMap, Rate};
 //!
-//! let mut turns = ByNumber::default();
+//! let mut turns = PriorityMap::default();
 //! turns.set("a", 2.0);
 //! turns.set("b", 1.0);
 //! assert_eq!(turns.first(), Some("b"));
@@ -16,16 +16,16 @@
 //! assert_eq!(rate.at(0.0, 1000.0), 5.0);
 //! ```
 
-mod by_number;
-mod held;
-mod served;
+mod accounting;
+mod grouped_queue;
+mod priority_map;
 
-pub use by_number::{Aside, ByNumber};
-pub use held::{Age, Held};
-pub use served::{Allowance, Served};
+pub use accounting::{ServiceLevels, TokenBucket};
+pub use grouped_queue::{ArrivalOrder, GroupedQueue};
+pub use priority_map::{DeferredSet, PriorityMap};
 
 /// The step of SplitMix64's walk (Steele, Lea and Flood, 2014).
-pub const GOLDEN: u64 = 0x9E37_79B9_7F4A_7C15;
+pub const GOLDEN_GAMMA: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The mixing of SplitMix64.
 pub fn mix(mut z: u64) -> u64 {
@@ -40,8 +40,8 @@
 
 impl SplitMix {
     /// The next number, from 0 to 1, without 1.
-    pub fn part(&mut self) -> f64 {
-        self.0 = self.0.wrapping_add(GOLDEN);
+    pub fn next_f64(&mut self) -> f64 {
+        self.0 = self.0.wrapping_add(GOLDEN_GAMMA);
         (mix(self.0) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
@@ -72,7 +72,7 @@
 }
 
 /// What two sorted lists have apart: what only the first has, and what only the second.
-pub fn apart<K: Copy + Ord>(first: &[K], second: &[K]) -> (Vec<K>, Vec<K>) {
+pub fn sorted_difference<K: Copy + Ord>(first: &[K], second: &[K]) -> (Vec<K>, Vec<K>) {
     let (mut a, mut b) = (first.iter().peekable(), second.iter().peekable());
     let (mut only_a, mut only_b) = (Vec::new(), Vec::new());
     loop {
--- a/crates/structures/src/by_number.rs
+++ b/crates/structures/src/priority_map.rs
@@ -5,12 +5,12 @@
 /// Keys in the order of a number that each has; of equal numbers the least key comes first. Every call takes a time that
 /// grows with the logarithm of how many there are.
 #[derive(Clone, Debug)]
-pub struct ByNumber<K> {
+pub struct PriorityMap<K> {
     order: BTreeSet<(u64, K)>,
     of: BTreeMap<K, u64>,
 }
 
-impl<K> Default for ByNumber<K> {
+impl<K> Default for PriorityMap<K> {
     fn default() -> Self {
         Self { order: BTreeSet::new(), of: BTreeMap::new() }
     }
@@ -31,7 +31,7 @@
     f64::from_bits(if ordered >> 63 == 1 { ordered & !(1 << 63) } else { !ordered })
 }
 
-impl<K: Copy + Ord> ByNumber<K> {
+impl<K: Copy + Ord> PriorityMap<K> {
     /// Gives a key its number, in place of the one that it had.
     pub fn set(&mut self, key: K, number: f64) {
         let number = ordered(number);
@@ -56,12 +56,12 @@
     }
 
     /// The least number.
-    pub fn least(&self) -> Option<f64> {
+    pub fn min_priority(&self) -> Option<f64> {
         self.order.first().map(|(n, _)| number(*n))
     }
 
     /// All keys whose numbers are no greater than a bound, by their numbers.
-    pub fn within(&self, bound: f64) -> impl Iterator<Item = K> + '_ {
+    pub fn up_to(&self, bound: f64) -> impl Iterator<Item = K> + '_ {
         let bound = ordered(bound);
         self.order.iter().take_while(move |(n, _)| *n <= bound).map(|(_, key)| *key)
     }
@@ -72,7 +72,7 @@
     }
 }
 
-impl<K: Copy + Ord> FromIterator<(K, f64)> for ByNumber<K> {
+impl<K: Copy + Ord> FromIterator<(K, f64)> for PriorityMap<K> {
     fn from_iter<T: IntoIterator<Item = (K, f64)>>(pairs: T) -> Self {
         let mut all = Self::default();
         pairs.into_iter().for_each(|(key, number)| all.set(key, number));
@@ -82,20 +82,20 @@
 
 /// Keys that are put aside until a time comes or a level is reached, whichever is first.
 #[derive(Clone, Debug)]
-pub struct Aside<K> {
-    until: ByNumber<K>,
-    level: ByNumber<K>,
+pub struct DeferredSet<K> {
+    until: PriorityMap<K>,
+    level: PriorityMap<K>,
 }
 
-impl<K> Default for Aside<K> {
+impl<K> Default for DeferredSet<K> {
     fn default() -> Self {
-        Self { until: ByNumber::default(), level: ByNumber::default() }
+        Self { until: PriorityMap::default(), level: PriorityMap::default() }
     }
 }
 
-impl<K: Copy + Ord> Aside<K> {
+impl<K: Copy + Ord> DeferredSet<K> {
     /// Puts a key aside; infinite ones never come.
-    pub fn set(&mut self, key: K, until: f64, level: f64) {
+    pub fn defer(&mut self, key: K, until: f64, level: f64) {
         self.until.set(key, until);
         self.level.set(key, level);
     }
@@ -108,7 +108,7 @@
 
     /// One whose time has come or whose level is reached.
     pub fn due(&self, now: f64, level: f64) -> Option<K> {
-        self.until.within(now).chain(self.level.within(level)).next()
+        self.until.up_to(now).chain(self.level.up_to(level)).next()
     }
 
     /// All that are aside, by their times.
--- a/crates/structures/src/tests.rs
+++ b/crates/structures/src/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn lists_apart() {
-    assert_eq!(apart(&[1, 2, 4, 9], &[2, 3, 9, 10]), (vec![1, 4], vec![3, 10]));
-    assert_eq!(apart::<u8>(&[], &[1]), (vec![], vec![1]));
-    assert_eq!(apart::<u8>(&[1], &[]), (vec![1], vec![]));
+    assert_eq!(sorted_difference(&[1, 2, 4, 9], &[2, 3, 9, 10]), (vec![1, 4], vec![3, 10]));
+    assert_eq!(sorted_difference::<u8>(&[], &[1]), (vec![], vec![1]));
+    assert_eq!(sorted_difference::<u8>(&[1], &[]), (vec![1], vec![]));
 }
