--- a/crates/config/src/fleet_policy.rs
+++ b/crates/config/src/fleet_policy.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use magpietally_policy::{Effect, Group, Millis, Settings};
+use magpietally_policy::{DedupScope, Effect, Millis, Settings};
 use magpietally_quota as quota;
 use serde::Deserialize;
 
@@ -197,7 +197,7 @@
             quotas.extend(tenant.quota(name, ground)?);
         }
         // What is left for the decision module to say, in its own words for the fields.
-        settings.check().map_err(|e| {
+        settings.validate().map_err(|e| {
             let path: &[&str] = match e.0.split([':', '[', '.']).next() {
                 Some("classes") => &["classes"],
                 Some("limits") => &["limits"],
@@ -224,38 +224,38 @@
             to.effect = match (effect, to.effect) {
                 (EffectWord::Once, _) => Effect::Unsafe,
                 (EffectWord::Safe, Effect::Safe) => Effect::Safe,
-                (EffectWord::Keyed, Effect::Safe) => Effect::Keyed { group: Group::Cell, memory: 0.0 },
-                (EffectWord::Keyed, Effect::Keyed { group, memory }) => Effect::Keyed { group, memory },
+                (EffectWord::Keyed, Effect::Safe) => Effect::Keyed { scope: DedupScope::Cell, memory: 0.0 },
+                (EffectWord::Keyed, Effect::Keyed { scope, memory }) => Effect::Keyed { scope, memory },
                 (EffectWord::Safe, _) | (EffectWord::Keyed, Effect::Unsafe) => {
                     return Err(At(path("effect").0, "wider than the platform allows".into()))
                 }
             };
         }
         let keyed = |field| match to.effect {
-            Effect::Keyed { group, memory } => Ok((group, memory)),
+            Effect::Keyed { scope, memory } => Ok((scope, memory)),
             _ => Err(At(path(field).0, "only for a class with the effect \"keyed\"".into())),
         };
         let was_keyed = matches!(before.effect, Effect::Keyed { .. });
         if let Some(word) = self.group {
             let (had, memory) = keyed("group")?;
-            let group = match word {
-                GroupWord::All => Group::All,
-                GroupWord::Zone => Group::Zone,
-                GroupWord::Cell => Group::Cell,
+            let scope = match word {
+                GroupWord::All => DedupScope::All,
+                GroupWord::Zone => DedupScope::Zone,
+                GroupWord::Cell => DedupScope::Cell,
             };
             let width = |g| match g {
-                Group::All => 2,
-                Group::Zone => 1,
-                Group::Cell => 0,
+                DedupScope::All => 2,
+                DedupScope::Zone => 1,
+                DedupScope::Cell => 0,
             };
-            if was_keyed && width(group) > width(had) {
+            if was_keyed && width(scope) > width(had) {
                 return Err(At(path("group").0, "wider than the platform allows".into()));
             }
-            to.effect = Effect::Keyed { group, memory };
+            to.effect = Effect::Keyed { scope, memory };
         }
         if let Some(ms) = self.memory_ms {
-            let (group, had) = match to.effect {
-                Effect::Keyed { group, memory } => (group, memory),
+            let (scope, had) = match to.effect {
+                Effect::Keyed { scope, memory } => (scope, memory),
                 _ => {
                     return Err(At(path("memory_ms").0, "only for a class with the effect \"keyed\"".into()))
                 }
@@ -263,7 +263,7 @@
             if was_keyed && ms > had {
                 return Err(At(path("memory_ms").0, format!("{ms} is more than the platform's {had}")));
             }
-            to.effect = Effect::Keyed { group, memory: ms };
+            to.effect = Effect::Keyed { scope, memory: ms };
         }
         to.aim = self.aim_ms.unwrap_or(to.aim);
         to.worth = self.worth.unwrap_or(to.worth);
--- a/crates/config/src/fleet_policy/tests.rs
+++ b/crates/config/src/fleet_policy/tests.rs
@@ -7,7 +7,7 @@
         classes: vec![
             class(Effect::Safe),
             class(Effect::Unsafe),
-            class(Effect::Keyed { group: Group::Zone, memory: 1200.0 }),
+            class(Effect::Keyed { scope: DedupScope::Zone, memory: 1200.0 }),
         ],
         tenants: vec![magpietally_policy::Tenant { quota_per_s: 100.0 }; 2],
         ..Settings::default()
--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -6,7 +6,7 @@
 
 use magpietally_ledger::guard::may_ask_again;
 use magpietally_ledger::{Draft, How, KeyDigest, Pending, Right, Told, Trouble, Why};
-use magpietally_policy::{Effect, Event, Group, Millis, Outcome, RequestId, ServerId};
+use magpietally_policy::{DedupScope, Effect, Event, Millis, Outcome, RequestId, ServerId};
 use tokio::time::timeout_at;
 
 use crate::carrier::{Carrier, Payload};
@@ -32,8 +32,8 @@
     match effect {
         Effect::Safe => Right::Any,
         Effect::Unsafe => Right::Once,
-        Effect::Keyed { group, memory } => Right::Keyed {
-            everywhere: group == Group::All,
+        Effect::Keyed { scope, memory } => Right::Keyed {
+            everywhere: scope == DedupScope::All,
             // A span that is no number of microseconds is longer than any clock.
             span_us: (memory * 1000.0) as u64,
         },
@@ -63,7 +63,7 @@
         let ended: Option<Vec<How>> =
             open.attempts.iter().map(|a| a.ended.map(|(outcome, ..)| how(outcome))).collect();
         if ended.is_some_and(may_ask_again) {
-            Answer::Refused(self.epochs.newest().stay_away(open.class))
+            Answer::Refused(self.epochs.newest().retry_after(open.class))
         } else {
             Answer::Failed
         }
@@ -81,7 +81,7 @@
         if ledger.standing().is_err() {
             let state = &mut *self.state.borrow_mut();
             state.counts.refused += 1;
-            return Err(Turned::Refused(state.epochs.newest().stay_away(asked.class)));
+            return Err(Turned::Refused(state.epochs.newest().retry_after(asked.class)));
         }
         // Only where something was out at a node's death is there anything to look for.
         if ledger.unknown() == 0 {
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use magpietally_policy::{Entry, Listed, Millis, ServerId};
+use magpietally_policy::{Entry, ListedState, Millis, ServerId};
 
 /// What a source of the list says: all of it, or what changed.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// Its cell.
     pub cell: u64,
     /// Its state.
-    pub state: Listed,
+    pub state: ListedState,
     /// Its weight.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
@@ -48,7 +48,7 @@
 struct Known {
     name: String,
     place: Place,
-    state: Listed,
+    state: ListedState,
     /// When this life began, by the policy's clock. Reckoned once: it must not move while the life goes on.
     started: Option<Millis>,
     /// The rest of what the list said, for a decision module that begins later.
@@ -91,7 +91,7 @@
 
     /// Where a server listens, if something new may be sent to it.
     pub(crate) fn place(&self, server: ServerId) -> Option<Place> {
-        self.known.get(&server).filter(|k| k.state == Listed::Up).map(|k| k.place)
+        self.known.get(&server).filter(|k| k.state == ListedState::Up).map(|k| k.place)
     }
 
     /// All of them as the list has them, in the order of their numbers.
@@ -118,7 +118,7 @@
     ) -> (Vec<Entry>, Vec<ServerId>) {
         if listing.whole {
             for known in self.known.values_mut() {
-                known.state = Listed::Gone;
+                known.state = ListedState::Gone;
             }
         }
         self.version = Some(listing.version);
@@ -127,14 +127,14 @@
             listing.members.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
         if listing.whole {
             void.extend(
-                self.known.iter().filter(|(_, k)| k.state == Listed::Gone).map(|(server, _)| *server),
+                self.known.iter().filter(|(_, k)| k.state == ListedState::Gone).map(|(server, _)| *server),
             );
-            self.known.retain(|_, k| k.state != Listed::Gone);
+            self.known.retain(|_, k| k.state != ListedState::Gone);
         } else {
             // A change costs what it names, however long the list is. One that names a server twice, as gone and as back,
             // leaves what it says last.
             for entry in &entries {
-                if self.known.get(&entry.server).is_some_and(|k| k.state == Listed::Gone) {
+                if self.known.get(&entry.server).is_some_and(|k| k.state == ListedState::Gone) {
                     self.known.remove(&entry.server);
                     void.push(entry.server);
                 }
--- a/crates/core/src/members/tests.rs
+++ b/crates/core/src/members/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn member(name: &str, port: u16, state: Listed, born_ms: Millis) -> Member {
+fn member(name: &str, port: u16, state: ListedState, born_ms: Millis) -> Member {
     let dial = Some(SocketAddr::from(([127, 0, 0, 1], port)));
     let (zone, kind) = ("a".to_string(), "m".to_string());
     Member { name: name.into(), dial, zone, kind, cell: 0, state, weight: 1.0, born_ms }
@@ -14,11 +14,11 @@
 fn a_restart_under_the_same_name_voids_its_connections_and_a_drain_takes_its_place() {
     let mut members = Members::default();
     let one = ServerId(number_of("one"));
-    assert!(take(&mut members, true, vec![member("one", 1, Listed::Up, 0.0)]).is_empty());
+    assert!(take(&mut members, true, vec![member("one", 1, ListedState::Up, 0.0)]).is_empty());
     let first = members.place(one).expect("it is up");
-    assert_eq!(take(&mut members, false, vec![member("one", 1, Listed::Up, 5.0)]), [one]);
+    assert_eq!(take(&mut members, false, vec![member("one", 1, ListedState::Up, 5.0)]), [one]);
     assert_ne!(members.place(one), Some(first), "another life, though the address is the same");
-    assert!(take(&mut members, false, vec![member("one", 1, Listed::Draining, 5.0)]).is_empty());
+    assert!(take(&mut members, false, vec![member("one", 1, ListedState::Draining, 5.0)]).is_empty());
     assert_eq!(members.place(one), None);
     assert_eq!(take(&mut members, true, vec![]), [one], "what a whole list leaves out is gone");
     assert_eq!(members.len(), 0);
@@ -30,28 +30,28 @@
 fn a_change_that_names_a_server_as_gone_and_as_back_leaves_it_in_place() {
     let mut members = Members::default();
     let one = ServerId(number_of("one"));
-    take(&mut members, true, vec![member("one", 1, Listed::Up, 0.0)]);
-    let gone = member("one", 1, Listed::Gone, 0.0);
-    let void = take(&mut members, false, vec![gone.clone(), member("one", 2, Listed::Up, 5.0)]);
+    take(&mut members, true, vec![member("one", 1, ListedState::Up, 0.0)]);
+    let gone = member("one", 1, ListedState::Gone, 0.0);
+    let void = take(&mut members, false, vec![gone.clone(), member("one", 2, ListedState::Up, 5.0)]);
     assert!(void.contains(&one), "the old process's connections are void");
     assert_eq!(members.place(one).map(|p| p.dial.port()), Some(2));
-    take(&mut members, false, vec![member("one", 2, Listed::Up, 5.0), gone]);
+    take(&mut members, false, vec![member("one", 2, ListedState::Up, 5.0), gone]);
     assert_eq!((members.place(one), members.len()), (None, 0));
 }
 
 #[test]
 fn a_change_touches_what_it_names() {
     let mut members = Members::default();
-    let all = (0..100).map(|n| member(&format!("box-{n}"), 1000 + n, Listed::Up, 0.0));
+    let all = (0..100).map(|n| member(&format!("box-{n}"), 1000 + n, ListedState::Up, 0.0));
     assert!(take(&mut members, true, all.collect()).is_empty());
     let gone = ServerId(number_of("box-7"));
-    assert_eq!(take(&mut members, false, vec![member("box-7", 0, Listed::Gone, 0.0)]), [gone, gone]);
+    assert_eq!(take(&mut members, false, vec![member("box-7", 0, ListedState::Gone, 0.0)]), [gone, gone]);
     assert_eq!((members.known.len(), members.place(gone)), (99, None));
     assert!(
-        take(&mut members, false, vec![member("box-7", 0, Listed::Gone, 0.0)]).len() <= 1,
+        take(&mut members, false, vec![member("box-7", 0, ListedState::Gone, 0.0)]).len() <= 1,
         "twice is as once"
     );
-    let renamed = (0..100).map(|n| member(&format!("new-{n}"), 1000 + n, Listed::Up, 0.0));
+    let renamed = (0..100).map(|n| member(&format!("new-{n}"), 1000 + n, ListedState::Up, 0.0));
     assert_eq!(take(&mut members, true, renamed.collect()).len(), 99, "a list that renames every box");
     assert_eq!(members.known.len(), 100);
 }
@@ -62,7 +62,7 @@
     let mut members = Members::default();
     let mut listed_at = |now: Millis, born_ms: Millis| {
         let listing =
-            Listing { version: 1, whole: true, members: vec![member("one", 1, Listed::Up, born_ms)] };
+            Listing { version: 1, whole: true, members: vec![member("one", 1, ListedState::Up, born_ms)] };
         members.take(listing, |_| Some(now)).0[0].started
     };
     assert_eq!(
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -236,7 +236,7 @@
         let (connections, label) = (self.carrier.connections(), &self.label);
         let ledger = self.ledger.as_ref().map_or(String::new(), |ledger| format!("; {}", ledger.line()));
         let list =
-            if state.epochs.newest().list_out_of_date() { "; list out of date, nothing sent" } else { "" };
+            if state.epochs.newest().is_list_stale() { "; list out of date, nothing sent" } else { "" };
         tracing::info!(
             target: "status",
             "{label}served {served} refused {refused} failed {failed} gone {gone}; attempts {attempts:?}; held {held} \
@@ -287,13 +287,13 @@
     ) -> Result<Taken<C::Reply>, Turned> {
         self.admit(&asked, deadline)?;
         let (answer, answered) = oneshot::channel();
-        let (class, tenant, once) = (asked.class, asked.tenant, asked.request.once());
+        let (class, tenant, non_replayable) = (asked.class, asked.tenant, asked.request.once());
         let entered = self.state.borrow_mut().table.enter(asked, deadline, answer);
         let id = entered.ok_or(Turned::Open)?;
         if let Some(gate) = self.gate.clone() {
             self.pass_gate(gate.as_ref(), id)?;
         }
-        self.feed(Event::Request { id, class, tenant, deadline: self.clock.at(deadline), once });
+        self.feed(Event::Request { id, class, tenant, deadline: self.clock.at(deadline), non_replayable });
         Ok((id, answered))
     }
 
@@ -407,7 +407,7 @@
 
     /// The policy's word on when to come back, for a request of this class that it is not shown.
     pub fn stay_away(&self, class: usize) -> Millis {
-        self.state.borrow().epochs.newest().stay_away(class)
+        self.state.borrow().epochs.newest().retry_after(class)
     }
 
     /// Nothing is owed any more: the client left, or has been answered in the policy's place.
@@ -611,7 +611,7 @@
 
     /// How long the answer to a call for the list may take to begin.
     pub fn list_patience(&self) -> Duration {
-        span(self.state.borrow().epochs.newest().list_patience())
+        span(self.state.borrow().epochs.newest().list_response_timeout())
     }
 
     /// The version to follow from; `None` where the whole list is needed first.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -9,7 +9,9 @@
 use magpietally_core::{
     Carrier, Core, Ended, Life, Listing, Member, Payload, Process, Setup, Target, Unfollowed,
 };
-use magpietally_policy::{Class, Effect, Goal, Group, Limits, Listed, Outcome, Rules, ServerId, Settings};
+use magpietally_policy::{
+    Class, DedupScope, Effect, Goal, Limits, ListedState, Outcome, Rules, ServerId, Settings,
+};
 use tokio::task::LocalSet;
 
 pub const LOOK: usize = 0;
@@ -70,7 +72,7 @@
         nodes: 1,
         classes: vec![
             class(Effect::Safe),
-            class(Effect::Keyed { group: Group::All, memory: 60_000.0 }),
+            class(Effect::Keyed { scope: DedupScope::All, memory: 60_000.0 }),
             class(Effect::Unsafe),
         ],
         goal: Goal { worth: 1.0, ..Goal::default() },
@@ -102,7 +104,7 @@
         zone: "a".into(),
         kind: "m".into(),
         cell: 0,
-        state: Listed::Up,
+        state: ListedState::Up,
         weight: 1.0,
         born_ms: 0.0,
     };
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -8,7 +8,7 @@
 
 use common::{run, settings, setup, until, Boxes, Request, SLIP};
 use magpietally_core::{Answer, Asked, Carrier, Core, Ended, Listing, Member, Target, Unfollowed};
-use magpietally_policy::{Effect, Group, Listed, Outcome, RequestId, ServerId, Settings};
+use magpietally_policy::{DedupScope, Effect, ListedState, Outcome, RequestId, ServerId, Settings};
 
 /// Keeps each attempt until it is told to go on, and notes whether it might be written when it began, and then.
 #[derive(Default)]
@@ -76,7 +76,7 @@
         run(async move {
             let mut settings = settings(10_000.0);
             let memory = if late { 1000.0 } else { 60_000.0 };
-            settings.classes[1].effect = Effect::Keyed { group: Group::All, memory };
+            settings.classes[1].effect = Effect::Keyed { scope: DedupScope::All, memory };
             let core = core(settings);
             core.carrier().first.set(Some(Outcome::Reset));
             let (_, answered) = core.request(asked(1), soon()).expect("it is taken");
@@ -130,7 +130,7 @@
                     zone: "a".into(),
                     kind: "m".into(),
                     cell: 0,
-                    state: Listed::Draining,
+                    state: ListedState::Draining,
                     weight: 1.0,
                     born_ms: 0.0,
                 });
--- a/crates/http/src/carrier.rs
+++ b/crates/http/src/carrier.rs
@@ -7,7 +7,7 @@
 
 use magpietally_config::{ListFile, State};
 use magpietally_core::{Carrier, Core, Ended, Figures, Listing, Member, Target, Unfollowed};
-use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
+use magpietally_policy::{ListFailure, ListedState, Outcome, ServerId};
 
 use crate::budget::Budget;
 use crate::config::Config;
@@ -88,8 +88,8 @@
             kind: b.kind.clone(),
             cell: b.cell,
             state: match b.state {
-                State::Active => Listed::Up,
-                State::Draining => Listed::Draining,
+                State::Active => ListedState::Up,
+                State::Draining => ListedState::Draining,
             },
             weight: b.weight,
             born_ms: b.started_ms,
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -12,7 +12,7 @@
 use hyper::client::conn::http1;
 use hyper::{rt, Request, Response, StatusCode};
 use magpietally_core::{Carrier, Core, Listing, Unfollowed};
-use magpietally_policy::{ListFailure, WATCH_SILENCE};
+use magpietally_policy::{ListFailure, WATCH_SILENCE_TIMEOUT};
 use tokio::time::{sleep, timeout_at, Instant};
 
 use crate::list;
@@ -39,7 +39,7 @@
 /// while nothing changes; with the pause behind it within 6 s.
 const FIRST_LINE: Duration = Duration::from_millis(2000);
 /// A watch brings a line every 2 s: a longer silence is a dead link, which TCP alone would not notice.
-const SILENCE: Duration = Duration::from_millis(WATCH_SILENCE as u64);
+const SILENCE: Duration = Duration::from_millis(WATCH_SILENCE_TIMEOUT as u64);
 
 /// What comes sooner has not waited in the service's queue.
 const AT_ONCE: Duration = Duration::from_millis(300);
--- a/crates/http/src/discovery/clock.rs
+++ b/crates/http/src/discovery/clock.rs
@@ -198,7 +198,7 @@
 
 impl Reader for Rc<Node> {
     fn patience(&self) -> Duration {
-        Duration::from_secs_f64(self.policy.borrow().list_patience() / 1000.0)
+        Duration::from_secs_f64(self.policy.borrow().list_response_timeout() / 1000.0)
     }
 
     fn version(&self) -> Option<u64> {
@@ -261,7 +261,7 @@
 
 impl Case {
     fn new(version: Option<u64>, links: Vec<Link>) -> Self {
-        Self { discovery: Discovery::Asked, ask_within: 10_000.0, version, links, back: 0, wait: 0 }
+        Self { discovery: Discovery::Polled, ask_within: 10_000.0, version, links, back: 0, wait: 0 }
     }
 
     /// Plays it until the news is there, 40 s at the most; when that was, and when connections were asked for.
@@ -559,7 +559,7 @@
 
 #[test]
 fn a_new_process_asks_at_its_first_moment() {
-    for discovery in [Discovery::Asked, Discovery::Agent] {
+    for discovery in [Discovery::Polled, Discovery::Agent] {
         let case = Case { discovery, ..Case::new(Some(1), vec![]) };
         assert_eq!(case.play(0), (Some(0), vec![0]));
     }
--- a/crates/http/src/discovery/fleet.rs
+++ b/crates/http/src/discovery/fleet.rs
@@ -105,7 +105,7 @@
     /// Plays nodes that come to ask by one trouble, until all have the list or the time is over.
     fn play(nodes: Nodes, service: Service, trouble: Trouble, seed: u64) -> Self {
         let node = |n: usize| {
-            let asked = settings(Discovery::Asked, 10_000.0);
+            let asked = settings(Discovery::Polled, 10_000.0);
             let set = Settings { nodes: nodes.told, number: n % nodes.told, ..asked };
             Balancer::new(set, seed.wrapping_mul(1_000_003).wrapping_add(n as u64)).expect("good settings")
         };
@@ -189,7 +189,7 @@
         self.came.push((now, n, !served));
         if served {
             self.busy = start + per_call;
-            assert!(self.busy - now < self.nodes[n].list_patience(), "the node gives up sooner");
+            assert!(self.busy - now < self.nodes[n].list_response_timeout(), "the node gives up sooner");
             return (self.busy, Ok(()));
         }
         self.busy = start + failing * per_call;
--- a/crates/http/src/list.rs
+++ b/crates/http/src/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use magpietally_core::{Listing, Member};
-use magpietally_policy::Listed;
+use magpietally_policy::ListedState;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -63,7 +63,7 @@
     Left,
 }
 
-impl From<Health> for Listed {
+impl From<Health> for ListedState {
     fn from(health: Health) -> Self {
         match health {
             Health::Active => Self::Up,
--- a/crates/membership/examples/cold_fleet.rs
+++ b/crates/membership/examples/cold_fleet.rs
@@ -70,7 +70,7 @@
             zone: 0,
             cell: 0,
             kind: 0,
-            state: Listed::Up,
+            state: ListedState::Up,
             weight: 1.0,
             started: Some(0.0),
         })
@@ -125,7 +125,7 @@
                     class: 0,
                     tenant: None,
                     deadline: t + 500.0,
-                    once: false,
+                    non_replayable: false,
                 };
                 node.handle(t, request, &mut actions);
             }
--- a/crates/policy/examples/common/mod.rs
+++ b/crates/policy/examples/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the measurements share: a node's settings, its boxes, and what the process holds of memory.
 
 use magpietally_policy::{
-    Class, Discovery, Entry, Goal, Limits, Listed, Millis, Rules, ServerId, Settings, Weights,
+    Class, Discovery, Entry, Goal, Limits, ListedState, Millis, Rules, ServerId, Settings, Weights,
 };
 use magpietally_structures::GOLDEN_GAMMA;
 
@@ -38,7 +38,7 @@
 }
 
 /// A box by its number; their ids are in no order.
-pub fn entry(n: u64, state: Listed, started: Option<Millis>) -> Entry {
+pub fn entry(n: u64, state: ListedState, started: Option<Millis>) -> Entry {
     let server = ServerId(n.wrapping_mul(GOLDEN_GAMMA));
     Entry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
 }
--- a/crates/policy/examples/decision.rs
+++ b/crates/policy/examples/decision.rs
@@ -11,7 +11,8 @@
 
 use common::{entry, memory, settings};
 use magpietally_policy::{
-    Action, Balancer, Class, Effect, Event, Group, Listed, Outcome, RequestId, ServerId, Settings, Tenant,
+    Action, Balancer, Class, DedupScope, Effect, Event, ListedState, Outcome, RequestId, ServerId, Settings,
+    Tenant,
 };
 
 /// Long aims, so that what is held stays held while it is measured.
@@ -47,7 +48,7 @@
             class,
             tenant,
             deadline: self.now + 4.0 * AIM,
-            once: false,
+            non_replayable: false,
         });
     }
 
@@ -62,7 +63,7 @@
 /// A class of each right to run again, and two tenants.
 fn node_settings() -> Settings {
     let class = |effect| Class { aim: AIM, worth: 1.0, late_worth: 0.0, effect };
-    let keyed = Effect::Keyed { group: Group::Zone, memory: AIM };
+    let keyed = Effect::Keyed { scope: DedupScope::Zone, memory: AIM };
     let classes = vec![class(Effect::Safe), class(Effect::Unsafe), class(keyed)];
     let tenants = vec![Tenant { quota_per_s: 1e9 }, Tenant { quota_per_s: 1e9 }];
     Settings { tenants, ..settings(1, classes) }
@@ -74,7 +75,7 @@
     let balancer = Balancer::new(node_settings(), 7)?;
     let mut node = Node { balancer, now: 1.0, asked: 0, actions: Vec::new(), out: VecDeque::new() };
     node.feed(Event::List {
-        entries: (1..=boxes).map(|n| entry(n, Listed::Up, None)).collect(),
+        entries: (1..=boxes).map(|n| entry(n, ListedState::Up, None)).collect(),
         saved: false,
     });
     let before = memory();
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn entry(id: u64, state: Listed) -> Entry {
+fn entry(id: u64, state: ListedState) -> Entry {
     Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
 }
 
@@ -53,10 +53,11 @@
 
 fn main() -> Result<(), SettingsError> {
     let mut balancer = Balancer::new(settings(), 42)?;
-    let entries = (1..=3).map(|id| entry(id, Listed::Up)).collect();
+    let entries = (1..=3).map(|id| entry(id, ListedState::Up)).collect();
     tell(&mut balancer, 0.0, Event::List { entries, saved: false });
 
-    let ask = |id, now| Event::Request { id, class: 0, tenant: None, deadline: now + 500.0, once: false };
+    let ask =
+        |id, now| Event::Request { id, class: 0, tenant: None, deadline: now + 500.0, non_replayable: false };
     let first = RequestId(1);
     let server = tell(&mut balancer, 10.0, ask(first, 10.0)).expect("three servers are ready");
     tell(&mut balancer, 22.0, ended(first, 0, server, Outcome::Done));
@@ -68,7 +69,7 @@
     tell(&mut balancer, 54.0, ended(second, 1, server, Outcome::Done));
 
     // Server 1 drains: the third goes past it.
-    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, Listed::Draining)]));
+    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ListedState::Draining)]));
     let third = RequestId(3);
     let server = tell(&mut balancer, 70.0, ask(third, 70.0)).expect("one server is left");
     assert_eq!(server, ServerId(3));
--- a/crates/policy/examples/lists.rs
+++ b/crates/policy/examples/lists.rs
@@ -8,7 +8,8 @@
 
 use common::{entry, memory, settings};
 use magpietally_policy::{
-    Action, Balancer, Class, Effect, Entry, Event, Limits, Listed, Outcome, RequestId, ServerId, Settings,
+    Action, Balancer, Class, Effect, Entry, Event, Limits, ListedState, Outcome, RequestId, ServerId,
+    Settings,
 };
 
 const BOXES: u64 = 5_000;
@@ -53,7 +54,7 @@
     fn ask(&mut self) -> Duration {
         self.asked += 1;
         let (id, deadline) = (RequestId(self.asked), self.now + 1000.0);
-        self.feed(Event::Request { id, class: 0, tenant: None, deadline, once: false })
+        self.feed(Event::Request { id, class: 0, tenant: None, deadline, non_replayable: false })
     }
 
     fn answers(&mut self) {
@@ -72,8 +73,9 @@
     println!("{BOXES} boxes; milliseconds, but for memory");
     for nodes in [1, 20, 200] {
         let mut node = Node::new(nodes)?;
-        let all =
-            |from: u64| -> Vec<Entry> { (from..from + BOXES).map(|n| entry(n, Listed::Up, None)).collect() };
+        let all = |from: u64| -> Vec<Entry> {
+            (from..from + BOXES).map(|n| entry(n, ListedState::Up, None)).collect()
+        };
         let before = memory();
         let ms = |spent: Duration| spent.as_secs_f64() * 1e3;
         let whole = ms(node.feed(Event::List { entries: all(0), saved: false }));
@@ -84,7 +86,7 @@
                 (0..200).map(|n| ms(node.feed(Event::ListChange(vec![entry(BOXES + 25 * n, state, None)]))));
             spans.sum::<f64>() / 200.0
         };
-        let (leaves, comes) = (one(&mut node, Listed::Draining), one(&mut node, Listed::Up));
+        let (leaves, comes) = (one(&mut node, ListedState::Draining), one(&mut node, ListedState::Up));
         println!(
             "{nodes:>4} nodes: whole list {whole:.2}, all renamed {renamed:.2}, one box leaves {leaves:.3}, one comes \
              {comes:.3}; {per_box:.0} bytes a box"
@@ -92,15 +94,15 @@
     }
     // An hour: each second 1% of the boxes are replaced by new ones, cold at first; 200 requests a second come.
     let mut node = Node::new(20)?;
-    let first: Vec<Entry> = (0..BOXES).map(|n| entry(n, Listed::Up, None)).collect();
+    let first: Vec<Entry> = (0..BOXES).map(|n| entry(n, ListedState::Up, None)).collect();
     node.feed(Event::List { entries: first, saved: false });
     let (mut oldest, mut worst_list, mut worst_ask) = (0, Duration::ZERO, Duration::ZERO);
     let began = Instant::now();
     let hour = std::env::args().nth(1).map_or(Ok(3600u64), |w| w.parse())?;
     for second in 0..hour {
         let (count, now) = (BOXES / 100, node.now);
-        let gone = (oldest..oldest + count).map(|n| entry(n, Listed::Gone, None));
-        let new = (oldest + BOXES..oldest + BOXES + count).map(|n| entry(n, Listed::Up, Some(now)));
+        let gone = (oldest..oldest + count).map(|n| entry(n, ListedState::Gone, None));
+        let new = (oldest + BOXES..oldest + BOXES + count).map(|n| entry(n, ListedState::Up, Some(now)));
         let change: Vec<Entry> = gone.chain(new).collect();
         oldest += count;
         worst_list = worst_list.max(node.feed(Event::ListChange(change)));
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -15,7 +15,7 @@
 
 /// Which servers drop the repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -32,7 +32,7 @@
     /// Repeats are dropped by the servers of one group, for `memory` after the first send.
     Keyed {
         /// The servers that know of each other's work.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember it.
         memory: Millis,
     },
@@ -131,13 +131,13 @@
     #[default]
     Pushed,
     /// Once the node has subscribed or asked.
-    Asked,
+    Polled,
     /// To an agent beside the node, whose subscription the node keeps. What the agent has counts as told at once.
     Agent,
 }
 
 /// How long a watch has said nothing that is given up as [`ListFailure::Silent`], in milliseconds. It brings a line every 2 s.
-pub const WATCH_SILENCE: Millis = 3200.0;
+pub const WATCH_SILENCE_TIMEOUT: Millis = 3200.0;
 
 /// How asking for the list failed, or a subscription ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -212,7 +212,7 @@
     /// # Errors
     /// Names the first field that does not, and its bound: no classes, a time or amount that is negative or
     /// not finite, an own number not below the count of nodes, a share outside 0 to 1.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
             return fail("classes: no classes, one is needed at least".into());
@@ -275,7 +275,7 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     /// In service.
     Up,
     /// Finishing its work; nothing new may be sent.
@@ -297,7 +297,7 @@
     /// Its kind of machine, as a number.
     pub kind: u64,
     /// Its state.
-    pub state: Listed,
+    pub state: ListedState,
     /// A figure to compare with other servers'.
     pub weight: f64,
     /// When it last started; `None`: long ago.
@@ -367,7 +367,7 @@
         /// asking comes with less time than a new one, and is treated as the older one that it is.
         deadline: Millis,
         /// It is passed on while it comes, and can be sent again only where nothing of it went out.
-        once: bool,
+        non_replayable: bool,
     },
     /// A streamed answer has begun; the client is bound to this attempt.
     Streaming {
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/asking.rs
@@ -2,7 +2,7 @@
 
 use magpietally_structures::SplitMix;
 
-use crate::api::{Discovery, ListFailure, Millis, Settings, WATCH_SILENCE};
+use crate::api::{Discovery, ListFailure, Millis, Settings, WATCH_SILENCE_TIMEOUT};
 use crate::balance::Balancer;
 
 // Whatever became of calls before, a change counts as told 6 s after discovery had it and could be reached, and a drain must
@@ -122,7 +122,7 @@
         let (discovery, rules) = (settings.discovery, &settings.rules);
         let call = match discovery {
             Discovery::Pushed => Call::Settled,
-            Discovery::Asked | Discovery::Agent => Call::AskAt(f64::NEG_INFINITY),
+            Discovery::Polled | Discovery::Agent => Call::AskAt(f64::NEG_INFINITY),
         };
         let grace = (rules.drain_grace - settings.limits.connect_timeout).max(0.0);
         Self {
@@ -161,7 +161,7 @@
             (Call::Settled, _) => {
                 // What a watch had not brought yet when it broke is missed, too.
                 let silent = failure == ListFailure::Silent;
-                let lag = if silent { WATCH_SILENCE } else { self.waited.max(NEWS_LAG) };
+                let lag = if silent { WATCH_SILENCE_TIMEOUT } else { self.waited.max(NEWS_LAG) };
                 self.good_until = (now - lag).max(self.had) + self.told;
                 if now < self.good_after_reload {
                     self.good_until = self.good_until.min(self.good_after_reload);
@@ -196,7 +196,7 @@
         self.rejected = if failure == ListFailure::Rejected { self.rejected.saturating_add(1) } else { 0 };
         let (apart, behind) = match self.discovery {
             Discovery::Pushed => return,
-            Discovery::Asked => {
+            Discovery::Polled => {
                 self.note_failure(now, failure);
                 ((self.within / 20.0).clamp(BEHIND, APART), BEHIND)
             }
@@ -205,7 +205,7 @@
         let took = if let Call::Asked(at) = self.call { now - at } else { 0.0 };
         let again = (apart - took).max(behind);
         let span = match (self.discovery, self.rejected) {
-            (Discovery::Asked, 1..) => {
+            (Discovery::Polled, 1..) => {
                 let backoff = if self.fleet { FLEET } else { ALONE };
                 backoff.longest(self.rejected).max(again)
             }
@@ -246,12 +246,12 @@
 
 impl Balancer {
     /// How long the answer to the call for the list that was asked for last may take to begin, in milliseconds.
-    pub fn list_patience(&self) -> Millis {
+    pub fn list_response_timeout(&self) -> Millis {
         self.asking.patience()
     }
 
     /// Is the list so old that nothing is sent by it? Servers may have been told to drain of which the node has not heard.
-    pub fn list_out_of_date(&self) -> bool {
+    pub fn is_list_stale(&self) -> bool {
         self.asking.out_of_date(self.now)
     }
 }
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -106,7 +106,7 @@
     deadline: Millis,
     attempts: Vec<Attempt>,
     streaming: bool,
-    once: bool, // It can't be sent again once any of it went out.
+    non_replayable: bool, // It can't be sent again once any of it went out.
 }
 
 #[derive(Clone, Copy)]
@@ -152,7 +152,7 @@
     }
 
     fn listed_up(&self) -> bool {
-        self.entry.state == Listed::Up
+        self.entry.state == ListedState::Up
     }
 
     /// A server may turn one class away and serve the rest, as a bad release does: that class goes elsewhere
@@ -192,9 +192,9 @@
     /// A node at its start. `seed` is for its random numbers and should differ from node to node.
     ///
     /// # Errors
-    /// Where the settings make no sense; see [`Settings::check`].
+    /// Where the settings make no sense; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let usual =
             |c: &Class| ClassStats { mean: c.aim / 4.0, most_left: f64::NEG_INFINITY, ..Default::default() };
         Ok(Self {
@@ -247,7 +247,7 @@
     }
 
     /// For how long the client of a refused request of this class should stay away.
-    pub fn stay_away(&self, class: usize) -> Millis {
+    pub fn retry_after(&self, class: usize) -> Millis {
         let aim = self.set.classes.get(class).map_or(0.0, |c| c.aim);
         (STAY_AWAY * aim).min(self.set.limits.max_retry_after)
     }
--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -22,7 +22,7 @@
             let known: Vec<ServerId> = self.servers.keys().copied().collect();
             let (left_out, _) = sorted_difference(&known, &touched);
             for id in &left_out {
-                self.servers.entry(*id).and_modify(|s| s.entry.state = Listed::Gone);
+                self.servers.entry(*id).and_modify(|s| s.entry.state = ListedState::Gone);
             }
             touched.extend(left_out);
             touched.sort_unstable();
@@ -38,7 +38,7 @@
         for id in touched {
             match self.servers.get_mut(&id) {
                 // Kept while attempts are out, so that their outcomes still find it.
-                Some(s) if s.entry.state == Listed::Gone && s.out.is_empty() => {
+                Some(s) if s.entry.state == ListedState::Gone && s.out.is_empty() => {
                     drop(self.servers.remove(&id))
                 }
                 Some(s) if s.limit.is_nan() => s.limit = limit,
--- a/crates/policy/src/balance/overload.rs
+++ b/crates/policy/src/balance/overload.rs
@@ -8,7 +8,7 @@
 
 impl Balancer {
     pub(super) fn on_request(&mut self, event: Event, actions: &mut Vec<Action>) {
-        let Event::Request { id, class, tenant, deadline, once } = event else { return };
+        let Event::Request { id, class, tenant, deadline, non_replayable } = event else { return };
         if self.requests.contains_key(&id) {
             // To answer a repeat would be to answer the first, which is still owed, and to send for it then.
             return;
@@ -23,7 +23,8 @@
         let (came, attempts) = (self.now, Vec::new());
         let asked = came - self.age(class, deadline);
         let streaming = false;
-        let request = Request { class, tenant, in_share, asked, came, deadline, attempts, streaming, once };
+        let request =
+            Request { class, tenant, in_share, asked, came, deadline, attempts, streaming, non_replayable };
         self.tally((class, tenant, in_share), ServiceLevels::add_demand);
         self.requests.insert(id, request);
         self.hold(id);
@@ -41,7 +42,7 @@
             *most = most.max(left);
         }
         match self.set.classes[class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => 0.0,
+            Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => 0.0,
             _ if *most - left < self.set.tick || refused.at(now, *most) * *most < 500.0 => 0.0,
             _ => {
                 refused.add(now, *most, -1.0);
@@ -187,7 +188,7 @@
             if allowed < 1.0 { rested <= 2.0 * rest } else { 2.0 * server.out.len() as f64 >= allowed };
         let attempt = Attempt { server: to, zone, cell, sent: self.now, at_limit, alone, outcome: None };
         request.attempts.push(attempt);
-        let may = self.set.limits.second_copies && class.effect != Effect::Unsafe && !request.once;
+        let may = self.set.limits.second_copies && class.effect != Effect::Unsafe && !request.non_replayable;
         if may && request.attempts.len() == 1 {
             self.singles[request.class].set(id, self.now);
         }
--- a/crates/policy/src/balance/repeats.rs
+++ b/crates/policy/src/balance/repeats.rs
@@ -12,18 +12,20 @@
         let mut ran = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
         let no_more = self.attempts.len() >= limits.attempts || (self.pending() && !limits.second_copies);
         let sent = self.attempts.iter().any(|a| a.outcome != Some(Outcome::ConnectFailed));
-        if to.is_some() && (no_more || (self.once && sent) || now >= self.known_until(class, limits)) {
+        if to.is_some()
+            && (no_more || (self.non_replayable && sent) || now >= self.known_until(class, limits))
+        {
             return false;
         }
         match class.effect {
             Effect::Safe => true,
             Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { group, .. } => ran.all(|a| match to {
-                None => group == Group::All,
-                Some(entry) => match group {
-                    Group::All => true,
-                    Group::Zone => a.zone == entry.zone,
-                    Group::Cell => a.cell == entry.cell,
+            Effect::Keyed { scope, .. } => ran.all(|a| match to {
+                None => scope == DedupScope::All,
+                Some(entry) => match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => a.zone == entry.zone,
+                    DedupScope::Cell => a.cell == entry.cell,
                 },
             }),
         }
@@ -83,7 +85,7 @@
         if was_out && !hurried {
             self.detect_outlier(server, outcome, took);
         }
-        if self.servers.get(&server).is_some_and(|s| s.entry.state == Listed::Gone && s.out.is_empty()) {
+        if self.servers.get(&server).is_some_and(|s| s.entry.state == ListedState::Gone && s.out.is_empty()) {
             self.servers.remove(&server);
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -152,7 +154,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.set.classes[request.class];
         if request.may_repeat(class, &self.set.limits, self.now, None) {
-            actions.push(Action::Refuse { id, stay_away: self.stay_away(request.class) });
+            actions.push(Action::Refuse { id, stay_away: self.retry_after(request.class) });
             let pace = &mut self.classes[request.class];
             // A refused repeat makes no further one due: all with less time would be taken for it.
             pace.refused.add(self.now, pace.most_left, if request.asked < request.came { 0.0 } else { 1.0 });
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -230,7 +230,7 @@
     fn entries(&self, now: f64) -> Vec<Entry> {
         let entry = |id: u64| Entry {
             server: ServerId(id),
-            state: Listed::Up,
+            state: ListedState::Up,
             weight: 1.0,
             started: (id < self.scene.cold && now >= START).then_some(START),
             ..Entry::default()
@@ -305,8 +305,13 @@
         if self.scene.blind && now >= START {
             return self.send(node, now, id, id % self.scene.servers, Some(300.0));
         }
-        let request =
-            Event::Request { id: RequestId(id), class: 0, tenant: None, deadline: now + 500.0, once: false };
+        let request = Event::Request {
+            id: RequestId(id),
+            class: 0,
+            tenant: None,
+            deadline: now + 500.0,
+            non_replayable: false,
+        };
         self.handle(node, now, request);
     }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -20,7 +20,7 @@
         nodes: 2,
         classes: vec![
             class(100.0, 1.0, Effect::Safe),
-            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: MEMORY }),
+            class(200.0, 3.0, Effect::Keyed { scope: DedupScope::Cell, memory: MEMORY }),
             class(100.0, 10.0, Effect::Unsafe),
         ],
         tenants: Vec::new(),
@@ -50,7 +50,7 @@
 }
 
 pub fn entry(server: u64, weight: f64) -> Entry {
-    let state = Listed::Up;
+    let state = ListedState::Up;
     Entry {
         server: ServerId(server),
         zone: server % 2,
@@ -110,7 +110,7 @@
         let id = RequestId(self.next);
         self.next += 1;
         let deadline = self.now + left;
-        (id, self.event(Event::Request { id, class, tenant, deadline, once: false }))
+        (id, self.event(Event::Request { id, class, tenant, deadline, non_replayable: false }))
     }
 
     /// Ends the request's newest attempt.
@@ -203,7 +203,7 @@
         match event {
             Event::List { entries, .. } => {
                 for (entry, gone) in self.servers.values_mut() {
-                    entry.state = Listed::Gone;
+                    entry.state = ListedState::Gone;
                     gone.get_or_insert(now);
                 }
                 self.listed(now, entries);
@@ -230,7 +230,7 @@
 
     fn listed(&mut self, now: f64, entries: &[Entry]) {
         for entry in entries {
-            let gone = (entry.state != Listed::Up).then_some(now);
+            let gone = (entry.state != ListedState::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
             known.1 = if gone.is_some() { known.1.or(gone) } else { None };
             known.0 = entry.clone();
--- a/crates/policy/tests/out_of_date.rs
+++ b/crates/policy/tests/out_of_date.rs
@@ -23,7 +23,7 @@
 
 /// One that asks, and whose first call is out.
 fn node() -> Node {
-    node_that(Discovery::Asked)
+    node_that(Discovery::Polled)
 }
 
 fn failed_by(node: &mut Node, failure: ListFailure) {
@@ -73,10 +73,10 @@
     until(&mut node, start + GOOD - 10.0, ListFailure::Rejected);
     assert!(sends_now(&mut node), "the list that it saved holds");
     until(&mut node, start + GOOD, ListFailure::Rejected);
-    assert!(!sends_now(&mut node) && node.balancer.list_out_of_date());
+    assert!(!sends_now(&mut node) && node.balancer.is_list_stale());
     // The list is there: it goes on with that.
     node.event(Event::List { entries: vec![entry(1, 1.0)], saved: false });
-    assert!(sends_now(&mut node) && !node.balancer.list_out_of_date());
+    assert!(sends_now(&mut node) && !node.balancer.is_list_stale());
     until(&mut node, start + 60_000.0, ListFailure::Rejected);
     assert!(sends_now(&mut node), "a list that is watched has no end");
 }
@@ -225,9 +225,9 @@
 #[test]
 fn a_call_behind_a_rejection_is_waited_for_longer() {
     let mut node = node();
-    let first = node.balancer.list_patience();
+    let first = node.balancer.list_response_timeout();
     failed_by(&mut node, ListFailure::Rejected);
-    assert!(node.balancer.list_patience() >= first + 1000.0);
+    assert!(node.balancer.list_response_timeout() >= first + 1000.0);
     node.event(Event::ListChange(Vec::new()));
-    assert_eq!(node.balancer.list_patience(), first);
+    assert_eq!(node.balancer.list_response_timeout(), first);
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -12,7 +12,7 @@
     Ask(usize, f64),
     /// Ends some attempt that is out, in some way.
     End(usize, Outcome),
-    List(usize, Listed, bool),
+    List(usize, ListedState, bool),
     ListFailed,
     Leave(usize),
     Wait(f64),
@@ -30,7 +30,7 @@
         2 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
     ];
-    let state = prop_oneof![3 => Just(Listed::Up), 1 => Just(Listed::Draining), 1 => Just(Listed::Gone)];
+    let state = prop_oneof![3 => Just(ListedState::Up), 1 => Just(ListedState::Draining), 1 => Just(ListedState::Gone)];
     prop_oneof![
         8 => (0..3usize, 20.0..400.0).prop_map(|(class, time)| Step::Ask(class, time)),
         8 => (any::<prop::sample::Index>(), outcome).prop_map(|(i, o)| Step::End(i.index(1000), o)),
@@ -132,7 +132,13 @@
                 let (id, deadline) = (RequestId(next), day.now + time);
                 next += 1;
                 day.open.insert(id, (deadline, 0));
-                day.event(Event::Request { id, class: *class, tenant: None, deadline, once: false });
+                day.event(Event::Request {
+                    id,
+                    class: *class,
+                    tenant: None,
+                    deadline,
+                    non_replayable: false,
+                });
             }
             Step::End(i, outcome) => {
                 if !day.out.is_empty() {
--- a/crates/policy/tests/rotation.rs
+++ b/crates/policy/tests/rotation.rs
@@ -57,7 +57,7 @@
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
     assert_eq!(turns(&mut node, 8), [3, 0, 1, 2, 3, 0, 1, 2]);
-    node.event(Event::ListChange(vec![Entry { state: Listed::Gone, ..entry(1, 1.0) }]));
+    node.event(Event::ListChange(vec![Entry { state: ListedState::Gone, ..entry(1, 1.0) }]));
     assert_eq!(turns(&mut node, 4), [3, 0, 2, 3]);
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -36,7 +36,7 @@
 fn a_keyed_request_is_not_resent_once_forgotten() {
     let mut slow = settings();
     slow.classes[KEYED].aim = 2000.0;
-    slow.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: 5.0 };
+    slow.classes[KEYED].effect = Effect::Keyed { scope: DedupScope::All, memory: 5.0 };
     let mut node = Node::fleet(slow, 4);
     let (id, _) = node.ask_with(KEYED, None, 2000.0);
     node.now += 6.0;
@@ -47,7 +47,7 @@
 #[test]
 fn a_draining_server_gets_nothing_new() {
     let mut node = Node::fleet(settings(), 2);
-    node.event(Event::ListChange(vec![Entry { state: Listed::Draining, ..entry(0, 1.0) }]));
+    node.event(Event::ListChange(vec![Entry { state: ListedState::Draining, ..entry(0, 1.0) }]));
     for _ in 0..5 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(1)));
     }
@@ -95,7 +95,7 @@
         node.serve(SAFE, 5.0);
     }
     let cold = Entry { started: Some(node.now), ..entry(1, 1.0) };
-    node.event(Event::ListChange(vec![Entry { state: Listed::Gone, ..entry(0, 1.0) }, cold]));
+    node.event(Event::ListChange(vec![Entry { state: ListedState::Gone, ..entry(0, 1.0) }, cold]));
     let sent = (0..200).filter(|_| node.serve(SAFE, 5.0).is_some()).count();
     assert!(sent <= 50, "a second's budget at 15% of some 100 a second, times 3, not {sent}");
 }
@@ -321,7 +321,8 @@
 fn a_request_that_can_be_sent_once_is_not_sent_twice() {
     let ask = |node: &mut Node, class| {
         let id = RequestId(1_000_000);
-        let once = Event::Request { id, class, tenant: None, deadline: node.now + PATIENCE, once: true };
+        let once =
+            Event::Request { id, class, tenant: None, deadline: node.now + PATIENCE, non_replayable: true };
         (id, node.event(once))
     };
     for class in [SAFE, UNSAFE] {
@@ -689,7 +690,7 @@
     for (waits, within) in [(0.0, 195.0..=405.0), (2000.0, 49.0..=105.0)] {
         let mut all = Vec::new();
         for seed in 0..8 {
-            let asked = Settings { discovery: Discovery::Asked, ..settings() };
+            let asked = Settings { discovery: Discovery::Polled, ..settings() };
             let mut node = Node::new_seeded(asked, vec![entry(0, 1.0), entry(1, 1.0)], seed);
             for _ in 0..10 {
                 // The first call goes out with the first list, before this loop.
@@ -736,8 +737,13 @@
 fn a_request_id_handed_in_again_changes_nothing() {
     let mut node = Node::fleet(settings(), 0);
     let (id, _) = node.ask(UNSAFE);
-    let again =
-        Event::Request { id, class: UNSAFE, tenant: None, deadline: node.now + PATIENCE, once: false };
+    let again = Event::Request {
+        id,
+        class: UNSAFE,
+        tenant: None,
+        deadline: node.now + PATIENCE,
+        non_replayable: false,
+    };
     let actions = node.event(again.clone());
     assert!(!failed(&actions, id) && !refused(&actions, id), "{actions:?}");
     node.event(Event::List { entries: vec![entry(0, 1.0)], saved: false });
@@ -803,7 +809,7 @@
 #[test]
 fn a_wholly_draining_list_gets_nothing_and_answers_are_given() {
     let mut node = Node::fleet(settings(), 3);
-    let draining = (0..3).map(|id| Entry { state: Listed::Draining, ..entry(id, 1.0) }).collect();
+    let draining = (0..3).map(|id| Entry { state: ListedState::Draining, ..entry(id, 1.0) }).collect();
     node.event(Event::List { entries: draining, saved: false });
     let (id, mut actions) = node.ask(UNSAFE);
     actions.extend(node.wait(100.0));
@@ -896,7 +902,7 @@
     for (took, again) in [(40.0, true), (60.0, false)] {
         let mut set = settings();
         set.classes[KEYED].aim = 2000.0;
-        set.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: 100.0 };
+        set.classes[KEYED].effect = Effect::Keyed { scope: DedupScope::All, memory: 100.0 };
         assert_eq!(set.limits.connect_timeout, 50.0);
         let mut node = Node::fleet(set, 4);
         let (id, _) = node.ask_with(KEYED, None, 2000.0);
@@ -914,7 +920,7 @@
     for class in &mut set.classes {
         class.aim = 2000.0;
     }
-    set.classes[KEYED].effect = Effect::Keyed { group: Group::Cell, memory: 300.0 };
+    set.classes[KEYED].effect = Effect::Keyed { scope: DedupScope::Cell, memory: 300.0 };
     set.goal.worst_class = 0.0;
     let mut node = Node::fleet(set, 2);
     let (id, actions) = node.ask_with(KEYED, None, 2000.0);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 mod fields;
 
 use magpietally_policy::{
-    Class, Discovery, Effect, Goal, Group, Limits, Millis, Rules, Settings, Tenant, Tuning, Weights,
+    Class, DedupScope, Discovery, Effect, Goal, Limits, Millis, Rules, Settings, Tenant, Tuning, Weights,
 };
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
 const NODES_MOST: u64 = 1_000_000;
 
 fn class(f: &Fields) -> Result<(Class, Millis), WireError> {
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
     #[derive(Clone, Copy)]
     enum Word {
         Safe,
@@ -28,7 +28,7 @@
         Word::Safe => Effect::Safe,
         Word::Unsafe => Effect::Unsafe,
         Word::Keyed => Effect::Keyed {
-            group: f.word("DedupScope", &groups)?,
+            scope: f.word("DedupScope", &groups)?,
             memory: f.within("MemorySpan", Range::Positive)?,
         },
     };
@@ -128,7 +128,7 @@
     let (l, r, g) = (f.object("Limits")?, f.object("Contract")?, f.object("Goal")?);
     let goal = |key| g.within(key, Range::Amount);
     let discovery =
-        f.word("Discovery", &[("subscribe", Discovery::Asked), ("automatic", Discovery::Pushed)])?;
+        f.word("Discovery", &[("subscribe", Discovery::Polled), ("automatic", Discovery::Pushed)])?;
     let weights = [
         ("nominal", Weights::Listed),
         ("rough", Weights::Listed),
--- a/crates/settings/tests/fields.rs
+++ b/crates/settings/tests/fields.rs
@@ -1,6 +1,6 @@
 //! Every field of the settings that is read, spoilt in every way: one error that names it by its path.
 
-use magpietally_policy::{Discovery, Effect, Group, Weights};
+use magpietally_policy::{DedupScope, Discovery, Effect, Weights};
 use magpietally_settings::{told, told_as};
 use serde_json::{json, Value};
 
@@ -214,8 +214,8 @@
     assert_eq!(plain.classes, ["seat", "scan"]);
     assert_eq!(plain.deadlines, [500.0, 400.0]);
     assert_eq!((plain.longest_deadline(), plain.keepalive, plain.open_cap), (500.0, 4000.0, 77));
-    assert_eq!(plain.settings.classes[0].effect, Effect::Keyed { group: Group::Zone, memory: 700.0 });
-    assert_eq!((plain.settings.discovery, plain.settings.weights), (Discovery::Asked, Weights::Listed));
+    assert_eq!(plain.settings.classes[0].effect, Effect::Keyed { scope: DedupScope::Zone, memory: 700.0 });
+    assert_eq!((plain.settings.discovery, plain.settings.weights), (Discovery::Polled, Weights::Listed));
     let set = |settings: &mut Value, path: &str, to: Value| *settings.pointer_mut(path).expect(path) = to;
     for none in [Value::Null, json!([])] {
         let mut settings = good();
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -160,9 +160,9 @@
             cell: if at(3).is_null() { 0 } else { whole(at(3), "Cluster")? },
             kind,
             state: match text(at(4), "Condition")? {
-                "on" => Listed::Up,
-                "fading" => Listed::Draining,
-                "off" => Listed::Gone,
+                "on" => ListedState::Up,
+                "fading" => ListedState::Draining,
+                "off" => ListedState::Gone,
                 other => return Err(format!("Condition: {other} is unknown")),
             },
             weight: optional(at(5), "Weight")?.unwrap_or(1.0),
@@ -197,7 +197,7 @@
                 class: index(&self.classes, at(2)).ok_or_else(|| "Band: unknown".to_string())?,
                 tenant: index(&self.tenants, at(3)),
                 deadline: number(at(5), "DropDead")?,
-                once: false,
+                non_replayable: false,
             },
             "STREAMING" => Event::Streaming { id: id()?, attempt: attempt()? },
             "RESPONSE" => Event::Ended {
--- a/crates/site/src/model/spec.rs
+++ b/crates/site/src/model/spec.rs
@@ -663,9 +663,9 @@
                 Effect::Safe => policy::Effect::Safe,
                 Effect::Unsafe => policy::Effect::Unsafe,
                 Effect::Keyed => policy::Effect::Keyed {
-                    group: match c.key_group {
-                        KeyGroup::All => policy::Group::All,
-                        KeyGroup::Zone => policy::Group::Zone,
+                    scope: match c.key_group {
+                        KeyGroup::All => policy::DedupScope::All,
+                        KeyGroup::Zone => policy::DedupScope::Zone,
                     },
                     memory: c.key_span_ms,
                 },
@@ -695,7 +695,7 @@
                 fall_window: r.fall_ms,
                 drain_grace: r.drain_grace_ms,
             },
-            discovery: if self.list.watched { policy::Discovery::Asked } else { policy::Discovery::Pushed },
+            discovery: if self.list.watched { policy::Discovery::Polled } else { policy::Discovery::Pushed },
             weights: policy::Weights::Listed,
             tick: n.tick_ms,
             tuning: policy::Tuning::default(),
--- a/crates/site/src/virt/faulty.rs
+++ b/crates/site/src/virt/faulty.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use magpietally_policy::{
-    Action, Effect, Entry, Event, Listed, Millis, Outcome, RequestId, ServerId, Settings,
+    Action, Effect, Entry, Event, ListedState, Millis, Outcome, RequestId, ServerId, Settings,
 };
 use serde::{Deserialize, Serialize};
 
@@ -76,7 +76,7 @@
 
     fn listed(&mut self, entries: &mut Vec<Entry>) {
         for entry in entries.iter() {
-            if entry.state == Listed::Up {
+            if entry.state == ListedState::Up {
                 if !self.up.contains(&entry.server) {
                     self.up.push(entry.server);
                 }
@@ -86,7 +86,7 @@
             }
         }
         if self.misdeed == Misdeed::IgnoresDrains {
-            entries.retain(|e| e.state == Listed::Up);
+            entries.retain(|e| e.state == ListedState::Up);
         }
     }
 }
--- a/crates/site/src/virt/listing.rs
+++ b/crates/site/src/virt/listing.rs
@@ -1,6 +1,6 @@
 //! News of the boxes on their way to the nodes.
 
-use magpietally_policy::{Entry, Event, ListFailure, Listed, ServerId};
+use magpietally_policy::{Entry, Event, ListFailure, ListedState, ServerId};
 
 use super::shell::Node;
 use super::world::{Ev, World};
@@ -18,9 +18,9 @@
             cell: zone,
             kind: self.box_kind[e.app_box] as u64,
             state: match e.state {
-                State::Up => Listed::Up,
-                State::Draining => Listed::Draining,
-                State::Gone => Listed::Gone,
+                State::Up => ListedState::Up,
+                State::Draining => ListedState::Draining,
+                State::Gone => ListedState::Gone,
             },
             weight: kind.listed_size(),
             started: e.started.map(millis),
--- a/crates/site/src/virt/plain.rs
+++ b/crates/site/src/virt/plain.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use magpietally_policy::{
-    Action, Discovery, Effect, Entry, Event, Group, Listed, Millis, Outcome, RequestId, ServerId, Settings,
+    Action, DedupScope, Discovery, Effect, Entry, Event, ListedState, Millis, Outcome, RequestId, ServerId,
+    Settings,
 };
 use serde::{Deserialize, Serialize};
 
@@ -71,7 +72,7 @@
 
     /// A node that sends nothing.
     pub(super) fn refusing(settings: Settings) -> Self {
-        let ask_at = (settings.discovery == Discovery::Asked).then_some(f64::NEG_INFINITY);
+        let ask_at = (settings.discovery == Discovery::Polled).then_some(f64::NEG_INFINITY);
         Self {
             cursor: settings.number,
             settings,
@@ -92,7 +93,7 @@
         for entry in entries {
             self.servers.insert(entry.server, entry);
         }
-        let up = self.servers.values().filter(|e| e.state == Listed::Up);
+        let up = self.servers.values().filter(|e| e.state == ListedState::Up);
         self.up = up.map(|e| e.server).collect();
     }
 
@@ -166,9 +167,9 @@
         match self.settings.classes[held.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { group, memory } => ran.all(|a| match to {
-                None => group == Group::All,
-                Some(to) => (group == Group::All || a.1 == to.zone) && now - a.2 < memory,
+            Effect::Keyed { scope, memory } => ran.all(|a| match to {
+                None => scope == DedupScope::All,
+                Some(to) => (scope == DedupScope::All || a.1 == to.zone) && now - a.2 < memory,
             }),
         }
     }
--- a/crates/site/src/virt/world.rs
+++ b/crates/site/src/virt/world.rs
@@ -419,7 +419,7 @@
         let (class, tenant) = (arrival.class, arrival.tenant);
         self.feed(
             node,
-            Event::Request { id: RequestId(number as u64), class, tenant, deadline, once: false },
+            Event::Request { id: RequestId(number as u64), class, tenant, deadline, non_replayable: false },
         );
     }
 
