--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use magpietally_policy::{Entry, ListedState, Millis, ServerId};
+use magpietally_policy::{ListedState, Millis, ServerEntry, ServerId};
 
 /// What a source of the list says: all of it, or what changed.
 #[derive(Clone, Debug)]
@@ -95,8 +95,8 @@
     }
 
     /// All of them as the list has them, in the order of their numbers.
-    pub(crate) fn entries(&self) -> Vec<Entry> {
-        let entry = |(server, k): (&ServerId, &Known)| Entry {
+    pub(crate) fn entries(&self) -> Vec<ServerEntry> {
+        let entry = |(server, k): (&ServerId, &Known)| ServerEntry {
             server: *server,
             zone: k.zone,
             cell: k.cell,
@@ -105,7 +105,7 @@
             weight: k.weight,
             started: k.started,
         };
-        let mut all: Vec<Entry> = self.known.iter().map(entry).collect();
+        let mut all: Vec<ServerEntry> = self.known.iter().map(entry).collect();
         all.sort_by_key(|e| e.server);
         all
     }
@@ -115,7 +115,7 @@
         &mut self,
         listing: Listing,
         started: impl Fn(Millis) -> Option<Millis>,
-    ) -> (Vec<Entry>, Vec<ServerId>) {
+    ) -> (Vec<ServerEntry>, Vec<ServerId>) {
         if listing.whole {
             for known in self.known.values_mut() {
                 known.state = ListedState::Gone;
@@ -123,7 +123,7 @@
         }
         self.version = Some(listing.version);
         let mut void = Vec::new();
-        let entries: Vec<Entry> =
+        let entries: Vec<ServerEntry> =
             listing.members.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
         if listing.whole {
             void.extend(
@@ -149,7 +149,7 @@
         member: Member,
         started: impl Fn(Millis) -> Option<Millis>,
         void: &mut Vec<ServerId>,
-    ) -> Option<Entry> {
+    ) -> Option<ServerEntry> {
         let server = ServerId(number_of(&member.name));
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != member.name) {
@@ -169,7 +169,7 @@
             let place = Place { dial, born_ms };
             self.known.insert(server, Known { name, place, state, started, zone, cell, kind, weight });
         }
-        Some(Entry { server, zone, cell, kind, state, weight, started })
+        Some(ServerEntry { server, zone, cell, kind, state, weight, started })
     }
 }
 
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -232,7 +232,8 @@
             return;
         }
         let servers = status::servers(&status.servers, |server| state.members.name(server));
-        let (held, open, fleet, budget) = (status.held, status.open, status.fleet, status.retry_budget);
+        let (held, open, fleet, budget) =
+            (status.queued, status.open, status.fleet_factor, status.retry_budget);
         let (connections, label) = (self.carrier.connections(), &self.label);
         let ledger = self.ledger.as_ref().map_or(String::new(), |ledger| format!("; {}", ledger.line()));
         let list =
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -19,8 +19,8 @@
     let mut line = String::new();
     let mut tell = |s: &ServerStatus| {
         // Writing to a string can't fail.
-        let _ = write!(line, "; {} out {} limit {:.2}", name(s.server).unwrap_or("?"), s.out, s.limit);
-        let _ = write!(line, " share {:.2}", s.share);
+        let _ = write!(line, "; {} out {} limit {:.2}", name(s.server).unwrap_or("?"), s.in_flight, s.limit);
+        let _ = write!(line, " share {:.2}", s.learned_weight);
         if s.warmth < 1.0 {
             let _ = write!(line, " warmth {:.2}", s.warmth);
         }
@@ -32,7 +32,7 @@
         all.iter().for_each(tell);
         return line;
     }
-    let (limits, shares) = (spread(all, |s| s.limit), spread(all, |s| s.share));
+    let (limits, shares) = (spread(all, |s| s.limit), spread(all, |s| s.learned_weight));
     let mut apart: Vec<(f64, &ServerStatus)> =
         all.iter().map(|s| (stands_out(s, limits.1, shares.1), s)).filter(|(by, _)| *by > 0.0).collect();
     let count = apart.len();
@@ -41,8 +41,8 @@
     apart.iter().take(NAMED).for_each(|(_, s)| tell(s));
     let of = |what: fn(&ServerStatus) -> bool| all.iter().filter(|s| what(s)).count();
     let (ejected, cold) = (of(|s| s.ejected), of(|s| s.warmth < 1.0));
-    let full = of(|s| !s.ejected && s.out > 0 && s.out as f64 >= s.limit.floor());
-    let out: usize = all.iter().map(|s| s.out).sum();
+    let full = of(|s| !s.ejected && s.in_flight > 0 && s.in_flight as f64 >= s.limit.floor());
+    let out: usize = all.iter().map(|s| s.in_flight).sum();
     let three = |(least, middle, most): (f64, f64, f64)| format!("{least:.2}/{middle:.2}/{most:.2}");
     let more = if count > NAMED { format!("; {} more stand out", count - NAMED) } else { String::new() };
     format!(
@@ -58,7 +58,7 @@
     if s.ejected {
         return f64::INFINITY;
     }
-    let apart = (s.share / share).max(share / s.share);
+    let apart = (s.learned_weight / share).max(share / s.learned_weight);
     let low = limit / s.limit;
     let by_share = if apart > SHARE_APART { apart } else { 0.0 };
     let by_limit = if low * LIMIT_APART > 1.0 { low } else { 0.0 };
--- a/crates/core/src/status/tests.rs
+++ b/crates/core/src/status/tests.rs
@@ -1,7 +1,14 @@
 use super::*;
 
 fn status(n: u64) -> ServerStatus {
-    ServerStatus { server: ServerId(n), out: 0, limit: 4.0, share: 1.0, warmth: 1.0, ejected: false }
+    ServerStatus {
+        server: ServerId(n),
+        in_flight: 0,
+        limit: 4.0,
+        learned_weight: 1.0,
+        warmth: 1.0,
+        ejected: false,
+    }
 }
 
 fn line(all: &[ServerStatus]) -> String {
@@ -12,7 +19,7 @@
 #[test]
 fn few_are_told_one_by_one() {
     let mut all: Vec<ServerStatus> = (0..3).map(status).collect();
-    (all[1].warmth, all[2].ejected, all[2].out) = (0.5, true, 2);
+    (all[1].warmth, all[2].ejected, all[2].in_flight) = (0.5, true, 2);
     assert_eq!(
         line(&all),
         "; box-0 out 0 limit 4.00 share 1.00; box-1 out 0 limit 4.00 share 1.00 warmth 0.50; \
@@ -28,7 +35,7 @@
         line(&all),
         "; 5000 servers: ejected 0 cold 0 full 0 out 0, limits 4.00/4.00/4.00 shares 1.00/1.00/1.00"
     );
-    (all[4711].ejected, all[17].share, all[300].limit, all[8].out) = (true, 0.5, 0.25, 4);
+    (all[4711].ejected, all[17].learned_weight, all[300].limit, all[8].in_flight) = (true, 0.5, 0.25, 4);
     let told = line(&all);
     assert!(
         told.starts_with("; 5000 servers: ejected 1 cold 0 full 1 out 4, limits 0.25/4.00/4.00"),
--- a/crates/membership/examples/cold_fleet.rs
+++ b/crates/membership/examples/cold_fleet.rs
@@ -64,8 +64,8 @@
     let capacity =
         |now: u64| n_warm * (cold_share + (1.0 - cold_share) * (now as f64 / warm_within).min(1.0));
     let n = divisors.len();
-    let entries: Vec<Entry> = (0..SERVERS)
-        .map(|s| Entry {
+    let entries: Vec<ServerEntry> = (0..SERVERS)
+        .map(|s| ServerEntry {
             server: ServerId(s),
             zone: 0,
             cell: 0,
--- a/crates/policy/examples/common/mod.rs
+++ b/crates/policy/examples/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the measurements share: a node's settings, its boxes, and what the process holds of memory.
 
 use magpietally_policy::{
-    Class, Discovery, Entry, Goal, Limits, ListedState, Millis, Rules, ServerId, Settings, Weights,
+    Class, Discovery, Goal, Limits, ListedState, Millis, Rules, ServerEntry, ServerId, Settings, Weights,
 };
 use magpietally_structures::GOLDEN_GAMMA;
 
@@ -38,9 +38,9 @@
 }
 
 /// A box by its number; their ids are in no order.
-pub fn entry(n: u64, state: ListedState, started: Option<Millis>) -> Entry {
+pub fn entry(n: u64, state: ListedState, started: Option<Millis>) -> ServerEntry {
     let server = ServerId(n.wrapping_mul(GOLDEN_GAMMA));
-    Entry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
+    ServerEntry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
 }
 
 /// What the process holds of memory, in KiB; 0 where the system does not tell.
--- a/crates/policy/examples/decision.rs
+++ b/crates/policy/examples/decision.rs
@@ -90,7 +90,7 @@
         }
         (1..held).for_each(|_| node.ask());
     }
-    let waiting = node.balancer.status().held as u64;
+    let waiting = node.balancer.status().queued as u64;
     if waiting != held {
         return Err(format!("{waiting} requests are held, not {held}").into());
     }
@@ -101,7 +101,7 @@
         node.answer();
     }
     let spent = began.elapsed();
-    let waiting = node.balancer.status().held as u64;
+    let waiting = node.balancer.status().queued as u64;
     if waiting != held {
         return Err(format!("{waiting} requests are held in the end, not {held}").into());
     }
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -33,8 +33,8 @@
     }
 }
 
-fn entry(id: u64, state: ListedState) -> Entry {
-    Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
+fn entry(id: u64, state: ListedState) -> ServerEntry {
+    ServerEntry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
 }
 
 /// Hands over one event and prints what is to be done; gives the server of a send.
--- a/crates/policy/examples/lists.rs
+++ b/crates/policy/examples/lists.rs
@@ -8,7 +8,7 @@
 
 use common::{entry, memory, settings};
 use magpietally_policy::{
-    Action, Balancer, Class, Effect, Entry, Event, Limits, ListedState, Outcome, RequestId, ServerId,
+    Action, Balancer, Class, Effect, Event, Limits, ListedState, Outcome, RequestId, ServerEntry, ServerId,
     Settings,
 };
 
@@ -73,7 +73,7 @@
     println!("{BOXES} boxes; milliseconds, but for memory");
     for nodes in [1, 20, 200] {
         let mut node = Node::new(nodes)?;
-        let all = |from: u64| -> Vec<Entry> {
+        let all = |from: u64| -> Vec<ServerEntry> {
             (from..from + BOXES).map(|n| entry(n, ListedState::Up, None)).collect()
         };
         let before = memory();
@@ -94,7 +94,7 @@
     }
     // An hour: each second 1% of the boxes are replaced by new ones, cold at first; 200 requests a second come.
     let mut node = Node::new(20)?;
-    let first: Vec<Entry> = (0..BOXES).map(|n| entry(n, ListedState::Up, None)).collect();
+    let first: Vec<ServerEntry> = (0..BOXES).map(|n| entry(n, ListedState::Up, None)).collect();
     node.feed(Event::List { entries: first, saved: false });
     let (mut oldest, mut worst_list, mut worst_ask) = (0, Duration::ZERO, Duration::ZERO);
     let began = Instant::now();
@@ -103,7 +103,7 @@
         let (count, now) = (BOXES / 100, node.now);
         let gone = (oldest..oldest + count).map(|n| entry(n, ListedState::Gone, None));
         let new = (oldest + BOXES..oldest + BOXES + count).map(|n| entry(n, ListedState::Up, Some(now)));
-        let change: Vec<Entry> = gone.chain(new).collect();
+        let change: Vec<ServerEntry> = gone.chain(new).collect();
         oldest += count;
         worst_list = worst_list.max(node.feed(Event::ListChange(change)));
         for _ in 0..200 {
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -287,7 +287,7 @@
 
 /// One entry of the list.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone, as a number.
@@ -345,12 +345,12 @@
     /// The whole list: what it leaves out is gone.
     List {
         /// Its entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
         /// As last seen before a restart: perhaps out of date, and no answer to a call.
         saved: bool,
     },
     /// The entries that changed.
-    ListChange(Vec<Entry>),
+    ListChange(Vec<ServerEntry>),
     /// Asking failed, or the subscription dropped.
     ListFailed(ListFailure),
     /// Discovery is elsewhere from now on: what was asked of it so far is void.
@@ -444,13 +444,13 @@
 
 /// What the module holds at a moment, for the node's log.
 #[derive(Clone, Debug)]
-pub struct Status {
+pub struct BalancerStatus {
     /// Requests held at the node.
-    pub held: usize,
+    pub queued: usize,
     /// Requests that have no final answer yet.
     pub open: usize,
     /// Factor to all limits where it is below 1.
-    pub fleet: f64,
+    pub fleet_factor: f64,
     /// Attempts that the retry budget still allows.
     pub retry_budget: f64,
     /// The servers that are up.
@@ -463,11 +463,11 @@
     /// The server.
     pub server: ServerId,
     /// Own attempts that are out.
-    pub out: usize,
+    pub in_flight: usize,
     /// How many may be.
     pub limit: f64,
     /// Learned factor to its size.
-    pub share: f64,
+    pub learned_weight: f64,
     /// The part of its capacity that it is taken to have.
     pub warmth: f64,
     /// Ejected.
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -75,7 +75,7 @@
 /// A server of the list, and what this node has seen of it.
 #[derive(Default)]
 struct Server {
-    entry: Entry,
+    entry: ServerEntry,
     rotated: bool,                // It is in the subset.
     size: f64,                    // Its size as far as the list tells.
     share: f64,                   // Learned factor to its size.
@@ -136,7 +136,7 @@
 }
 
 impl Server {
-    fn new(entry: Entry, classes: usize) -> Self {
+    fn new(entry: ServerEntry, classes: usize) -> Self {
         Self {
             entry,
             size: 1.0,
@@ -253,18 +253,18 @@
     }
 
     /// What the module holds now.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> BalancerStatus {
         let server = |s: &Server| ServerStatus {
             server: s.entry.server,
-            out: s.out.len(),
+            in_flight: s.out.len(),
             limit: s.allowed(self.fleet, self.least_limit()),
-            share: s.share,
+            learned_weight: s.share,
             warmth: s.warmth(self.now, &self.set.rules),
             ejected: s.ejected.is_some(),
         };
-        let (held, open, servers) =
+        let (queued, open, servers) =
             (self.waiting.len(), self.requests.len(), self.up().map(server).collect());
-        Status { held, open, fleet: self.fleet, retry_budget: self.retry_budget, servers }
+        BalancerStatus { queued, open, fleet_factor: self.fleet, retry_budget: self.retry_budget, servers }
     }
 
     /// When time alone next calls for something.
--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -10,7 +10,7 @@
 const WEIGHTS: (f64, f64) = (1e-6, 1e6); // Beyond these nothing would be added to turns.
 
 impl Balancer {
-    pub(super) fn on_list(&mut self, entries: Vec<Entry>, answer: bool, whole: bool) {
+    pub(super) fn on_list(&mut self, entries: Vec<ServerEntry>, answer: bool, whole: bool) {
         if answer {
             self.asking.answered(self.now);
         }
@@ -50,7 +50,7 @@
         self.choose_subset();
     }
 
-    fn take_entry(&mut self, mut entry: Entry) {
+    fn take_entry(&mut self, mut entry: ServerEntry) {
         let usable = entry.weight.is_finite() && entry.weight > 0.0;
         entry.weight = if usable { entry.weight.clamp(WEIGHTS.0, WEIGHTS.1) } else { 1.0 };
         // What it was passed over for so far goes by its size so far.
--- a/crates/policy/src/balance/repeats.rs
+++ b/crates/policy/src/balance/repeats.rs
@@ -8,7 +8,7 @@
 impl Request {
     /// Rule 2, for every further attempt and every refusal: is it harmless by what is known of the earlier
     /// ones? `to` is the server to send to; `None` asks about a refusal.
-    fn may_repeat(&self, class: &Class, limits: &Limits, now: Millis, to: Option<&Entry>) -> bool {
+    fn may_repeat(&self, class: &Class, limits: &Limits, now: Millis, to: Option<&ServerEntry>) -> bool {
         let mut ran = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
         let no_more = self.attempts.len() >= limits.attempts || (self.pending() && !limits.second_copies);
         let sent = self.attempts.iter().any(|a| a.outcome != Some(Outcome::ConnectFailed));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -29,7 +29,7 @@
 //! };
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let (mut actions, server) = (Vec::new(), ServerId(7));
-//! let up = Entry { server, zone: 0, cell: 0, kind: 0, state: ListedState::Up, weight: 1.0, started: None };
+//! let up = ServerEntry { server, zone: 0, cell: 0, kind: 0, state: ListedState::Up, weight: 1.0, started: None };
 //! balancer.handle(0.0, Event::List { entries: vec![up], saved: false }, &mut actions);
 //! let request = Event::Request { id: RequestId(1), class: 0, tenant: None, deadline: 500.0, non_replayable: false };
 //! balancer.handle(1.0, request, &mut actions);
--- a/crates/policy/tests/at_size.rs
+++ b/crates/policy/tests/at_size.rs
@@ -8,7 +8,7 @@
 use magpietally_policy::*;
 
 /// One of so many nodes with one class, of which all may run again.
-fn node(nodes: usize, entries: Vec<Entry>) -> Node {
+fn node(nodes: usize, entries: Vec<ServerEntry>) -> Node {
     let classes = vec![Class { aim: 1000.0, worth: 1.0, late_worth: 0.0, effect: Effect::Safe }];
     let limits = Limits { second_copies: false, connect_timeout: 100.0, ..settings().limits };
     Node::new_seeded(Settings { nodes, classes, limits, ..settings() }, entries, 3)
@@ -66,7 +66,7 @@
 #[test]
 fn weights_from_a_thousandth_to_a_thousand_have_their_turns() {
     let mut node = node(1, vec![entry(1, 0.001), entry(2, 1.0), entry(3, 1000.0), entry(4, f64::MAX)]);
-    node.event(Event::ListChange(vec![Entry { state: ListedState::Gone, ..entry(4, 1.0) }]));
+    node.event(Event::ListChange(vec![ServerEntry { state: ListedState::Gone, ..entry(4, 1.0) }]));
     let mut turns: BTreeMap<ServerId, u64> = BTreeMap::new();
     for _ in 0..200_200 {
         node.now += 1.0;
@@ -111,7 +111,7 @@
     assert_eq!(order, [0, 1, 2, 3, 4, 5]);
     assert_eq!(ask(&mut node).map(|s| s.1), Some(ServerId(0)));
     assert_eq!(ask(&mut node).map(|s| s.1), Some(ServerId(1)));
-    node.event(Event::ListChange(vec![Entry { state: ListedState::Draining, ..entry(1, 1.0) }]));
+    node.event(Event::ListChange(vec![ServerEntry { state: ListedState::Draining, ..entry(1, 1.0) }]));
     let after: Vec<_> = (0..6).filter_map(|_| ask(&mut node)).map(|s| s.1 .0).collect();
     assert_eq!(after, [2, 3, 4, 5, 0, 2], "nobody is passed over, nobody has two turns");
 }
@@ -127,7 +127,7 @@
         node.end_after(sent.0, Outcome::Done, 10.0);
     }
     assert_eq!(subset.len(), 20, "eight nodes a box");
-    let draining = subset.iter().map(|s| Entry { state: ListedState::Draining, ..entry(s.0, 1.0) });
+    let draining = subset.iter().map(|s| ServerEntry { state: ListedState::Draining, ..entry(s.0, 1.0) });
     node.event(Event::ListChange(draining.collect()));
     let mut after = BTreeSet::new();
     for _ in 0..200 {
@@ -149,7 +149,7 @@
         sent += u64::from(ask(&mut node).is_some());
     }
     let mut steps = 0;
-    while node.balancer.status().held > 0 {
+    while node.balancer.status().queued > 0 {
         node.now += 50.0;
         steps += 1;
         for action in node.event(Event::Timer) {
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -227,13 +227,13 @@
         }
     }
 
-    fn entries(&self, now: f64) -> Vec<Entry> {
-        let entry = |id: u64| Entry {
+    fn entries(&self, now: f64) -> Vec<ServerEntry> {
+        let entry = |id: u64| ServerEntry {
             server: ServerId(id),
             state: ListedState::Up,
             weight: 1.0,
             started: (id < self.scene.cold && now >= START).then_some(START),
-            ..Entry::default()
+            ..ServerEntry::default()
         };
         let none = |id: u64| id < self.scene.cold && now < START && self.scene.cold < self.scene.servers;
         (0..self.scene.servers).filter(|id| !none(*id)).map(entry).collect()
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -49,9 +49,9 @@
     }
 }
 
-pub fn entry(server: u64, weight: f64) -> Entry {
+pub fn entry(server: u64, weight: f64) -> ServerEntry {
     let state = ListedState::Up;
-    Entry {
+    ServerEntry {
         server: ServerId(server),
         zone: server % 2,
         cell: server % 2,
@@ -71,11 +71,11 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, entries: Vec<ServerEntry>) -> Self {
         Self::new_seeded(settings, entries, 1)
     }
 
-    pub fn new_seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
+    pub fn new_seeded(settings: Settings, entries: Vec<ServerEntry>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("good settings");
         let mut node = Self { balancer, now: 1000.0, next: 0, attempts: BTreeMap::new() };
         node.event(Event::List { entries, saved: true });
@@ -192,7 +192,7 @@
 #[derive(Default)]
 pub struct Referee {
     requests: BTreeMap<RequestId, Held>,
-    servers: BTreeMap<ServerId, (Entry, Option<f64>)>,
+    servers: BTreeMap<ServerId, (ServerEntry, Option<f64>)>,
     warm_sends: Vec<(ServerId, f64)>,
     cold_sends: Vec<(ServerId, f64)>,
     pub breaches: Vec<String>,
@@ -228,7 +228,7 @@
         }
     }
 
-    fn listed(&mut self, now: f64, entries: &[Entry]) {
+    fn listed(&mut self, now: f64, entries: &[ServerEntry]) {
         for entry in entries {
             let gone = (entry.state != ListedState::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -147,7 +147,7 @@
             }
             Step::List(server, state, cold) => {
                 let started = cold.then_some(day.now - 500.0);
-                let changed = Entry { state: *state, started, ..entry(*server as u64, 1.0) };
+                let changed = ServerEntry { state: *state, started, ..entry(*server as u64, 1.0) };
                 day.event(Event::ListChange(vec![changed]));
             }
             Step::ListFailed => day.event(Event::ListFailed(ListFailure::Broken)),
--- a/crates/policy/tests/rotation.rs
+++ b/crates/policy/tests/rotation.rs
@@ -57,7 +57,7 @@
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
     assert_eq!(turns(&mut node, 8), [3, 0, 1, 2, 3, 0, 1, 2]);
-    node.event(Event::ListChange(vec![Entry { state: ListedState::Gone, ..entry(1, 1.0) }]));
+    node.event(Event::ListChange(vec![ServerEntry { state: ListedState::Gone, ..entry(1, 1.0) }]));
     assert_eq!(turns(&mut node, 4), [3, 0, 2, 3]);
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// The servers that each of `nodes` nodes sends to in two rounds.
-fn subsets(nodes: usize, servers: &[Entry]) -> Vec<Vec<u64>> {
+fn subsets(nodes: usize, servers: &[ServerEntry]) -> Vec<Vec<u64>> {
     let of = |number| {
         let mut node = Node::new(Settings { number, nodes, ..settings() }, servers.to_vec());
         let mut met = turns(&mut node, 12);
@@ -177,7 +177,7 @@
     }
     assert_eq!(first, 30, "of 40 with three times the weight");
 
-    let cold = |started| vec![entry(0, 1.0), Entry { started: Some(started), ..entry(1, 1.0) }];
+    let cold = |started| vec![entry(0, 1.0), ServerEntry { started: Some(started), ..entry(1, 1.0) }];
     let mut node = Node::fleet(settings(), 1);
     let started = node.now;
     let mut sent = 0;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -47,7 +47,7 @@
 #[test]
 fn a_draining_server_gets_nothing_new() {
     let mut node = Node::fleet(settings(), 2);
-    node.event(Event::ListChange(vec![Entry { state: ListedState::Draining, ..entry(0, 1.0) }]));
+    node.event(Event::ListChange(vec![ServerEntry { state: ListedState::Draining, ..entry(0, 1.0) }]));
     for _ in 0..5 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(1)));
     }
@@ -79,7 +79,7 @@
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
-    let cold = Entry { started: Some(node.now), ..entry(3, 1.0) };
+    let cold = ServerEntry { started: Some(node.now), ..entry(3, 1.0) };
     node.event(Event::ListChange(vec![cold]));
     let mut sent = [0; 4];
     for _ in 0..200 {
@@ -94,8 +94,8 @@
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
-    let cold = Entry { started: Some(node.now), ..entry(1, 1.0) };
-    node.event(Event::ListChange(vec![Entry { state: ListedState::Gone, ..entry(0, 1.0) }, cold]));
+    let cold = ServerEntry { started: Some(node.now), ..entry(1, 1.0) };
+    node.event(Event::ListChange(vec![ServerEntry { state: ListedState::Gone, ..entry(0, 1.0) }, cold]));
     let sent = (0..200).filter(|_| node.serve(SAFE, 5.0).is_some()).count();
     assert!(sent <= 50, "a second's budget at 15% of some 100 a second, times 3, not {sent}");
 }
@@ -114,7 +114,7 @@
             node.serve(SAFE, 5.0);
             node.wait(245.0);
         }
-        let cold = Entry { started: Some(node.now), ..entry(3, 1.0) };
+        let cold = ServerEntry { started: Some(node.now), ..entry(3, 1.0) };
         node.event(Event::ListChange(vec![cold]));
         for _ in 0..4 {
             sent[node.serve(SAFE, 5.0).expect("sent").0 as usize] += 1;
@@ -535,7 +535,7 @@
 fn a_free_turn_goes_to_the_held_class_that_suits_its_kind() {
     let mut two = settings();
     two.classes[KEYED] = Class { effect: Effect::Safe, ..two.classes[SAFE].clone() };
-    let kinds: Vec<_> = (0..2).map(|id| Entry { kind: id, ..entry(id, 1.0) }).collect();
+    let kinds: Vec<_> = (0..2).map(|id| ServerEntry { kind: id, ..entry(id, 1.0) }).collect();
     for server in [0, 1] {
         let mut node = Node::new(two.clone(), kinds.clone());
         for class in [SAFE, SAFE, KEYED, KEYED].repeat(40) {
@@ -809,7 +809,7 @@
 #[test]
 fn a_wholly_draining_list_gets_nothing_and_answers_are_given() {
     let mut node = Node::fleet(settings(), 3);
-    let draining = (0..3).map(|id| Entry { state: ListedState::Draining, ..entry(id, 1.0) }).collect();
+    let draining = (0..3).map(|id| ServerEntry { state: ListedState::Draining, ..entry(id, 1.0) }).collect();
     node.event(Event::List { entries: draining, saved: false });
     let (id, mut actions) = node.ask(UNSAFE);
     actions.extend(node.wait(100.0));
@@ -887,7 +887,7 @@
     set.rules.cold_share = 0.0;
     let mut node = Node::fleet(set.clone(), 2);
     let started = Some(node.now);
-    node.event(Event::ListChange(vec![Entry { started, ..entry(2, 1.0) }]));
+    node.event(Event::ListChange(vec![ServerEntry { started, ..entry(2, 1.0) }]));
     for _ in 0..100 {
         node.now += set.rules.warm_within / 50.0;
         node.serve(SAFE, 1.0);
@@ -947,7 +947,7 @@
         assert!(actions.contains(&Action::Probe(server)), "{actions:?}");
         node.now += 5.0;
         let started = Some(node.now);
-        node.event(Event::ListChange(vec![Entry { started, ..entry(server.0, 1.0) }]));
+        node.event(Event::ListChange(vec![ServerEntry { started, ..entry(server.0, 1.0) }]));
         node.event(Event::Probed { server, outcome, took: 5.0 });
         let status = node.balancer.status();
         let one = status.servers.iter().find(|s| s.server == server).expect("it is up");
@@ -1011,8 +1011,8 @@
             node.event(Event::Ended { id, attempt: 0, server, outcome, took: 5.0, finished: true });
         }
         let status = node.balancer.status();
-        assert_eq!((status.open, status.held), (0, 0));
-        assert!(status.servers.iter().all(|s| s.out == 0 && !s.ejected), "{status:?}");
+        assert_eq!((status.open, status.queued), (0, 0));
+        assert!(status.servers.iter().all(|s| s.in_flight == 0 && !s.ejected), "{status:?}");
     }
     let turns: Vec<_> = (0..4).filter_map(|_| node.serve(SAFE, 5.0)).collect();
     assert!(turns[0] == turns[2] && turns[1] == turns[3] && turns[0] != turns[1], "{turns:?}");
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -48,7 +48,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    tables: BTreeMap<u64, Vec<Entry>>,
+    tables: BTreeMap<u64, Vec<ServerEntry>>,
     names: Names,
 }
 
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    fn entry(&mut self, value: &Value) -> Result<Entry, WireError> {
+    fn entry(&mut self, value: &Value) -> Result<ServerEntry, WireError> {
         let row = list(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
         // Zones and kinds are only ever compared: any number that is the same for the same name will do.
@@ -154,7 +154,7 @@
             }) as u64
         };
         let (zone, kind) = (name(at(1)), name(at(2)));
-        Ok(Entry {
+        Ok(ServerEntry {
             server: ServerId(whole(at(0), "Server")?),
             zone,
             cell: if at(3).is_null() { 0 } else { whole(at(3), "Cluster")? },
@@ -173,7 +173,11 @@
 
 impl Instance {
     /// Translates an event; `None` for one that is not known or says nothing.
-    fn event(&self, tables: &BTreeMap<u64, Vec<Entry>>, input: &[Value]) -> Result<Option<Event>, WireError> {
+    fn event(
+        &self,
+        tables: &BTreeMap<u64, Vec<ServerEntry>>,
+        input: &[Value],
+    ) -> Result<Option<Event>, WireError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
         let id = || whole(at(1), "Corr").map(RequestId);
         let attempt = || whole(at(2), "Try").map(|n| n as usize);
--- a/crates/site/src/virt/faulty.rs
+++ b/crates/site/src/virt/faulty.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use magpietally_policy::{
-    Action, Effect, Entry, Event, ListedState, Millis, Outcome, RequestId, ServerId, Settings,
+    Action, Effect, Event, ListedState, Millis, Outcome, RequestId, ServerEntry, ServerId, Settings,
 };
 use serde::{Deserialize, Serialize};
 
@@ -74,7 +74,7 @@
         Self { inner, misdeed, unsafe_classes, requests, started, up, meant }
     }
 
-    fn listed(&mut self, entries: &mut Vec<Entry>) {
+    fn listed(&mut self, entries: &mut Vec<ServerEntry>) {
         for entry in entries.iter() {
             if entry.state == ListedState::Up {
                 if !self.up.contains(&entry.server) {
--- a/crates/site/src/virt/fleet.rs
+++ b/crates/site/src/virt/fleet.rs
@@ -1,6 +1,6 @@
 //! Boxes and nodes that fail, fall over, and come back.
 
-use magpietally_policy::{Entry, Event};
+use magpietally_policy::{Event, ServerEntry};
 
 use super::shell::{Attempt, Stage};
 use super::world::{Ev, World};
@@ -145,7 +145,8 @@
             let (state, started) = known[b]?;
             Some(list::Entry { app_box: b, state, started })
         });
-        let entries: Vec<Entry> = entries.filter(|e| e.state != State::Gone).map(|e| self.entry(e)).collect();
+        let entries: Vec<ServerEntry> =
+            entries.filter(|e| e.state != State::Gone).map(|e| self.entry(e)).collect();
         self.feed(n, Event::List { entries, saved: true });
     }
 }
--- a/crates/site/src/virt/listing.rs
+++ b/crates/site/src/virt/listing.rs
@@ -1,6 +1,6 @@
 //! News of the boxes on their way to the nodes.
 
-use magpietally_policy::{Entry, Event, ListFailure, ListedState, ServerId};
+use magpietally_policy::{Event, ListFailure, ListedState, ServerEntry, ServerId};
 
 use super::shell::Node;
 use super::world::{Ev, World};
@@ -9,10 +9,10 @@
 use crate::model::time::millis;
 
 impl World<'_> {
-    pub(super) fn entry(&self, e: list::Entry) -> Entry {
+    pub(super) fn entry(&self, e: list::Entry) -> ServerEntry {
         let kind = self.kind(e.app_box);
         let zone = self.box_zone[e.app_box] as u64;
-        Entry {
+        ServerEntry {
             server: ServerId(self.server_of[e.app_box]),
             zone,
             cell: zone,
@@ -134,7 +134,7 @@
         for e in &entries {
             self.learn(n, *e);
         }
-        let entries: Vec<Entry> = entries.into_iter().map(|e| self.entry(e)).collect();
+        let entries: Vec<ServerEntry> = entries.into_iter().map(|e| self.entry(e)).collect();
         let event = if whole { Event::List { entries, saved: false } } else { Event::ListChange(entries) };
         self.feed(n, event);
     }
--- a/crates/site/src/virt/plain.rs
+++ b/crates/site/src/virt/plain.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use magpietally_policy::{
-    Action, DedupScope, Discovery, Effect, Entry, Event, ListedState, Millis, Outcome, RequestId, ServerId,
-    Settings,
+    Action, DedupScope, Discovery, Effect, Event, ListedState, Millis, Outcome, RequestId, ServerEntry,
+    ServerId, Settings,
 };
 use serde::{Deserialize, Serialize};
 
@@ -55,7 +55,7 @@
     settings: Settings,
     pick: Option<Pick>,
     random: Stream,
-    servers: BTreeMap<ServerId, Entry>,
+    servers: BTreeMap<ServerId, ServerEntry>,
     /// Those in service, sorted.
     up: Vec<ServerId>,
     out: BTreeMap<ServerId, usize>,
@@ -86,7 +86,7 @@
         }
     }
 
-    fn list(&mut self, entries: Vec<Entry>, whole: bool) {
+    fn list(&mut self, entries: Vec<ServerEntry>, whole: bool) {
         if whole {
             self.servers.clear();
         }
@@ -162,7 +162,7 @@
     }
 
     /// May the request go out, again or for the first time, to this server (`None`: be refused)?
-    fn harmless(&self, held: &Held, now: Millis, to: Option<&Entry>) -> bool {
+    fn harmless(&self, held: &Held, now: Millis, to: Option<&ServerEntry>) -> bool {
         let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
         match self.settings.classes[held.class].effect {
             Effect::Safe => true,
