--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::api::*;
-use crate::asking::Asking;
+use crate::polling::ListPolling;
 
 const MEMORY: Millis = 60_000.0; // Over which time it is counted who is served how well.
 const WARMTH_LEAST: f64 = 1e-3; // With none at all a turn would be put off for good.
@@ -69,7 +69,7 @@
     lost: f64,         // Part of the attempts that went unanswered, lately.
     timer_due: Millis, // When the timer comes that was asked for last.
     swept: Millis,     // When what time brings was last looked at.
-    pub(crate) asking: Asking,
+    pub(crate) polling: ListPolling,
 }
 
 /// A server of the list, and what this node has seen of it.
@@ -211,7 +211,7 @@
             retry_budget: settings.tuning.retry_most,
             timer_due: f64::INFINITY,
             swept: f64::NEG_INFINITY,
-            asking: Asking::new(&settings),
+            polling: ListPolling::new(&settings),
             set: settings,
             ..Self::default()
         })
@@ -223,8 +223,8 @@
         match event {
             Event::List { entries, saved } => self.on_list(entries, !saved, true),
             Event::ListChange(entries) => self.on_list(entries, true, false),
-            Event::ListFailed(failure) => self.asking.failed(now, failure, &mut self.random),
-            Event::DiscoveryMoved => self.asking.moved(now),
+            Event::ListFailed(failure) => self.polling.failed(now, failure, &mut self.random),
+            Event::DiscoveryMoved => self.polling.moved(now),
             Event::Request { .. } => self.on_request(event, actions),
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt, actions),
             Event::Ended { .. } => self.on_ended(event, actions),
@@ -269,7 +269,7 @@
 
     /// When time alone next calls for something.
     fn next_due(&self) -> Millis {
-        let call = self.asking.due();
+        let call = self.polling.due();
         let held = if self.waiting.is_empty() { f64::INFINITY } else { self.swept + self.period() };
         let hedge = self.hedged().filter_map(|class| self.hedges(class).next());
         let soonest = call.min(held).min(self.looks.min_priority().unwrap_or(f64::INFINITY));
@@ -308,7 +308,7 @@
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.swept = now;
-        if self.asking.look(now, &mut self.random) {
+        if self.polling.look(now, &mut self.random) {
             actions.push(Action::Subscribe);
         }
         let mut due: Vec<ServerId> = self.looks.up_to(now).collect();
--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -12,7 +12,7 @@
 impl Balancer {
     pub(super) fn on_list(&mut self, entries: Vec<ServerEntry>, answer: bool, whole: bool) {
         if answer {
-            self.asking.answered(self.now);
+            self.polling.answered(self.now);
         }
         let mut touched: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
         touched.sort_unstable();
--- a/crates/policy/src/balance/turns.rs
+++ b/crates/policy/src/balance/turns.rs
@@ -14,7 +14,7 @@
     /// that are full or rest are put aside: nobody looks at them until they may be ready, and the turns that
     /// they were passed over for are made up for then.
     pub(super) fn next_turn(&mut self, passes: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
-        if self.asking.out_of_date(self.now) {
+        if self.polling.out_of_date(self.now) {
             return None;
         }
         while let Some(id) = self.aside.due(self.now, self.fleet.min(1.0)) {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -38,8 +38,8 @@
 //! ```
 
 pub mod api;
-mod asking;
 pub mod balance;
+mod polling;
 
 pub use api::*;
 pub use balance::Balancer;
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/polling.rs
@@ -79,7 +79,7 @@
 
 /// The calls to discovery.
 #[derive(Default)]
-pub(crate) struct Asking {
+pub(crate) struct ListPolling {
     discovery: Discovery,
     /// The longest a node may leave off asking.
     within: Millis,
@@ -116,7 +116,7 @@
     AskAt(Millis),
 }
 
-impl Asking {
+impl ListPolling {
     /// At a node's start.
     pub(crate) fn new(settings: &Settings) -> Self {
         let (discovery, rules) = (settings.discovery, &settings.rules);
@@ -247,11 +247,11 @@
 impl Balancer {
     /// How long the answer to the call for the list that was asked for last may take to begin, in milliseconds.
     pub fn list_response_timeout(&self) -> Millis {
-        self.asking.patience()
+        self.polling.patience()
     }
 
     /// Is the list so old that nothing is sent by it? Servers may have been told to drain of which the node has not heard.
     pub fn is_list_stale(&self) -> bool {
-        self.asking.out_of_date(self.now)
+        self.polling.out_of_date(self.now)
     }
 }
