--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use magpietally_structures::{
-    ArrivalOrder, DeferredSet, GroupedQueue, PriorityMap, Rate, ServiceLevels, SplitMix, TokenBucket,
+    ArrivalOrder, DecayingRate, DeferredSet, GroupedQueue, PriorityMap, ServiceLevels, SplitMix, TokenBucket,
 };
 
 use crate::api::*;
@@ -125,9 +125,9 @@
 struct ClassStats {
     mean: Millis, // Mean time to an answer.
     seen: u32,
-    excess: f64,       // By how much of its aim answers exceed the target, on average.
-    most_left: Millis, // The most time that a request had left when it came.
-    refused: Rate,     // Refusals whose clients may yet come back.
+    excess: f64,           // By how much of its aim answers exceed the target, on average.
+    most_left: Millis,     // The most time that a request had left when it came.
+    refused: DecayingRate, // Refusals whose clients may yet come back.
 }
 
 /// For how long a server, or one class at it, is left alone that has failed so many times.
--- a/crates/structures/src/accounting.rs
+++ b/crates/structures/src/accounting.rs
@@ -1,18 +1,18 @@
 //! How well each of some kinds is served, and how much is left of an allowance.
 
-use crate::Rate;
+use crate::DecayingRate;
 
 /// What was asked for and what was served, for each of some kinds, both forgotten by a factor e in each span.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLevels {
-    kinds: Vec<(Rate, Rate)>,
+    kinds: Vec<(DecayingRate, DecayingRate)>,
     span: f64,
 }
 
 impl ServiceLevels {
     /// Nothing asked for or served yet; the span is in milliseconds.
     pub fn new(kinds: usize, span: f64) -> Self {
-        Self { kinds: vec![(Rate::default(), Rate::default()); kinds], span }
+        Self { kinds: vec![(DecayingRate::default(), DecayingRate::default()); kinds], span }
     }
 
     /// So much more of a kind has been asked for.
@@ -38,7 +38,7 @@
     /// the worst, less by a factor e for each `near` that a kind is above it. Nothing for what nobody asks for.
     pub fn marginal_gains(&self, now: f64, goal: f64, near: f64) -> Vec<f64> {
         let asked: Vec<f64> = self.kinds.iter().map(|(asked, _)| asked.at(now, self.span)).collect();
-        let part = |((_, served), a): (&(Rate, Rate), &f64)| {
+        let part = |((_, served), a): (&(DecayingRate, DecayingRate), &f64)| {
             if *a > 0.0 {
                 served.at(now, self.span) / a
             } else {
--- a/crates/structures/src/lib.rs
+++ b/crates/structures/src/lib.rs
@@ -2,7 +2,7 @@
 //! numbers on every machine.
 //!
 //! ```
-//! use magpietally_structures::{PriorityMap, Rate};
+//! use magpietally_structures::{PriorityMap, DecayingRate};
 //!
 //! let mut turns = PriorityMap::default();
 //! turns.set("a", 2.0);
@@ -11,7 +11,7 @@
 //! turns.set("b", 3.0);
 //! assert_eq!(turns.first(), Some("a"));
 //!
-//! let mut rate = Rate::default();
+//! let mut rate = DecayingRate::default();
 //! rate.add(0.0, 1000.0, 5.0);
 //! assert_eq!(rate.at(0.0, 1000.0), 5.0);
 //! ```
@@ -48,12 +48,12 @@
 
 /// A rate that forgets: what is added counts for less the longer ago it was, by a factor e in each span.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
+pub struct DecayingRate {
     per_s: f64,
     at: f64,
 }
 
-impl Rate {
+impl DecayingRate {
     /// Adds an amount at a time; times and spans are in milliseconds, and time does not run backwards.
     pub fn add(&mut self, now: f64, span: f64, amount: f64) {
         self.per_s = self.at(now, span) + amount * 1000.0 / span.max(1.0);
--- a/crates/structures/src/tests.rs
+++ b/crates/structures/src/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_rate_forgets_by_e_in_its_span() {
-    let mut rate = Rate::default();
+    let mut rate = DecayingRate::default();
     rate.add(100.0, 500.0, 1.0);
     assert!((rate.at(600.0, 500.0) - 2.0 / std::f64::consts::E).abs() < 1e-12);
 }
