--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use magpietally_policy::{Entry, Listed, Millis, ServerId};
+use magpietally_policy::{ListedState, Millis, ServerEntry, ServerId};
 
 /// What a source of the list says: all of it, or what changed.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// Its cell.
     pub cell: u64,
     /// Its state.
-    pub state: Listed,
+    pub state: ListedState,
     /// Its weight.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
@@ -48,7 +48,7 @@
 struct Known {
     name: String,
     place: Endpoint,
-    state: Listed,
+    state: ListedState,
     /// When this life began, by the policy's clock. Reckoned once: it must not move while the life goes on.
     started: Option<Millis>,
     /// The rest of what the list said, for a decision module that begins later.
@@ -91,12 +91,12 @@
 
     /// Where a server listens, if something new may be sent to it.
     pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
-        self.known.get(&server).filter(|k| k.state == Listed::Up).map(|k| k.place)
+        self.known.get(&server).filter(|k| k.state == ListedState::Up).map(|k| k.place)
     }
 
     /// All of them as the list has them, in the order of their numbers.
-    pub(crate) fn entries(&self) -> Vec<Entry> {
-        let entry = |(server, k): (&ServerId, &Known)| Entry {
+    pub(crate) fn entries(&self) -> Vec<ServerEntry> {
+        let entry = |(server, k): (&ServerId, &Known)| ServerEntry {
             server: *server,
             zone: k.zone,
             cell: k.cell,
@@ -105,7 +105,7 @@
             weight: k.weight,
             started: k.started,
         };
-        let mut all: Vec<Entry> = self.known.iter().map(entry).collect();
+        let mut all: Vec<ServerEntry> = self.known.iter().map(entry).collect();
         all.sort_by_key(|e| e.server);
         all
     }
@@ -115,26 +115,26 @@
         &mut self,
         listing: ServerListing,
         started: impl Fn(Millis) -> Option<Millis>,
-    ) -> (Vec<Entry>, Vec<ServerId>) {
+    ) -> (Vec<ServerEntry>, Vec<ServerId>) {
         if listing.complete {
             for known in self.known.values_mut() {
-                known.state = Listed::Gone;
+                known.state = ListedState::Gone;
             }
         }
         self.version = Some(listing.version);
         let mut void = Vec::new();
-        let entries: Vec<Entry> =
+        let entries: Vec<ServerEntry> =
             listing.servers.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
         if listing.complete {
             void.extend(
-                self.known.iter().filter(|(_, k)| k.state == Listed::Gone).map(|(server, _)| *server),
+                self.known.iter().filter(|(_, k)| k.state == ListedState::Gone).map(|(server, _)| *server),
             );
-            self.known.retain(|_, k| k.state != Listed::Gone);
+            self.known.retain(|_, k| k.state != ListedState::Gone);
         } else {
             // A change costs what it names, however long the list is. One that names a server twice, as gone and as back,
             // leaves what it says last.
             for entry in &entries {
-                if self.known.get(&entry.server).is_some_and(|k| k.state == Listed::Gone) {
+                if self.known.get(&entry.server).is_some_and(|k| k.state == ListedState::Gone) {
                     self.known.remove(&entry.server);
                     void.push(entry.server);
                 }
@@ -149,7 +149,7 @@
         member: ListedServer,
         started: impl Fn(Millis) -> Option<Millis>,
         void: &mut Vec<ServerId>,
-    ) -> Option<Entry> {
+    ) -> Option<ServerEntry> {
         let server = ServerId(stable_hash(&member.name));
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != member.name) {
@@ -169,7 +169,7 @@
             let place = Endpoint { address: dial, start_ms: born_ms };
             self.known.insert(server, Known { name, place, state, started, zone, cell, kind, weight });
         }
-        Some(Entry { server, zone, cell, kind, state, weight, started })
+        Some(ServerEntry { server, zone, cell, kind, state, weight, started })
     }
 }
 
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -11,7 +11,7 @@
     Answer, AttemptResult, ClientRequest, Core, ListStreamEnd, ListedServer, ServerListing, Target,
     UpstreamTransport,
 };
-use magpietally_policy::{Effect, Group, Listed, Outcome, RequestId, ServerId, Settings};
+use magpietally_policy::{DedupScope, Effect, ListedState, Outcome, RequestId, ServerId, Settings};
 
 /// Keeps each attempt until it is told to go on, and notes whether it might be written when it began, and then.
 #[derive(Default)]
@@ -79,7 +79,7 @@
         run(async move {
             let mut settings = settings(10_000.0);
             let memory = if late { 1000.0 } else { 60_000.0 };
-            settings.classes[1].effect = Effect::Keyed { group: Group::All, memory };
+            settings.classes[1].effect = Effect::Keyed { scope: DedupScope::All, memory };
             let core = core(settings);
             core.transport().first.set(Some(Outcome::Reset));
             let (_, answered) = core.submit(asked(1), soon()).expect("it is taken");
@@ -133,7 +133,7 @@
                     zone: "a".into(),
                     kind: "m".into(),
                     cell: 0,
-                    state: Listed::Draining,
+                    state: ListedState::Draining,
                     weight: 1.0,
                     start_ms: 0.0,
                 });
--- a/crates/http/src/http_transport.rs
+++ b/crates/http/src/http_transport.rs
@@ -9,7 +9,7 @@
 use magpietally_core::{
     AttemptResult, Core, ListStreamEnd, ListedServer, Metrics, ServerListing, Target, UpstreamTransport,
 };
-use magpietally_policy::{ListFailure, Listed, Outcome, ServerId};
+use magpietally_policy::{ListFailure, ListedState, Outcome, ServerId};
 
 use crate::config::Config;
 use crate::discovery;
@@ -104,8 +104,8 @@
             kind: b.kind.clone(),
             cell: b.cell,
             state: match b.state {
-                State::Active => Listed::Up,
-                State::Draining => Listed::Draining,
+                State::Active => ListedState::Up,
+                State::Draining => ListedState::Draining,
             },
             weight: b.weight,
             start_ms: b.started_ms,
--- a/crates/policy/examples/common/mod.rs
+++ b/crates/policy/examples/common/mod.rs
@@ -1,9 +1,9 @@
 //! What the measurements share: a node's settings, its boxes, and what the process holds of memory.
 
 use magpietally_policy::{
-    Class, Discovery, Entry, Goal, Limits, Listed, Millis, Rules, ServerId, Settings, Weights,
+    Class, Discovery, Goal, Limits, ListedState, Millis, Rules, ServerEntry, ServerId, Settings, Weights,
 };
-use magpietally_structures::GOLDEN;
+use magpietally_structures::GOLDEN_GAMMA;
 
 /// The first of so many nodes, with the platform's usual rules.
 pub fn settings(nodes: usize, classes: Vec<Class>) -> Settings {
@@ -38,9 +38,9 @@
 }
 
 /// A box by its number; their ids are in no order.
-pub fn entry(n: u64, state: Listed, started: Option<Millis>) -> Entry {
-    let server = ServerId(n.wrapping_mul(GOLDEN));
-    Entry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
+pub fn entry(n: u64, state: ListedState, started: Option<Millis>) -> ServerEntry {
+    let server = ServerId(n.wrapping_mul(GOLDEN_GAMMA));
+    ServerEntry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
 }
 
 /// What the process holds of memory, in KiB; 0 where the system does not tell.
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -15,7 +15,7 @@
 
 /// Which servers drop the repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -32,7 +32,7 @@
     /// Repeats are dropped by the servers of one group, for `memory` after the first send.
     Keyed {
         /// The servers that know of each other's work.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember it.
         memory: Millis,
     },
@@ -131,13 +131,13 @@
     #[default]
     Pushed,
     /// Once the node has subscribed or asked.
-    Asked,
+    Polled,
     /// To an agent beside the node, whose subscription the node keeps. What the agent has counts as told at once.
     Agent,
 }
 
 /// How long a watch has said nothing that is given up as [`ListFailure::Silent`], in milliseconds. It brings a line every 2 s.
-pub const WATCH_SILENCE: Millis = 3200.0;
+pub const WATCH_SILENCE_TIMEOUT: Millis = 3200.0;
 
 /// How asking for the list failed, or a subscription ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -212,7 +212,7 @@
     /// # Errors
     /// Names the first field that does not, and its bound: no classes, a time or amount that is negative or
     /// not finite, an own number not below the count of nodes, a share outside 0 to 1.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
             return fail("classes: no classes, one is needed at least".into());
@@ -275,7 +275,7 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     /// In service.
     Up,
     /// Finishing its work; nothing new may be sent.
@@ -287,7 +287,7 @@
 
 /// One entry of the list.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its zone, as a number.
@@ -297,7 +297,7 @@
     /// Its kind of machine, as a number.
     pub kind: u64,
     /// Its state.
-    pub state: Listed,
+    pub state: ListedState,
     /// A figure to compare with other servers'.
     pub weight: f64,
     /// When it last started; `None`: long ago.
@@ -345,12 +345,12 @@
     /// The whole list: what it leaves out is gone.
     List {
         /// Its entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
         /// As last seen before a restart: perhaps out of date, and no answer to a call.
         saved: bool,
     },
     /// The entries that changed.
-    ListChange(Vec<Entry>),
+    ListChange(Vec<ServerEntry>),
     /// Asking failed, or the subscription dropped.
     ListFailed(ListFailure),
     /// Discovery is elsewhere from now on: what was asked of it so far is void.
@@ -367,7 +367,7 @@
         /// asking comes with less time than a new one, and is treated as the older one that it is.
         deadline: Millis,
         /// It is passed on while it comes, and can be sent again only where nothing of it went out.
-        once: bool,
+        non_replayable: bool,
     },
     /// A streamed answer has begun; the client is bound to this attempt.
     Streaming {
@@ -444,13 +444,13 @@
 
 /// What the module holds at a moment, for the node's log.
 #[derive(Clone, Debug)]
-pub struct Status {
+pub struct BalancerStatus {
     /// Requests held at the node.
-    pub held: usize,
+    pub queued: usize,
     /// Requests that have no final answer yet.
     pub open: usize,
     /// Factor to all limits where it is below 1.
-    pub fleet: f64,
+    pub fleet_factor: f64,
     /// Attempts that the retry budget still allows.
     pub retry_budget: f64,
     /// The servers that are up.
@@ -463,11 +463,11 @@
     /// The server.
     pub server: ServerId,
     /// Own attempts that are out.
-    pub out: usize,
+    pub in_flight: usize,
     /// How many may be.
     pub limit: f64,
     /// Learned factor to its size.
-    pub share: f64,
+    pub learned_weight: f64,
     /// The part of its capacity that it is taken to have.
     pub warmth: f64,
     /// Ejected.
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -14,10 +14,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use magpietally_structures::{Age, Allowance, Aside, ByNumber, Held, Rate, Served, SplitMix};
+use magpietally_structures::{
+    ArrivalOrder, DecayingRate, DeferredSet, GroupedQueue, PriorityMap, ServiceLevels, SplitMix, TokenBucket,
+};
 
 use crate::api::*;
-use crate::asking::Asking;
+use crate::polling::ListPolling;
 
 const MEMORY: Millis = 60_000.0; // Over which time it is counted who is served how well.
 const WARMTH_LEAST: f64 = 1e-3; // With none at all a turn would be put off for good.
@@ -39,27 +41,27 @@
     subset: Vec<ServerId>,      // Those that it rotates over, sorted.
     reordered: bool,            // The ring has changed since.
     newcomers: Vec<ServerId>,   // Those that have no turn yet.
-    turns: ByNumber<ServerId>,  // The turns of those that may be ready.
-    aside: Aside<ServerId>,     // The others: from when, or from which factor of the fleet on, each may be.
+    turns: PriorityMap<ServerId>, // The turns of those that may be ready.
+    aside: DeferredSet<ServerId>, // The others: from when, or from which factor of the fleet on, each may be.
     ejected: BTreeSet<ServerId>, // Of the subset, those that are ejected.
-    looks: ByNumber<ServerId>,  // When these are looked at again, but for those that are being probed.
+    looks: PriorityMap<ServerId>, // When these are looked at again, but for those that are being probed.
     cold: BTreeSet<ServerId>,   // Of the subset, those that are cold, or were when their turn was set.
     warm_next: ServerId,        // From which of these on turns come closer next.
     sizes: Option<(Millis, f64, f64)>, // When added up last, the subset's size, and that of its warm ones.
     chosen: Millis,             // When the subset was last chosen.
     requests: BTreeMap<RequestId, Request>,
-    waiting: Held<Kind, RequestId>,    // Requests held at the node.
-    singles: Vec<ByNumber<RequestId>>, // By class, when each was first sent that may have a second copy.
-    left: Vec<RequestId>,              // Of these, those that are over.
-    cursor: f64,                       // The turn that was taken last.
-    cursor_at: Option<ServerId>,       // The server that it fell to.
+    waiting: GroupedQueue<Kind, RequestId>, // Requests held at the node.
+    singles: Vec<PriorityMap<RequestId>>,   // By class, when each was first sent that may have a second copy.
+    left: Vec<RequestId>,                   // Of these, those that are over.
+    cursor: f64,                            // The turn that was taken last.
+    cursor_at: Option<ServerId>,            // The server that it fell to.
     crowd: f64, // How many times more nodes share a server than wanted: a subset can be too small to.
     held_since: Option<Millis>, // Since when some have been held without a break.
     classes: Vec<ClassStats>,
     fleet: f64, // Factor to all limits where it is below 1: how far the fleet as a whole has slowed down.
-    class_served: Served, // How well each class, and each tenant within its share, is served.
-    tenant_served: Served,
-    quotas: Vec<Allowance>,            // Own part of each tenant's share.
+    class_served: ServiceLevels, // How well each class, and each tenant within its share, is served.
+    tenant_served: ServiceLevels,
+    quotas: Vec<TokenBucket>,          // Own part of each tenant's share.
     borne: f64,                        // What one unit of warm weight has borne so far, in requests.
     bore: Millis,                      // When a warm server last answered.
     times: BTreeMap<u64, Vec<Millis>>, // By kind of machine, each class's usual time with nothing else.
@@ -67,13 +69,13 @@
     lost: f64,         // Part of the attempts that went unanswered, lately.
     timer_due: Millis, // When the timer comes that was asked for last.
     swept: Millis,     // When what time brings was last looked at.
-    pub(crate) asking: Asking,
+    pub(crate) polling: ListPolling,
 }
 
 /// A server of the list, and what this node has seen of it.
 #[derive(Default)]
 struct Server {
-    entry: Entry,
+    entry: ServerEntry,
     rotated: bool,                // It is in the subset.
     size: f64,                    // Its size as far as the list tells.
     share: f64,                   // Learned factor to its size.
@@ -104,7 +106,7 @@
     deadline: Millis,
     attempts: Vec<Attempt>,
     streaming: bool,
-    once: bool, // It can't be sent again once any of it went out.
+    non_replayable: bool, // It can't be sent again once any of it went out.
 }
 
 #[derive(Clone, Copy)]
@@ -123,9 +125,9 @@
 struct ClassStats {
     mean: Millis, // Mean time to an answer.
     seen: u32,
-    excess: f64,       // By how much of its aim answers exceed the target, on average.
-    most_left: Millis, // The most time that a request had left when it came.
-    refused: Rate,     // Refusals whose clients may yet come back.
+    excess: f64,           // By how much of its aim answers exceed the target, on average.
+    most_left: Millis,     // The most time that a request had left when it came.
+    refused: DecayingRate, // Refusals whose clients may yet come back.
 }
 
 /// For how long a server, or one class at it, is left alone that has failed so many times.
@@ -134,7 +136,7 @@
 }
 
 impl Server {
-    fn new(entry: Entry, classes: usize) -> Self {
+    fn new(entry: ServerEntry, classes: usize) -> Self {
         Self {
             entry,
             size: 1.0,
@@ -150,7 +152,7 @@
     }
 
     fn listed_up(&self) -> bool {
-        self.entry.state == Listed::Up
+        self.entry.state == ListedState::Up
     }
 
     /// A server may turn one class away and serve the rest, as a bad release does: that class goes elsewhere
@@ -190,9 +192,9 @@
     /// A node at its start. `seed` is for its random numbers and should differ from node to node.
     ///
     /// # Errors
-    /// Where the settings make no sense; see [`Settings::check`].
+    /// Where the settings make no sense; see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let usual =
             |c: &Class| ClassStats { mean: c.aim / 4.0, most_left: f64::NEG_INFINITY, ..Default::default() };
         Ok(Self {
@@ -202,14 +204,14 @@
             crowd: 1.0,
             classes: settings.classes.iter().map(usual).collect(),
             fleet: 1.0,
-            class_served: Served::new(settings.classes.len(), MEMORY),
-            tenant_served: Served::new(settings.tenants.len(), MEMORY),
-            singles: vec![ByNumber::default(); settings.classes.len()],
-            quotas: vec![Allowance::default(); settings.tenants.len()],
+            class_served: ServiceLevels::new(settings.classes.len(), MEMORY),
+            tenant_served: ServiceLevels::new(settings.tenants.len(), MEMORY),
+            singles: vec![PriorityMap::default(); settings.classes.len()],
+            quotas: vec![TokenBucket::default(); settings.tenants.len()],
             retry_budget: settings.tuning.retry_most,
             timer_due: f64::INFINITY,
             swept: f64::NEG_INFINITY,
-            asking: Asking::new(&settings),
+            polling: ListPolling::new(&settings),
             set: settings,
             ..Self::default()
         })
@@ -221,8 +223,8 @@
         match event {
             Event::List { entries, saved } => self.on_list(entries, !saved, true),
             Event::ListChange(entries) => self.on_list(entries, true, false),
-            Event::ListFailed(failure) => self.asking.failed(now, failure, &mut self.random),
-            Event::DiscoveryMoved => self.asking.moved(now),
+            Event::ListFailed(failure) => self.polling.failed(now, failure, &mut self.random),
+            Event::DiscoveryMoved => self.polling.moved(now),
             Event::Request { .. } => self.on_request(event, actions),
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt, actions),
             Event::Ended { .. } => self.on_ended(event, actions),
@@ -245,32 +247,32 @@
     }
 
     /// For how long the client of a refused request of this class should stay away.
-    pub fn stay_away(&self, class: usize) -> Millis {
+    pub fn retry_after(&self, class: usize) -> Millis {
         let aim = self.set.classes.get(class).map_or(0.0, |c| c.aim);
         (STAY_AWAY * aim).min(self.set.limits.max_retry_after)
     }
 
     /// What the module holds now.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> BalancerStatus {
         let server = |s: &Server| ServerStatus {
             server: s.entry.server,
-            out: s.out.len(),
+            in_flight: s.out.len(),
             limit: s.allowed(self.fleet, self.least_limit()),
-            share: s.share,
+            learned_weight: s.share,
             warmth: s.warmth(self.now, &self.set.rules),
             ejected: s.ejected.is_some(),
         };
-        let (held, open, servers) =
+        let (queued, open, servers) =
             (self.waiting.len(), self.requests.len(), self.up().map(server).collect());
-        Status { held, open, fleet: self.fleet, retry_budget: self.retry_budget, servers }
+        BalancerStatus { queued, open, fleet_factor: self.fleet, retry_budget: self.retry_budget, servers }
     }
 
     /// When time alone next calls for something.
     fn next_due(&self) -> Millis {
-        let call = self.asking.due();
+        let call = self.polling.due();
         let held = if self.waiting.is_empty() { f64::INFINITY } else { self.swept + self.period() };
         let hedge = self.hedged().filter_map(|class| self.hedges(class).next());
-        let soonest = call.min(held).min(self.looks.least().unwrap_or(f64::INFINITY));
+        let soonest = call.min(held).min(self.looks.min_priority().unwrap_or(f64::INFINITY));
         let mut due = hedge.fold(soonest, |due, (_, at)| due.min(at.max(self.swept + self.period())));
         if self.any_cold_turn() {
             due = due.min(self.chosen + self.warmth_step());
@@ -306,10 +308,10 @@
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.swept = now;
-        if self.asking.look(now, &mut self.random) {
+        if self.polling.look(now, &mut self.random) {
             actions.push(Action::Subscribe);
         }
-        let mut due: Vec<ServerId> = self.looks.within(now).collect();
+        let mut due: Vec<ServerId> = self.looks.up_to(now).collect();
         due.sort_unstable();
         for id in due {
             if self.set.limits.probes {
--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -1,6 +1,6 @@
 //! The list of servers, and which of them this node rotates over.
 
-use magpietally_structures::{apart, mix};
+use magpietally_structures::{mix, sorted_difference};
 
 use super::*;
 
@@ -10,9 +10,9 @@
 const WEIGHTS: (f64, f64) = (1e-6, 1e6); // Beyond these nothing would be added to turns.
 
 impl Balancer {
-    pub(super) fn on_list(&mut self, entries: Vec<Entry>, answer: bool, whole: bool) {
+    pub(super) fn on_list(&mut self, entries: Vec<ServerEntry>, answer: bool, whole: bool) {
         if answer {
-            self.asking.answered(self.now);
+            self.polling.answered(self.now);
         }
         let mut touched: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
         touched.sort_unstable();
@@ -20,9 +20,9 @@
         if whole {
             // Those that it names keep their state until it is read: to be named again is no return.
             let known: Vec<ServerId> = self.servers.keys().copied().collect();
-            let (left_out, _) = apart(&known, &touched);
+            let (left_out, _) = sorted_difference(&known, &touched);
             for id in &left_out {
-                self.servers.entry(*id).and_modify(|s| s.entry.state = Listed::Gone);
+                self.servers.entry(*id).and_modify(|s| s.entry.state = ListedState::Gone);
             }
             touched.extend(left_out);
             touched.sort_unstable();
@@ -38,7 +38,7 @@
         for id in touched {
             match self.servers.get_mut(&id) {
                 // Kept while attempts are out, so that their outcomes still find it.
-                Some(s) if s.entry.state == Listed::Gone && s.out.is_empty() => {
+                Some(s) if s.entry.state == ListedState::Gone && s.out.is_empty() => {
                     drop(self.servers.remove(&id))
                 }
                 Some(s) if s.limit.is_nan() => s.limit = limit,
@@ -50,7 +50,7 @@
         self.choose_subset();
     }
 
-    fn take_entry(&mut self, mut entry: Entry) {
+    fn take_entry(&mut self, mut entry: ServerEntry) {
         let usable = entry.weight.is_finite() && entry.weight > 0.0;
         entry.weight = if usable { entry.weight.clamp(WEIGHTS.0, WEIGHTS.1) } else { 1.0 };
         // What it was passed over for so far goes by its size so far.
@@ -153,7 +153,7 @@
         if self.reordered || taken != self.subset.len() {
             let mut subset: Vec<ServerId> = (0..taken).map(|place| self.preferred(place)).collect();
             subset.sort_unstable();
-            let (leaving, coming) = apart(&self.subset, &subset);
+            let (leaving, coming) = sorted_difference(&self.subset, &subset);
             (self.subset, self.reordered, self.sizes) = (subset, false, None);
             for id in leaving.iter().chain(&coming) {
                 if let Some(server) = self.servers.get_mut(id) {
@@ -183,7 +183,7 @@
         let first = self.cursor_at.map_or(self.set.number, behind) % count;
         for id in newcomers {
             let Ok(place) = self.subset.binary_search(&id) else { continue };
-            let stagger = self.random.part() - 1.0 / self.set.nodes as f64;
+            let stagger = self.random.next_f64() - 1.0 / self.set.nodes as f64;
             let Some(server) = self.servers.get_mut(&id).filter(|s| s.turn.is_nan()) else { continue };
             let after = (place + count - first) % count;
             let warmth = server.warmth(self.now, &self.set.rules);
--- a/crates/policy/src/balance/overload.rs
+++ b/crates/policy/src/balance/overload.rs
@@ -8,7 +8,7 @@
 
 impl Balancer {
     pub(super) fn on_request(&mut self, event: Event, actions: &mut Vec<Action>) {
-        let Event::Request { id, class, tenant, deadline, once } = event else { return };
+        let Event::Request { id, class, tenant, deadline, non_replayable } = event else { return };
         if self.requests.contains_key(&id) {
             // To answer a repeat would be to answer the first, which is still owed, and to send for it then.
             return;
@@ -23,8 +23,9 @@
         let (came, attempts) = (self.now, Vec::new());
         let asked = came - self.age(class, deadline);
         let streaming = false;
-        let request = Request { class, tenant, in_share, asked, came, deadline, attempts, streaming, once };
-        self.tally((class, tenant, in_share), Served::ask);
+        let request =
+            Request { class, tenant, in_share, asked, came, deadline, attempts, streaming, non_replayable };
+        self.tally((class, tenant, in_share), ServiceLevels::add_demand);
         self.requests.insert(id, request);
         self.hold(id);
         self.serve_waiting(actions);
@@ -41,7 +42,7 @@
             *most = most.max(left);
         }
         match self.set.classes[class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => 0.0,
+            Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => 0.0,
             _ if *most - left < self.set.tick || refused.at(now, *most) * *most < 500.0 => 0.0,
             _ => {
                 refused.add(now, *most, -1.0);
@@ -53,7 +54,7 @@
     /// Is a request within its tenant's share? The share of all nodes is taken to come evenly to each.
     fn take_quota(&mut self, tenant: usize) -> bool {
         let own = self.set.tenants[tenant].quota_per_s / self.set.nodes as f64;
-        self.quotas[tenant].take(self.now, own)
+        self.quotas[tenant].try_take(self.now, own)
     }
 
     fn worth(&self, class: usize, in_share: bool) -> f64 {
@@ -61,7 +62,11 @@
     }
 
     /// Counts what was asked for, or served, of a class and of a tenant within its share.
-    pub(super) fn tally(&mut self, of: (usize, Option<usize>, bool), add: fn(&mut Served, usize, f64, f64)) {
+    pub(super) fn tally(
+        &mut self,
+        of: (usize, Option<usize>, bool),
+        add: fn(&mut ServiceLevels, usize, f64, f64),
+    ) {
         let (class, tenant, in_share) = of;
         let worth = self.worth(class, in_share);
         add(&mut self.class_served, class, self.now, worth);
@@ -107,13 +112,13 @@
         let mut some = Vec::new();
         for kind in held.groups() {
             let (hold, mean) = (self.hold_for(kind.0), self.classes[kind.0].mean);
-            let old = held.oldest(kind).take_while(|(came, _)| kind.3 && now > came + hold);
-            let late = held.ending(kind, 0).take_while(|(until, _)| now > until - mean);
-            let last = held.ending(kind, 1).take_while(|(end, _)| now > end - last);
+            let old = held.oldest_first(kind).take_while(|(came, _)| kind.3 && now > came + hold);
+            let late = held.by_deadline(kind, 0).take_while(|(until, _)| now > until - mean);
+            let last = held.by_deadline(kind, 1).take_while(|(end, _)| now > end - last);
             some.extend(old.chain(late).chain(last).map(|(_, id)| id));
         }
         some.retain(|id| self.requests.get(id).is_some_and(|r| self.overdue(r)));
-        held.in_order(some)
+        held.in_queue_order(some)
     }
 
     /// Sends what is held, in the order of what it adds to the goal for the work it takes, and answers what
@@ -139,9 +144,9 @@
     }
 
     /// The youngest of a kind that may go to this server. What was never sent may go wherever its like may.
-    fn held_for(&self, kind: &Kind, to: &Server) -> Option<(Age, RequestId)> {
+    fn held_for(&self, kind: &Kind, to: &Server) -> Option<(ArrivalOrder, RequestId)> {
         let most = if kind.3 { 1 } else { usize::MAX };
-        self.waiting.youngest(kind).take(most).find(|(_, id)| self.may_go(*id, to))
+        self.waiting.newest_first(kind).take(most).find(|(_, id)| self.may_go(*id, to))
     }
 
     /// Which held request this server's turn goes to: the one that adds most to the goal for the time that
@@ -149,9 +154,9 @@
     fn best_held(&self, server: ServerId) -> Option<RequestId> {
         let to = self.servers.get(&server)?;
         let goal = &self.set.goal;
-        let asked = self.class_served.asked(self.now);
-        let by_class = self.class_served.adds_to_worst(self.now, goal.worst_class, NEAR_WORST);
-        let by_tenant = self.tenant_served.adds_to_worst(self.now, goal.worst_tenant, NEAR_WORST);
+        let asked = self.class_served.demand_rate(self.now);
+        let by_class = self.class_served.marginal_gains(self.now, goal.worst_class, NEAR_WORST);
+        let by_tenant = self.tenant_served.marginal_gains(self.now, goal.worst_tenant, NEAR_WORST);
         let times = self.times.get(&to.entry.kind);
         let adds = |&(class, tenant, in_share, _): &Kind| {
             let tenant = tenant.filter(|_| in_share).map_or(0.0, |t| by_tenant[t]);
@@ -183,7 +188,7 @@
             if allowed < 1.0 { rested <= 2.0 * rest } else { 2.0 * server.out.len() as f64 >= allowed };
         let attempt = Attempt { server: to, zone, cell, sent: self.now, at_limit, alone, outcome: None };
         request.attempts.push(attempt);
-        let may = self.set.limits.second_copies && class.effect != Effect::Unsafe && !request.once;
+        let may = self.set.limits.second_copies && class.effect != Effect::Unsafe && !request.non_replayable;
         if may && request.attempts.len() == 1 {
             self.singles[request.class].set(id, self.now);
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -20,7 +20,7 @@
         nodes: 2,
         classes: vec![
             class(100.0, 1.0, Effect::Safe),
-            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: MEMORY }),
+            class(200.0, 3.0, Effect::Keyed { scope: DedupScope::Cell, memory: MEMORY }),
             class(100.0, 10.0, Effect::Unsafe),
         ],
         tenants: Vec::new(),
@@ -49,9 +49,9 @@
     }
 }
 
-pub fn entry(server: u64, weight: f64) -> Entry {
-    let state = Listed::Up;
-    Entry {
+pub fn entry(server: u64, weight: f64) -> ServerEntry {
+    let state = ListedState::Up;
+    ServerEntry {
         server: ServerId(server),
         zone: server % 2,
         cell: server % 2,
@@ -71,11 +71,11 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, entries: Vec<ServerEntry>) -> Self {
         Self::new_seeded(settings, entries, 1)
     }
 
-    pub fn new_seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
+    pub fn new_seeded(settings: Settings, entries: Vec<ServerEntry>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("good settings");
         let mut node = Self { balancer, now: 1000.0, next: 0, attempts: BTreeMap::new() };
         node.event(Event::List { entries, saved: true });
@@ -110,7 +110,7 @@
         let id = RequestId(self.next);
         self.next += 1;
         let deadline = self.now + left;
-        (id, self.event(Event::Request { id, class, tenant, deadline, once: false }))
+        (id, self.event(Event::Request { id, class, tenant, deadline, non_replayable: false }))
     }
 
     /// Ends the request's newest attempt.
@@ -192,7 +192,7 @@
 #[derive(Default)]
 pub struct Referee {
     requests: BTreeMap<RequestId, Held>,
-    servers: BTreeMap<ServerId, (Entry, Option<f64>)>,
+    servers: BTreeMap<ServerId, (ServerEntry, Option<f64>)>,
     warm_sends: Vec<(ServerId, f64)>,
     cold_sends: Vec<(ServerId, f64)>,
     pub breaches: Vec<String>,
@@ -203,7 +203,7 @@
         match event {
             Event::List { entries, .. } => {
                 for (entry, gone) in self.servers.values_mut() {
-                    entry.state = Listed::Gone;
+                    entry.state = ListedState::Gone;
                     gone.get_or_insert(now);
                 }
                 self.listed(now, entries);
@@ -228,9 +228,9 @@
         }
     }
 
-    fn listed(&mut self, now: f64, entries: &[Entry]) {
+    fn listed(&mut self, now: f64, entries: &[ServerEntry]) {
         for entry in entries {
-            let gone = (entry.state != Listed::Up).then_some(now);
+            let gone = (entry.state != ListedState::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
             known.1 = if gone.is_some() { known.1.or(gone) } else { None };
             known.0 = entry.clone();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 mod fields;
 
 use magpietally_policy::{
-    Class, Discovery, Effect, Goal, Group, Limits, Millis, Rules, Settings, Tenant, Tuning, Weights,
+    Class, DedupScope, Discovery, Effect, Goal, Limits, Millis, Rules, Settings, Tenant, Tuning, Weights,
 };
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
 const NODES_MOST: u64 = 1_000_000;
 
 fn class(f: &Fields) -> Result<(Class, Millis), FieldError> {
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
     #[derive(Clone, Copy)]
     enum Word {
         Safe,
@@ -28,7 +28,7 @@
         Word::Safe => Effect::Safe,
         Word::Unsafe => Effect::Unsafe,
         Word::Keyed => Effect::Keyed {
-            group: f.choice("DedupScope", &groups)?,
+            scope: f.choice("DedupScope", &groups)?,
             memory: f.number_in("MemorySpan", Range::Positive)?,
         },
     };
@@ -132,7 +132,7 @@
     let (l, r, g) = (f.object("Limits")?, f.object("Contract")?, f.object("Goal")?);
     let goal = |key| g.number_in(key, Range::NonNegative);
     let discovery =
-        f.choice("Discovery", &[("subscribe", Discovery::Asked), ("automatic", Discovery::Pushed)])?;
+        f.choice("Discovery", &[("subscribe", Discovery::Polled), ("automatic", Discovery::Pushed)])?;
     let weights = [
         ("nominal", Weights::Listed),
         ("rough", Weights::Listed),
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -50,7 +50,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    tables: BTreeMap<u64, Vec<Entry>>,
+    tables: BTreeMap<u64, Vec<ServerEntry>>,
     names: Names,
 }
 
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    fn entry(&mut self, value: &Value) -> Result<Entry, FieldError> {
+    fn entry(&mut self, value: &Value) -> Result<ServerEntry, FieldError> {
         let row = list(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
         // Zones and kinds are only ever compared: any number that is the same for the same name will do.
@@ -162,15 +162,15 @@
             }) as u64
         };
         let (zone, kind) = (name(at(1)), name(at(2)));
-        Ok(Entry {
+        Ok(ServerEntry {
             server: ServerId(integer(at(0), "Server")?),
             zone,
             cell: if at(3).is_null() { 0 } else { integer(at(3), "Cluster")? },
             kind,
             state: match string(at(4), "Condition")? {
-                "on" => Listed::Up,
-                "fading" => Listed::Draining,
-                "off" => Listed::Gone,
+                "on" => ListedState::Up,
+                "fading" => ListedState::Draining,
+                "off" => ListedState::Gone,
                 other => return Err(format!("Condition: {other} is unknown")),
             },
             weight: optional_number(at(5), "Weight")?.unwrap_or(1.0),
@@ -183,7 +183,7 @@
     /// Translates an event; `None` for one that is not known or says nothing.
     fn event(
         &self,
-        tables: &BTreeMap<u64, Vec<Entry>>,
+        tables: &BTreeMap<u64, Vec<ServerEntry>>,
         input: &[Value],
     ) -> Result<Option<Event>, FieldError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
@@ -209,7 +209,7 @@
                 class: index(&self.classes, at(2)).ok_or_else(|| "Band: unknown".to_string())?,
                 tenant: index(&self.tenants, at(3)),
                 deadline: number(at(5), "DropDead")?,
-                once: false,
+                non_replayable: false,
             },
             "STREAMING" => Event::Streaming { id: id()?, attempt: attempt()? },
             "RESPONSE" => Event::Ended {
--- a/crates/site/src/virt/plain.rs
+++ b/crates/site/src/virt/plain.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use magpietally_policy::{
-    Action, Discovery, Effect, Entry, Event, Group, Listed, Millis, Outcome, RequestId, ServerId, Settings,
+    Action, DedupScope, Discovery, Effect, Event, ListedState, Millis, Outcome, RequestId, ServerEntry,
+    ServerId, Settings,
 };
 use serde::{Deserialize, Serialize};
 
@@ -54,7 +55,7 @@
     settings: Settings,
     pick: Option<Pick>,
     random: Stream,
-    servers: BTreeMap<ServerId, Entry>,
+    servers: BTreeMap<ServerId, ServerEntry>,
     /// Those in service, sorted.
     up: Vec<ServerId>,
     out: BTreeMap<ServerId, usize>,
@@ -71,7 +72,7 @@
 
     /// A node that sends nothing.
     pub(super) fn refusing(settings: Settings) -> Self {
-        let ask_at = (settings.discovery == Discovery::Asked).then_some(f64::NEG_INFINITY);
+        let ask_at = (settings.discovery == Discovery::Polled).then_some(f64::NEG_INFINITY);
         Self {
             cursor: settings.number,
             settings,
@@ -85,14 +86,14 @@
         }
     }
 
-    fn list(&mut self, entries: Vec<Entry>, whole: bool) {
+    fn list(&mut self, entries: Vec<ServerEntry>, whole: bool) {
         if whole {
             self.servers.clear();
         }
         for entry in entries {
             self.servers.insert(entry.server, entry);
         }
-        let up = self.servers.values().filter(|e| e.state == Listed::Up);
+        let up = self.servers.values().filter(|e| e.state == ListedState::Up);
         self.up = up.map(|e| e.server).collect();
     }
 
@@ -161,14 +162,14 @@
     }
 
     /// May the request go out, again or for the first time, to this server (`None`: be refused)?
-    fn harmless(&self, held: &Held, now: Millis, to: Option<&Entry>) -> bool {
+    fn harmless(&self, held: &Held, now: Millis, to: Option<&ServerEntry>) -> bool {
         let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
         match self.settings.classes[held.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { group, memory } => ran.all(|a| match to {
-                None => group == Group::All,
-                Some(to) => (group == Group::All || a.1 == to.zone) && now - a.2 < memory,
+            Effect::Keyed { scope, memory } => ran.all(|a| match to {
+                None => scope == DedupScope::All,
+                Some(to) => (scope == DedupScope::All || a.1 == to.zone) && now - a.2 < memory,
             }),
         }
     }
