--- a/crates/addresses/src/exhaustive.rs
+++ b/crates/addresses/src/exhaustive.rs
@@ -154,7 +154,7 @@
             }
             let state = &self.nodes[i].state;
             let owner = Key::Owner(E.into());
-            let lapsed = state.leases.lapsed(at(self.now).boot).find(|(k, _)| **k == owner);
+            let lapsed = state.leases.expired(at(self.now).boot).find(|(k, _)| **k == owner);
             if let Some((_, grant)) = lapsed.filter(|_| i == 1 && !self.ended) {
                 let body = Body::End(vec![(owner.clone(), grant.index)]);
                 add(&|w| (w.ended, w.waiting[1]) = (true, Some(body.clone())));
@@ -178,7 +178,7 @@
         let mut h = DefaultHasher::new();
         let now = at(self.now).boot;
         // Of what a node knows by its clock: what it holds yet, and (the second alone ends leases) when the owner's lapses.
-        let held = |h: Held| h.until().max(now);
+        let held = |h: HeldLease| h.expires_at().max(now);
         let nodes = self.nodes.iter().map(|n| {
             let owned: Vec<_> = n.owned.iter().map(|(p, h)| (p, held(*h))).collect();
             let state = (&n.state.plain, n.state.leases.grants());
@@ -187,7 +187,7 @@
         let all: Vec<_> = nodes.collect();
         let owner = Key::Owner(E.into());
         let lapses = (self.now..=SECONDS)
-            .find(|t| self.nodes[1].state.leases.lapsed(at(*t).boot).any(|(k, _)| *k == owner));
+            .find(|t| self.nodes[1].state.leases.expired(at(*t).boot).any(|(k, _)| *k == owner));
         let bodies: Vec<_> = self.log.iter().map(|d| &d.proposal.body).collect();
         let text = format!(
             "{all:?}{lapses:?}{bodies:?}{:?}{:?}{:?}{:?}{:?}{}",
--- a/crates/addresses/src/room.rs
+++ b/crates/addresses/src/room.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, Held, Machine, SnapshotError, Topic, DRIFT, SLACK};
+use magpietally_consensus::{Decided, HeldLease, Machine, SnapshotError, Topic, DRIFT, SLACK};
 use magpietally_transport::{Name, Now, Peer};
 
 use crate::decide;
@@ -79,8 +79,8 @@
     reported: Option<(Duration, Judgement)>,
     /// The last report's number that was seen decided.
     seen: u64,
-    speaker: Option<Held>,
-    owned: BTreeMap<String, Held>,
+    speaker: Option<HeldLease>,
+    owned: BTreeMap<String, HeldLease>,
     said: BTreeMap<String, u32>,
     refreshed: Duration,
     anew: bool,
@@ -162,13 +162,13 @@
 
     /// Whether this node speaks for its site at `now`.
     pub fn speaks(&self, now: Now) -> bool {
-        self.speaker.is_some_and(|h| h.holds(now.boot))
+        self.speaker.is_some_and(|h| h.is_valid(now.boot))
     }
 
     /// Whether this node holds an exclusive address at `now`: asked at each use, with a fresh clock.
     pub fn owns(&self, now: Now, prefix: &str) -> bool {
         self.planted == Planted::KeepsExclusive && self.owned.contains_key(prefix)
-            || self.owned.get(prefix).is_some_and(|h| h.holds(now.boot))
+            || self.owned.get(prefix).is_some_and(|h| h.is_valid(now.boot))
     }
 
     /// A planned stop of this node begins: see [`crate::Stop`].
@@ -222,9 +222,9 @@
     fn wanted(&self, now: Duration) -> BTreeMap<String, u32> {
         let rules = &self.state.plain.rules;
         let successor = self.state.holder(&Key::Speaker(self.site.clone())).is_some_and(|p| *p != self.me);
-        let speaks = self.speaker.is_some_and(|h| h.holds(now));
+        let speaks = self.speaker.is_some_and(|h| h.is_valid(now));
         // Without the log nothing can be decided; a lost log must not be lost service.
-        let kept = self.speaker.is_some_and(|h| now < h.until() + ms(rules.keep_shared))
+        let kept = self.speaker.is_some_and(|h| now < h.expires_at() + ms(rules.keep_shared))
             && self.own_judgement() != Judgement::Dead;
         let handing = |since: Duration| {
             now < since + HAND_OVER && self.state.order(&self.site).any(|n| *n != self.me.name)
@@ -241,7 +241,9 @@
                 Kind::Exclusive if self.planted == Planted::KeepsExclusive => {
                     self.owned.contains_key(&a.prefix)
                 }
-                Kind::Exclusive => exclusive && self.owned.get(&a.prefix).is_some_and(|h| h.holds(guarded)),
+                Kind::Exclusive => {
+                    exclusive && self.owned.get(&a.prefix).is_some_and(|h| h.is_valid(guarded))
+                }
             })
             .map(|a| (a.prefix.clone(), a.med))
             .collect()
@@ -277,8 +279,8 @@
         let own = if speak { self.would_own() } else { Vec::new() };
         let judgement = self.own_judgement();
         if let Some((last, told)) = self.reported {
-            let lacks = speak && !self.speaker.is_some_and(|h| h.holds(now))
-                || own.iter().any(|p| !self.owned.get(p).is_some_and(|h| h.holds(now)));
+            let lacks = speak && !self.speaker.is_some_and(|h| h.is_valid(now))
+                || own.iter().any(|p| !self.owned.get(p).is_some_and(|h| h.is_valid(now)));
             let every = if speak { REPORT_SPEAKER } else { REPORT };
             let wait = if lacks || told != judgement {
                 GAP
@@ -308,14 +310,14 @@
         self.seen = self.seen.max(seq);
         let Some(&(_, asked)) = self.asked.iter().find(|a| a.0 == seq) else { return };
         let from = if self.planted == Planted::CountsFromAnswer { now } else { asked };
-        let held = Held::new(from, self.settings.term);
+        let held = HeldLease::new(from, self.settings.term);
         // Only grants of this very entry: a report may have been refused a renewal that an earlier one got.
         let Some(index) = self.state.leases.get(&Key::Node(self.me.name.clone())).map(|g| g.index) else {
             return;
         };
         let speaker = Key::Speaker(self.site.clone());
         if self.state.leases.get(&speaker).is_some_and(|g| g.holder == self.me && g.index == index) {
-            if !self.speaker.is_some_and(|h| h.holds(now)) {
+            if !self.speaker.is_some_and(|h| h.is_valid(now)) {
                 self.anew = true;
             }
             self.speaker = Some(self.speaker.map_or(held, |h| h.or_later(held)));
@@ -334,7 +336,7 @@
         let still = now > self.heard + STILL || now < self.moving + MOVING;
         if !still && self.ended.is_none_or(|at| now >= at + RETRY) {
             let ends: Vec<_> =
-                self.state.leases.lapsed(now).take(ENDS_MAX).map(|(k, g)| (k.clone(), g.index)).collect();
+                self.state.leases.expired(now).take(ENDS_MAX).map(|(k, g)| (k.clone(), g.index)).collect();
             if !ends.is_empty() {
                 self.ended = Some(now);
                 self.out.push_back(Body::End(ends));
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,7 +1,7 @@
 //! Leases that the log grants: rights that end by themselves when their holder can't renew them.
 //!
-//! The holder counts from when it **asked** ([`Held`]), the one who takes the right away from when it **learnt** of the
-//! grant ([`Leases::lapsed`]), each by its own boot clock. The asking came before the deciding and that before the
+//! The holder counts from when it **asked** ([`HeldLease`]), the one who takes the right away from when it **learnt** of the
+//! grant ([`Leases::expired`]), each by its own boot clock. The asking came before the deciding and that before the
 //! learning, so the holder's count ends first, whatever was slow, stopped or cut off, as long as two boot clocks differ
 //! in speed by less than [`DRIFT`]. No wall clock is read.
 //!
@@ -87,23 +87,23 @@
     }
 
     /// The leases that have ended for their holders by now, by this node's count: to be proposed for ending.
-    pub fn lapsed(&self, now: Duration) -> impl Iterator<Item = (&K, &Grant)> {
+    pub fn expired(&self, now: Duration) -> impl Iterator<Item = (&K, &Grant)> {
         self.grants.iter().filter(move |(k, g)| self.learnt.get(k).is_some_and(|at| now >= *at + g.wait()))
     }
 
     /// When the next of them lapses.
-    pub fn next_lapse(&self) -> Option<Duration> {
+    pub fn next_expiry(&self) -> Option<Duration> {
         self.grants.iter().filter_map(|(k, g)| Some(*self.learnt.get(k)? + g.wait())).min()
     }
 }
 
 /// A lease in its holder's own hands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     until: Duration,
 }
 
-impl Held {
+impl HeldLease {
     /// A lease of `term` that was asked for at `asked`, by the holder's boot clock, and granted since.
     pub fn new(asked: Duration, term: Duration) -> Self {
         Self { until: asked + term }
@@ -111,12 +111,12 @@
 
     /// Whether it holds at `now`. To be asked at the very moment of each use, with a clock read after the process was last
     /// stopped, never once for a batch of work.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_valid(&self, now: Duration) -> bool {
         now < self.until
     }
 
     /// When it ends.
-    pub fn until(&self) -> Duration {
+    pub fn expires_at(&self) -> Duration {
         self.until
     }
 
--- a/crates/consensus/src/lease/tests.rs
+++ b/crates/consensus/src/lease/tests.rs
@@ -12,15 +12,15 @@
 fn the_holder_stops_before_any_waiter_may_take_it_away_however_the_clocks_drift() {
     // Asked at 0, decided and learnt at once: the least that can lie between.
     for (holder, waiter) in [(1.0, 1.0), (1.0 - DRIFT / 2.0, 1.0 + DRIFT / 2.0 - 0.0001)] {
-        let held = Held::new(Duration::ZERO, 1000 * MS);
+        let held = HeldLease::new(Duration::ZERO, 1000 * MS);
         let mut leases = Leases::default();
         leases.grant(Duration::ZERO, "k", grant(7));
         for ms in 0..2000 {
             let by = |rate: f64| (ms * MS).mul_f64(rate);
-            let lapsed = leases.lapsed(by(waiter)).next().is_some();
-            assert!(!(lapsed && held.holds(by(holder))), "both at {ms} ms");
+            let lapsed = leases.expired(by(waiter)).next().is_some();
+            assert!(!(lapsed && held.is_valid(by(holder))), "both at {ms} ms");
         }
-        assert!(leases.lapsed(2000 * MS).next().is_some() && !held.holds(2000 * MS));
+        assert!(leases.expired(2000 * MS).next().is_some() && !held.is_valid(2000 * MS));
     }
 }
 
@@ -31,7 +31,7 @@
     leases.grant(2 * MS, "k", grant(2));
     assert!(!leases.end(&"k", Index(1)) && leases.get(&"k") == Some(&grant(2)));
     assert!(leases.end(&"k", Index(2)) && leases.get(&"k").is_none());
-    assert_eq!(leases.next_lapse(), None);
+    assert_eq!(leases.next_expiry(), None);
 }
 
 #[test]
@@ -39,5 +39,5 @@
     let mut leases = Leases::default();
     leases.grant(MS, "k", grant(1));
     let restored = Leases::restored(leases.grants().clone(), 500 * MS);
-    assert_eq!(restored.next_lapse(), Some(500 * MS + grant(1).wait()));
+    assert_eq!(restored.next_expiry(), Some(500 * MS + grant(1).wait()));
 }
--- a/crates/policy_change/src/gate.rs
+++ b/crates/policy_change/src/gate.rs
@@ -221,7 +221,7 @@
             return true;
         }
         let holds = match self.settings.without_lease {
-            WithoutLease::Stop => self.held.is_some_and(|h| h.holds(now)),
+            WithoutLease::Stop => self.held.is_some_and(|h| h.is_valid(now)),
             // Granted once in this session, and not ended by the log since.
             WithoutLease::Serve => self.held.is_some(),
         };
--- a/crates/policy_change/src/room.rs
+++ b/crates/policy_change/src/room.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, Held, Leases, Machine, SnapshotError, Topic};
+use magpietally_consensus::{Decided, HeldLease, Leases, Machine, SnapshotError, Topic};
 use magpietally_transport::{Now, Peer};
 
 use crate::entry::{Entry, Step, Version, DOCUMENT_MAX, EXPIRED_AT_ONCE, WHY_MAX};
@@ -77,7 +77,7 @@
     pub(crate) state: State,
     // (b) What this node knows by its own clock.
     waits: Leases<Peer>,
-    pub(crate) held: Option<Held>,
+    pub(crate) held: Option<HeldLease>,
     asks: VecDeque<(u64, Duration)>,
     next_ask: u64,
     ask_due: Duration,
@@ -274,7 +274,8 @@
         }
         self.asks.push_back((ask, now.boot));
         let fresh =
-            self.held.is_some_and(|h| h.until().saturating_sub(now.boot) * 2 > self.settings.term) && member;
+            self.held.is_some_and(|h| h.expires_at().saturating_sub(now.boot) * 2 > self.settings.term)
+                && member;
         // Usually each third of the term; when two in a row came to nothing, in haste.
         self.ask_due = now.boot + if fresh { self.settings.term / 3 } else { self.settings.again };
         self.say(if member {
@@ -334,7 +335,7 @@
         }
         let lapsed: Vec<_> = self
             .waits
-            .lapsed(now.boot)
+            .expired(now.boot)
             .filter(|(peer, _)| self.state.members.get(*peer).is_some_and(|m| !m.serves_on))
             .take(EXPIRED_AT_ONCE)
             .map(|(peer, grant)| (peer.clone(), grant.index))
@@ -388,7 +389,7 @@
                             false => asked,
                         };
                         // An asking that is not remembered is not counted: the safe side.
-                        if let Some(held) = asked.map(|at| Held::new(at, term)) {
+                        if let Some(held) = asked.map(|at| HeldLease::new(at, term)) {
                             self.held = Some(self.held.map_or(held, |h| h.or_later(held)));
                         }
                     }
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, Held, Machine, SnapshotError, Topic};
+use magpietally_consensus::{Decided, HeldLease, Machine, SnapshotError, Topic};
 use magpietally_transport::{Now, Peer};
 
 use crate::bucket::{Bucket, Until};
@@ -370,7 +370,9 @@
                 pool.bucket.settle(now, self.until);
             }
         }
-        let later = |until, term| Held::new(Duration::ZERO, until).or_later(Held::new(asked, term)).until();
+        let later = |until, term| {
+            HeldLease::new(Duration::ZERO, until).or_later(HeldLease::new(asked, term)).expires_at()
+        };
         self.until.main = later(self.until.main, self.settings.term);
         self.until.reserve = later(self.until.reserve, self.settings.reserve);
         #[cfg(any(test, feature = "planted"))]
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -258,8 +258,8 @@
 
     /// Leases that have ended for their holders by this node's count, to be proposed for ending.
     pub(crate) fn lapsed(&self, now: Duration) -> Vec<(u32, u64, bool)> {
-        let all = self.reserves.lapsed(now).map(|(sid, g)| (*sid, g.index.0, true));
-        let some = self.shares.lapsed(now).map(|(sid, g)| (*sid, g.index.0, false));
+        let all = self.reserves.expired(now).map(|(sid, g)| (*sid, g.index.0, true));
+        let some = self.shares.expired(now).map(|(sid, g)| (*sid, g.index.0, false));
         all.chain(some).take(crate::entry::ENDS_MAX).collect()
     }
 
