--- a/crates/addresses/src/exhaustive.rs
+++ b/crates/addresses/src/exhaustive.rs
@@ -10,7 +10,7 @@
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 
-use magpietally_consensus::{Index, Proposal, Stamp};
+use magpietally_consensus::{Index, Proposal, Timestamp};
 use magpietally_transport::Session;
 
 use super::*;
@@ -30,7 +30,7 @@
     now: u64,
     nodes: Vec<Addresses>,
     learnt: [usize; 2],
-    log: Vec<Decided>,
+    log: Vec<DecidedEntry>,
     waiting: [Option<Body>; 2],
     asks: [u64; 2],
     /// The second node has proposed the end.
@@ -105,7 +105,7 @@
         let index = Index(self.log.len() as u64 + 1);
         let (topic, by, id) = (Topic::Addresses, self.nodes[i].me.clone(), index.0);
         let proposal = Proposal { topic, by, id, body: body.encode() };
-        self.log.push(Decided { index, stamp: Stamp(0), proposal });
+        self.log.push(DecidedEntry { index, timestamp: Timestamp(0), proposal });
     }
 
     fn learn(&mut self, i: usize) {
--- a/crates/addresses/src/room.rs
+++ b/crates/addresses/src/room.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, HeldLease, Machine, SnapshotError, Topic, DRIFT, SLACK};
+use magpietally_consensus::{DecidedEntry, HeldLease, SnapshotError, StateMachine, Topic, DRIFT, SLACK};
 use magpietally_transport::{Name, Now, Peer};
 
 use crate::decide;
@@ -359,12 +359,12 @@
     (ms(rules.router_hold) + ms(rules.write)).mul_f64(1.0 + DRIFT) + SLACK
 }
 
-impl Machine for Addresses {
+impl StateMachine for Addresses {
     fn topic(&self) -> Topic {
         Topic::Addresses
     }
 
-    fn apply(&mut self, now: Now, decided: &Decided) {
+    fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         let now = now.boot;
         if now > self.heard + STILL {
             self.moving = now;
--- a/crates/addresses/src/state.rs
+++ b/crates/addresses/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, Grant, Index, Leases};
+use magpietally_consensus::{DecidedEntry, Grant, Index, Leases};
 use magpietally_transport::{Name, Peer};
 use serde::{Deserialize, Serialize};
 
@@ -192,7 +192,7 @@
         self.plain.nodes.iter().filter(move |(_, (s, _))| s == site).map(|(n, _)| n)
     }
 
-    pub(crate) fn apply(&mut self, now: Duration, decided: &Decided) -> Effect {
+    pub(crate) fn apply(&mut self, now: Duration, decided: &DecidedEntry) -> Effect {
         let Some(body) = Body::decode(&decided.proposal.body) else { return Effect::default() };
         let by = &decided.proposal.by;
         let mut effect = Effect::default();
--- a/crates/addresses/tests/common/mod.rs
+++ b/crates/addresses/tests/common/mod.rs
@@ -10,7 +10,7 @@
     AddressRule, Addresses, Figures, Judgement, Kind, Planted, Rules, Settings, State, Sums,
 };
 use magpietally_consensus::model::{Clocks, Faults, Model, STEP};
-use magpietally_consensus::Machine;
+use magpietally_consensus::StateMachine;
 use magpietally_transport::{Name, Now, Peer, Session};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/consensus/src/chain.rs
+++ b/crates/consensus/src/chain.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{Decided, Index, Topic};
+use crate::entry::{DecidedEntry, Index, Topic};
 use crate::head::{Hash, Head, Item};
 use crate::wire::FORMAT;
 
@@ -15,13 +15,13 @@
 pub const SNAPSHOT_MAX: usize = 4 << 20;
 
 /// The machines' snapshots, each with whose it is.
-pub type Machines = Vec<(Topic, Vec<u8>)>;
+pub type MachineSnapshots = Vec<(Topic, Vec<u8>)>;
 
 /// What a snapshot holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Checkpoint {
     pub head: Head,
-    pub machines: Machines,
+    pub machines: MachineSnapshots,
 }
 
 impl Checkpoint {
@@ -74,7 +74,7 @@
         self.end() - self.kept.len() as u64
     }
 
-    pub fn apply(&mut self, item: Item, keep: (usize, usize)) -> Decided {
+    pub fn apply(&mut self, item: Item, keep: (usize, usize)) -> DecidedEntry {
         let decided = self.head.apply(&item);
         let size = item.size();
         self.bytes += size;
--- a/crates/consensus/src/check.rs
+++ b/crates/consensus/src/check.rs
@@ -9,7 +9,7 @@
 use magpietally_transport::Peer;
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{Decided, Index};
+use crate::entry::{DecidedEntry, Index};
 
 /// What a node saw.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,11 +50,11 @@
 
 impl What {
     /// An entry's record.
-    pub fn entry(decided: &Decided) -> Self {
+    pub fn entry(decided: &DecidedEntry) -> Self {
         let p = &decided.proposal;
         let mut crc = crc32fast::Hasher::new();
         crc.update(&decided.index.0.to_le_bytes());
-        crc.update(&decided.stamp.0.to_le_bytes());
+        crc.update(&decided.timestamp.0.to_le_bytes());
         crc.update(&[p.topic as u8]);
         crc.update(p.by.name.as_str().as_bytes());
         crc.update(&p.by.session.0.to_le_bytes());
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -15,7 +15,7 @@
 /// stamp of the entry before. All nodes see the same stamps; a day begins by them. It may stand still or jump ahead, so
 /// no span is measured by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Stamp(pub u64);
+pub struct Timestamp(pub u64);
 
 /// Which room an entry is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -46,11 +46,11 @@
 
 /// One decided entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Decided {
+pub struct DecidedEntry {
     /// Where in the log.
     pub index: Index,
     /// When, by the log's clock.
-    pub stamp: Stamp,
+    pub timestamp: Timestamp,
     /// What.
     pub proposal: Proposal,
 }
--- a/crates/consensus/src/head.rs
+++ b/crates/consensus/src/head.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::entry::{Decided, Index, Proposal, Stamp, Topic};
+use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, Topic};
 
 /// The most proposers whose last number is remembered. Past that the one that proposed longest ago is forgotten, by the
 /// log's own order: a fleet of 500 nodes has room for eight generations of names, and one forgotten can only be
@@ -48,16 +48,16 @@
 pub(crate) struct Head {
     pub index: Index,
     pub hash: Hash,
-    pub stamp: Stamp,
+    pub timestamp: Timestamp,
     last: BTreeMap<Name, Last>,
 }
 
 impl Head {
     /// Takes the next item. A proposal that was decided before, or was overtaken by a later one of its proposer, leaves
     /// its place empty: an entry of the log's own topic by nobody.
-    pub fn apply(&mut self, item: &Item) -> Decided {
+    pub fn apply(&mut self, item: &Item) -> DecidedEntry {
         self.index.0 += 1;
-        self.stamp = self.stamp.max(Stamp(item.wall_ms));
+        self.timestamp = self.timestamp.max(Timestamp(item.wall_ms));
         self.hash = chain(&self.hash, item);
         let (by, id) = (&item.proposal.by, item.proposal.id);
         let anew = self.last.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
@@ -71,7 +71,7 @@
         } else {
             Proposal { topic: Topic::Voters, by: Peer::default_of_nobody(), id: 0, body: Vec::new() }
         };
-        Decided { index: self.index, stamp: self.stamp, proposal }
+        DecidedEntry { index: self.index, timestamp: self.timestamp, proposal }
     }
 
     /// The last number decided of this proposer's session; 0 where none was.
--- a/crates/consensus/src/head/tests.rs
+++ b/crates/consensus/src/head/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(head.apply(&item("a", 2, 1)).proposal.id, 1);
     let early = Item { wall_ms: 0, ..item("b", 1, 1) };
     let decided = head.apply(&early);
-    assert_eq!((decided.index, decided.stamp), (Index(6), Stamp(5)));
+    assert_eq!((decided.index, decided.timestamp), (Index(6), Timestamp(5)));
 }
 
 #[test]
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -11,7 +11,7 @@
 //! pure; what has to be durable before what may be sent comes out of it as a value ([`Ready`]). [`check`] holds its
 //! histories to the rules. The reasons are in `docs/design/consensus.md`.
 //!
-//! Central types: [`Decided`], [`Proposal`], [`Node`], [`Machine`] (a room that stands on the log), [`Leases`] and [`HeldLease`].
+//! Central types: [`DecidedEntry`], [`Proposal`], [`Node`], [`StateMachine`] (a room that stands on the log), [`Leases`] and [`HeldLease`].
 
 #[cfg(test)]
 extern crate self as magpietally_consensus;
@@ -34,13 +34,13 @@
 mod voter;
 mod wire;
 
-pub use chain::{Machines, SNAPSHOT_MAX};
-pub use entry::{Decided, Index, Proposal, Stamp, Topic, BODY_MAX};
+pub use chain::{MachineSnapshots, SNAPSHOT_MAX};
+pub use entry::{DecidedEntry, Index, Proposal, Timestamp, Topic, BODY_MAX};
 pub use founding::NoVote;
 pub use head::{Hash, NAMES_MAX};
 pub use learn::PEERS_MAX;
 pub use lease::{Grant, HeldLease, Leases, DRIFT, SLACK};
-pub use machine::{Machine, SnapshotError};
+pub use machine::{SnapshotError, StateMachine};
 pub use node::{Node, OpenError, Refused, Status};
 pub use ready::{Ready, StoredError, Write};
 pub use settings::{Settings, SettingsError, VOTERS};
--- a/crates/consensus/src/machine.rs
+++ b/crates/consensus/src/machine.rs
@@ -5,7 +5,7 @@
 
 use magpietally_transport::Now;
 
-use crate::entry::{Decided, Topic};
+use crate::entry::{DecidedEntry, Topic};
 
 /// A snapshot that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,13 +22,13 @@
 /// One node's part of a room that stands on the log. Its state has two halves: what follows from the decided entries
 /// alone (the same at every node at the same index; snapshots hold it and nothing else), and what this node knows by
 /// its own clock (when it asked, when it learnt), which is never in a snapshot.
-pub trait Machine {
+pub trait StateMachine {
     /// Whose entries it takes.
     fn topic(&self) -> Topic;
 
     /// Takes the next decided entry of its topic. Entries come in order, each once; an entry that can't be read or that
     /// the state does not allow changes nothing.
-    fn apply(&mut self, now: Now, decided: &Decided);
+    fn apply(&mut self, now: Now, decided: &DecidedEntry);
 
     /// What follows from the entries so far.
     fn snapshot(&self) -> Vec<u8>;
@@ -44,7 +44,7 @@
     /// chores of the fleet, as expiring leases, are proposed by who leads.
     fn tick(&mut self, now: Now, leading: bool);
 
-    /// When [`Machine::tick`] has something to do next, by the boot clock.
+    /// When [`StateMachine::tick`] has something to do next, by the boot clock.
     fn next_due(&self) -> Option<Duration>;
 
     /// The body of the next proposal, at most [`crate::BODY_MAX`] bytes. It may get lost: a machine that still wants it
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -12,8 +12,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::entry::{Decided, Index, Proposal, Stamp, BODY_MAX};
-use crate::machine::Machine;
+use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, BODY_MAX};
+use crate::machine::StateMachine;
 
 /// How far the clock moves in one step.
 pub const STEP: Duration = Duration::from_millis(1);
@@ -69,9 +69,9 @@
 }
 
 /// The log and the nodes on it.
-pub struct Model<M: Machine> {
+pub struct Model<M: StateMachine> {
     nodes: Vec<Node<M>>,
-    log: Vec<Decided>,
+    log: Vec<DecidedEntry>,
     on_their_way: BTreeMap<(Duration, u64), Proposal>,
     order: u64,
     last_ids: BTreeMap<Peer, u64>,
@@ -83,7 +83,7 @@
     epoch_ms: u64,
 }
 
-impl<M: Machine> Model<M> {
+impl<M: StateMachine> Model<M> {
     /// No nodes yet; the true wall clock begins at `epoch_ms`.
     pub fn new(seed: u64, faults: Faults, epoch_ms: u64) -> Self {
         Self {
@@ -218,7 +218,7 @@
     }
 
     /// All that has been decided.
-    pub fn log(&self) -> &[Decided] {
+    pub fn log(&self) -> &[DecidedEntry] {
         &self.log
     }
 
@@ -285,9 +285,9 @@
             return;
         }
         *last = proposal.id;
-        let before = self.log.last().map_or(0, |d| d.stamp.0);
-        let stamp = Stamp(self.local(leader).wall_ms.max(before));
-        self.log.push(Decided { index: Index(self.log.len() as u64 + 1), stamp, proposal });
+        let before = self.log.last().map_or(0, |d| d.timestamp.0);
+        let timestamp = Timestamp(self.local(leader).wall_ms.max(before));
+        self.log.push(DecidedEntry { index: Index(self.log.len() as u64 + 1), timestamp, proposal });
     }
 
     fn learn(&mut self, i: usize) {
--- a/crates/consensus/src/model/tests.rs
+++ b/crates/consensus/src/model/tests.rs
@@ -10,11 +10,11 @@
     heard: Vec<(u64, String)>,
 }
 
-impl Machine for Crier {
+impl StateMachine for Crier {
     fn topic(&self) -> Topic {
         Topic::Policy
     }
-    fn apply(&mut self, _: Now, d: &Decided) {
+    fn apply(&mut self, _: Now, d: &DecidedEntry) {
         self.heard.push((d.index.0, d.proposal.by.to_string()));
     }
     fn snapshot(&self) -> Vec<u8> {
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -8,8 +8,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::chain::{Chain, Checkpoint, Machines};
-use crate::entry::{Decided, Index, Proposal, Topic, BODY_MAX};
+use crate::chain::{Chain, Checkpoint, MachineSnapshots};
+use crate::entry::{DecidedEntry, Index, Proposal, Topic, BODY_MAX};
 use crate::founding::{NoVote, Said};
 use crate::head::Item;
 use crate::learn::Learner;
@@ -120,8 +120,8 @@
     /// Up to where the voter's log was compared with what was learnt elsewhere.
     compared: u64,
     jump: bool,
-    decided: VecDeque<Decided>,
-    restore: Option<(Index, Machines)>,
+    decided: VecDeque<DecidedEntry>,
+    restore: Option<(Index, MachineSnapshots)>,
     next_id: u64,
     own: VecDeque<Own>,
     queue: VecDeque<Proposal>,
@@ -226,7 +226,7 @@
     }
 
     /// The next decided entry, in order. Nothing while a snapshot waits in [`Node::take_restore`].
-    pub fn take_decided(&mut self) -> Option<Decided> {
+    pub fn take_decided(&mut self) -> Option<DecidedEntry> {
         if self.restore.is_some() {
             return None;
         }
@@ -234,7 +234,7 @@
     }
 
     /// A snapshot that takes the place of all entries up to this index: this node was too far behind, or starts anew.
-    pub fn take_restore(&mut self) -> Option<(Index, Machines)> {
+    pub fn take_restore(&mut self) -> Option<(Index, MachineSnapshots)> {
         self.restore.take()
     }
 
@@ -253,7 +253,7 @@
     /// # Errors
     /// They are larger than [`crate::SNAPSHOT_MAX`] together: the log is not trimmed, and the leader will refuse more when it
     /// is full.
-    pub fn give_snapshot(&mut self, now: Now, at: Index, machines: Machines) -> Result<(), Refused> {
+    pub fn give_snapshot(&mut self, now: Now, at: Index, machines: MachineSnapshots) -> Result<(), Refused> {
         if self.wants_snapshot() != Some(at) {
             return Ok(());
         }
--- a/crates/consensus/testing/carried.rs
+++ b/crates/consensus/testing/carried.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use magpietally_consensus::check::{Record, What};
-use magpietally_consensus::{Decided, Index, Node, Ready, Settings, Topic, Write};
+use magpietally_consensus::{DecidedEntry, Index, Node, Ready, Settings, Topic, Write};
 use magpietally_transport::{Now, Outgoing, Peer, Room};
 
 /// What is on a disk, and whether there is space on it.
@@ -102,7 +102,7 @@
         }
     }
 
-    fn apply(&mut self, now: Now, decided: &Decided) {
+    fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         self.index = decided.index;
         let what = What::entry(decided);
         if let What::Entry { hash, .. } = &what {
--- a/crates/policy_change/src/lib.rs
+++ b/crates/policy_change/src/lib.rs
@@ -8,7 +8,7 @@
 //! an older one. Before that entry the change can be aborted at any step, which leaves the old version active.
 //!
 //! The document is opaque here: bytes, and a pure function that passes or refuses them. The room is pure ([`PolicyChange`]
-//! is a [`magpietally_consensus::Machine`]): time comes in, proposals go out.
+//! is a [`magpietally_consensus::StateMachine`]): time comes in, proposals go out.
 //!
 //! Central types: [`PolicyChange`], [`State`] (what the log says), [`Admission`] and [`Epoch`] (one request's version).
 
--- a/crates/policy_change/src/play.rs
+++ b/crates/policy_change/src/play.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use magpietally_consensus::model::{Clocks, Faults, Model, STEP};
-use magpietally_consensus::Machine;
+use magpietally_consensus::StateMachine;
 use magpietally_transport::{Name, Now, Peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/policy_change/src/room.rs
+++ b/crates/policy_change/src/room.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, HeldLease, Leases, Machine, SnapshotError, Topic};
+use magpietally_consensus::{DecidedEntry, HeldLease, Leases, SnapshotError, StateMachine, Topic};
 use magpietally_transport::{Now, Peer};
 
 use crate::entry::{Entry, Step, Version, DOCUMENT_MAX, EXPIRED_AT_ONCE, WHY_MAX};
@@ -367,12 +367,12 @@
     why[..end].to_owned()
 }
 
-impl Machine for PolicyChange {
+impl StateMachine for PolicyChange {
     fn topic(&self) -> Topic {
         Topic::Policy
     }
 
-    fn apply(&mut self, now: Now, decided: &Decided) {
+    fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         self.seen(now.boot);
         let Some(entry) = Entry::decode(&decided.proposal.body) else { return };
         let renewal = matches!(entry, Entry::Renew { .. });
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use magpietally_consensus::Machine;
+use magpietally_consensus::StateMachine;
 use magpietally_transport::{Name, Peer, Session};
 
 use crate::check::{check, Fault, Record, What};
@@ -233,7 +233,7 @@
 
 #[test]
 fn what_strangers_propose_breaks_no_bound_and_no_sum() {
-    use magpietally_consensus::{Decided, Index, Proposal, Stamp, Topic};
+    use magpietally_consensus::{DecidedEntry, Index, Proposal, Timestamp, Topic};
     use rand::{RngExt, SeedableRng};
     let mut rng = rand_pcg::Pcg64::seed_from_u64(13);
     let peer = |n: u64| Peer { name: Name::new("x").expect("a name"), session: Session(n) };
@@ -256,7 +256,7 @@
         let proposal = Proposal { topic: Topic::Quota, by: peer(1 + index % 7), id: index, body };
         q.apply(
             magpietally_transport::Now::at(S),
-            &Decided { index: Index(index), stamp: Stamp(0), proposal },
+            &DecidedEntry { index: Index(index), timestamp: Timestamp(0), proposal },
         );
         let sums = q.state().sums();
         assert!(sums.0 <= 1_000_000 && sums.1 <= 1_000_000, "{sums:?} at {index}");
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, HeldLease, Machine, SnapshotError, Topic};
+use magpietally_consensus::{DecidedEntry, HeldLease, SnapshotError, StateMachine, Topic};
 use magpietally_transport::{Now, Peer};
 
 use crate::bucket::{Bucket, Until};
@@ -533,12 +533,12 @@
     }
 }
 
-impl Machine for Quota {
+impl StateMachine for Quota {
     fn topic(&self) -> Topic {
         Topic::Quota
     }
 
-    fn apply(&mut self, now: Now, decided: &Decided) {
+    fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         let at = now.boot;
         let reserve = |q: &Self| q.state.sid(&q.me).and_then(|s| q.state.member(s)).map(|m| m.1);
         let (before, stamp) = (reserve(self), self.state.day().1);
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -293,7 +293,7 @@
 }
 
 impl State {
-    fn clone_if_end(&self, d: &magpietally_consensus::Decided) -> Option<State> {
+    fn clone_if_end(&self, d: &magpietally_consensus::DecidedEntry) -> Option<State> {
         matches!(Body::decode(&d.proposal.body), Some(Body::End(_))).then(|| self.clone())
     }
 }
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, Grant, Index, Leases};
+use magpietally_consensus::{DecidedEntry, Grant, Index, Leases};
 use magpietally_transport::Peer;
 use serde::{Deserialize, Serialize};
 
@@ -89,9 +89,9 @@
 }
 
 impl State {
-    pub(crate) fn apply(&mut self, now: Duration, decided: &Decided) -> Changed {
+    pub(crate) fn apply(&mut self, now: Duration, decided: &DecidedEntry) -> Changed {
         let c = &mut self.common;
-        c.stamp_ms = c.stamp_ms.max(decided.stamp.0);
+        c.stamp_ms = c.stamp_ms.max(decided.timestamp.0);
         let day = u32::try_from(c.stamp_ms / DAY_MS).unwrap_or(u32::MAX);
         if day > c.day {
             c.day = day;
@@ -115,7 +115,7 @@
         }
     }
 
-    fn report(&mut self, now: Duration, decided: &Decided, r: &Report) -> Changed {
+    fn report(&mut self, now: Duration, decided: &DecidedEntry, r: &Report) -> Changed {
         let peer = &decided.proposal.by;
         let ms = r.term_ms.max(r.reserve_ms);
         if ms > TERM_MAX_MS || r.term_ms > r.reserve_ms {
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use magpietally_config::file::read_plain;
-use magpietally_consensus::{check as log_check, Machine, Node, Topic, Write};
+use magpietally_consensus::{check as log_check, Node, StateMachine, Topic, Write};
 use magpietally_policy_change::{End, Outcome, Version, Why, DOCUMENT_MAX};
 use magpietally_store::disk::Folder;
 use magpietally_store::{Log, Store, StoreError};
@@ -223,7 +223,7 @@
     fn rooms(&mut self, now: Now) {
         let leading = self.log.leading();
         let rooms = &mut *self.shared.rooms();
-        let mut machines: [&mut dyn Machine; 2] = [&mut rooms.policy, &mut rooms.quota];
+        let mut machines: [&mut dyn StateMachine; 2] = [&mut rooms.policy, &mut rooms.quota];
         for machine in &mut machines {
             if machine.next_due().is_some_and(|due| due <= now.boot) {
                 machine.tick(now, leading);
