--- a/crates/addresses/src/exhaustive.rs
+++ b/crates/addresses/src/exhaustive.rs
@@ -104,7 +104,7 @@
     fn decide(&mut self, i: usize, body: &Body) {
         let index = Index(self.log.len() as u64 + 1);
         let (topic, by, id) = (Topic::Addresses, self.nodes[i].me.clone(), index.0);
-        let proposal = Proposal { topic, by, id, body: body.encode() };
+        let proposal = Proposal { topic, proposer: by, id, body: body.encode() };
         self.log.push(DecidedEntry { index, timestamp: Timestamp(0), proposal });
     }
 
--- a/crates/addresses/src/room.rs
+++ b/crates/addresses/src/room.rs
@@ -371,7 +371,7 @@
         }
         self.heard = now;
         let effect = self.state.apply(now, decided);
-        if let Some(seq) = effect.report.filter(|_| decided.proposal.by == self.me) {
+        if let Some(seq) = effect.report.filter(|_| decided.proposal.proposer == self.me) {
             self.granted(now, seq);
         }
         if self.planted != Planted::KeepsExclusive {
--- a/crates/addresses/src/state.rs
+++ b/crates/addresses/src/state.rs
@@ -194,7 +194,7 @@
 
     pub(crate) fn apply(&mut self, now: Duration, decided: &DecidedEntry) -> Effect {
         let Some(body) = Body::decode(&decided.proposal.body) else { return Effect::default() };
-        let by = &decided.proposal.by;
+        let by = &decided.proposal.proposer;
         let mut effect = Effect::default();
         match body {
             Body::Rules(version, rules) => {
--- a/crates/addresses/tests/common/mod.rs
+++ b/crates/addresses/tests/common/mod.rs
@@ -294,7 +294,7 @@
     fn observe(&mut self) {
         let now = Now { boot: self.model.now(), wall_ms: 0 };
         while let Some(decided) = self.model.log().get(self.observed) {
-            let by = &decided.proposal.by.name;
+            let by = &decided.proposal.proposer.name;
             let bytes = decided.proposal.body.len() as u64;
             self.observer.apply(now, decided);
             if let Some(i) = (0..self.of.len()).find(|i| name_of(*i, self.sites.len()) == by.as_str()) {
--- a/crates/consensus/src/check.rs
+++ b/crates/consensus/src/check.rs
@@ -56,11 +56,11 @@
         crc.update(&decided.index.0.to_le_bytes());
         crc.update(&decided.timestamp.0.to_le_bytes());
         crc.update(&[p.topic as u8]);
-        crc.update(p.by.name.as_str().as_bytes());
-        crc.update(&p.by.session.0.to_le_bytes());
+        crc.update(p.proposer.name.as_str().as_bytes());
+        crc.update(&p.proposer.session.0.to_le_bytes());
         crc.update(&p.id.to_le_bytes());
         crc.update(&p.body);
-        let by = (p.id > 0).then(|| (p.by.clone(), p.id));
+        let by = (p.id > 0).then(|| (p.proposer.clone(), p.id));
         Self::Entry { index: decided.index, hash: u64::from(crc.finalize()), by }
     }
 }
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -36,8 +36,8 @@
     /// Whose it is.
     pub topic: Topic,
     /// Who proposed it, at which start.
-    pub by: Peer,
-    /// The proposer's number for it, from 1, within its session. The log decides each (by, id) at most once, and none
+    pub proposer: Peer,
+    /// The proposer's number for it, from 1, within its session. The log decides each (proposer, id) at most once, and none
     /// whose id is not above the last decided one of the same session: proposals that overtake others displace them.
     pub id: u64,
     /// The room's own encoding, at most [`BODY_MAX`] bytes.
--- a/crates/consensus/src/head.rs
+++ b/crates/consensus/src/head.rs
@@ -32,7 +32,7 @@
 impl Item {
     /// About what it takes in memory and in a message, in bytes.
     pub fn size(&self) -> usize {
-        self.proposal.body.len() + self.proposal.by.name.as_str().len() + 40
+        self.proposal.body.len() + self.proposal.proposer.name.as_str().len() + 40
     }
 }
 
@@ -59,7 +59,7 @@
         self.index.0 += 1;
         self.timestamp = self.timestamp.max(Timestamp(item.wall_ms));
         self.hash = chain(&self.hash, item);
-        let (by, id) = (&item.proposal.by, item.proposal.id);
+        let (by, id) = (&item.proposal.proposer, item.proposal.id);
         let anew = self.last.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
         let proposal = if anew && id > 0 {
             if self.last.len() >= NAMES_MAX && !self.last.contains_key(&by.name) {
@@ -69,7 +69,7 @@
             self.last.insert(by.name.clone(), Last { session: by.session, id, at: self.index });
             item.proposal.clone()
         } else {
-            Proposal { topic: Topic::Voters, by: Peer::default_of_nobody(), id: 0, body: Vec::new() }
+            Proposal { topic: Topic::Voters, proposer: Peer::default_of_nobody(), id: 0, body: Vec::new() }
         };
         DecidedEntry { index: self.index, timestamp: self.timestamp, proposal }
     }
@@ -97,9 +97,9 @@
     sha.update(item.wall_ms.to_le_bytes());
     let p = &item.proposal;
     sha.update([p.topic as u8]);
-    sha.update((p.by.name.as_str().len() as u64).to_le_bytes());
-    sha.update(p.by.name.as_str().as_bytes());
-    sha.update(p.by.session.0.to_le_bytes());
+    sha.update((p.proposer.name.as_str().len() as u64).to_le_bytes());
+    sha.update(p.proposer.name.as_str().as_bytes());
+    sha.update(p.proposer.session.0.to_le_bytes());
     sha.update(p.id.to_le_bytes());
     sha.update(&p.body);
     let mut hash = Hash::default();
--- a/crates/consensus/src/head/tests.rs
+++ b/crates/consensus/src/head/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 pub(crate) fn item(name: &str, session: u64, id: u64) -> Item {
-    let by = Peer { name: Name::new(name).expect("a name"), session: Session(session) };
-    Item { wall_ms: 5, proposal: Proposal { topic: Topic::Policy, by, id, body: vec![1] } }
+    let proposer = Peer { name: Name::new(name).expect("a name"), session: Session(session) };
+    Item { wall_ms: 5, proposal: Proposal { topic: Topic::Policy, proposer, id, body: vec![1] } }
 }
 
 #[test]
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -280,7 +280,7 @@
 
     fn decide(&mut self, proposal: Proposal) {
         let Some(leader) = self.leader.filter(|&l| self.runs(l) && !self.nodes[l].cut) else { return };
-        let last = self.last_ids.entry(proposal.by.clone()).or_default();
+        let last = self.last_ids.entry(proposal.proposer.clone()).or_default();
         if proposal.id <= *last {
             return;
         }
@@ -329,7 +329,8 @@
             let Some(machine) = node.machine.as_mut() else { return };
             let Some(body) = machine.take_proposal() else { return };
             assert!(body.len() <= BODY_MAX, "a proposal of {} bytes", body.len());
-            let proposal = Proposal { topic: machine.topic(), by: node.peer.clone(), id: node.next_id, body };
+            let proposal =
+                Proposal { topic: machine.topic(), proposer: node.peer.clone(), id: node.next_id, body };
             node.next_id += 1;
             if node.cut || self.rng.random_bool(self.faults.lost) {
                 continue;
--- a/crates/consensus/src/model/tests.rs
+++ b/crates/consensus/src/model/tests.rs
@@ -15,7 +15,7 @@
         Topic::Policy
     }
     fn apply(&mut self, _: Now, d: &DecidedEntry) {
-        self.heard.push((d.index.0, d.proposal.by.to_string()));
+        self.heard.push((d.index.0, d.proposal.proposer.to_string()));
     }
     fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.heard).expect("plain values")
@@ -58,10 +58,10 @@
         model.lead(None);
         model.run(Duration::from_secs(1), |_| {});
         let want: Vec<(u64, String)> =
-            model.log().iter().map(|d| (d.index.0, d.proposal.by.to_string())).collect();
+            model.log().iter().map(|d| (d.index.0, d.proposal.proposer.to_string())).collect();
         assert!(want.len() > 20, "seed {seed}: {} entries", want.len());
         let ids: std::collections::BTreeSet<(Peer, u64)> =
-            model.log().iter().map(|d| (d.proposal.by.clone(), d.proposal.id)).collect();
+            model.log().iter().map(|d| (d.proposal.proposer.clone(), d.proposal.id)).collect();
         assert_eq!(ids.len(), want.len(), "seed {seed}: a proposal was decided twice");
         for i in 0..4 {
             let (machine, _) = model.machine(i).expect("running");
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -218,7 +218,7 @@
         }
         let id = self.next_id;
         self.next_id += 1;
-        let proposal = Proposal { topic, by: self.me.clone(), id, body };
+        let proposal = Proposal { topic, proposer: self.me.clone(), id, body };
         self.own.push_back(Own { proposal: proposal.clone(), tries: 1, at: now.boot + AGAIN });
         self.route(now, vec![proposal], 0, false);
         self.pump(now);
@@ -464,7 +464,7 @@
     /// Takes the next decided item.
     pub(crate) fn learn(&mut self, item: Item) {
         let decided = self.chain.apply(item, (self.settings.keep_entries, self.settings.keep_bytes));
-        if decided.proposal.by == self.me {
+        if decided.proposal.proposer == self.me {
             let id = decided.proposal.id;
             self.own.retain(|o| o.proposal.id > id);
         }
@@ -489,7 +489,7 @@
         self.flush_at = None;
         while let Some(proposal) = self.queue.pop_front() {
             self.queue_bytes -= proposal.body.len() + 128;
-            if self.chain.head.last_of(&proposal.by) >= proposal.id {
+            if self.chain.head.last_of(&proposal.proposer) >= proposal.id {
                 continue;
             }
             let room = self.voter.as_ref().is_some_and(Voter::has_room) && self.leading();
@@ -533,9 +533,9 @@
 
     fn on_proposals(&mut self, now: Now, from: &Peer, hops: u8, mut proposals: Vec<Proposal>) {
         let before = proposals.len();
-        proposals.retain(|p| p.id > 0 && p.body.len() <= BODY_MAX && !p.by.name.as_str().is_empty());
+        proposals.retain(|p| p.id > 0 && p.body.len() <= BODY_MAX && !p.proposer.name.as_str().is_empty());
         // What comes from its proposer itself is its own.
-        proposals.retain(|p| hops > 0 || p.by == *from);
+        proposals.retain(|p| hops > 0 || p.proposer == *from);
         self.dropped += (before - proposals.len()) as u64;
         if self.voter.is_none() || !self.hears() || hops > HOPS_MAX || proposals.is_empty() {
             self.dropped += 1;
--- a/crates/consensus/testing/carried.rs
+++ b/crates/consensus/testing/carried.rs
@@ -109,7 +109,7 @@
             self.digest = self.digest.rotate_left(7).wrapping_add(*hash);
         }
         self.see(now, what);
-        if decided.proposal.by == self.me {
+        if decided.proposal.proposer == self.me {
             if let Some(asked_us) = self.reads.remove(&decided.proposal.id) {
                 self.see(now, What::Read { asked_us, index: self.index });
             }
--- a/crates/policy_change/src/play.rs
+++ b/crates/policy_change/src/play.rs
@@ -295,7 +295,7 @@
         let log = self.model.log().to_vec();
         for decided in log {
             let Some(entry) = Entry::decode(&decided.proposal.body) else { continue };
-            let by = &decided.proposal.by;
+            let by = &decided.proposal.proposer;
             if let (Entry::Refuse { version, .. }, Some(c)) = (&entry, &state.change) {
                 if c.version == *version && c.step == Step::Voting && state.members.contains_key(by) {
                     let what = What::Refused { version: version.0 };
--- a/crates/policy_change/src/properties.rs
+++ b/crates/policy_change/src/properties.rs
@@ -154,7 +154,7 @@
     play.run(300 * MS);
     let decided = |p: &mut Play| {
         let unlearnt = &p.model.log()[p.model.learnt(3)..];
-        unlearnt.iter().any(|d| d.proposal.by.name.as_str() == "n3")
+        unlearnt.iter().any(|d| d.proposal.proposer.name.as_str() == "n3")
     };
     play.until(2000 * MS, decided).expect("it asks for its lease to go on");
     play.pause(3, true);
--- a/crates/policy_change/src/room.rs
+++ b/crates/policy_change/src/room.rs
@@ -377,7 +377,7 @@
         let Some(entry) = Entry::decode(&decided.proposal.body) else { return };
         let renewal = matches!(entry, Entry::Renew { .. });
         let was_active = self.state.active;
-        for effect in self.state.apply(decided.index, &decided.proposal.by, entry) {
+        for effect in self.state.apply(decided.index, &decided.proposal.proposer, entry) {
             match effect {
                 Effect::Granted(peer, grant, ask) => {
                     if peer == self.me {
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -253,7 +253,7 @@
                 crate::Body::Report(report).encode()
             }
         };
-        let proposal = Proposal { topic: Topic::Quota, by: peer(1 + index % 7), id: index, body };
+        let proposal = Proposal { topic: Topic::Quota, proposer: peer(1 + index % 7), id: index, body };
         q.apply(
             magpietally_transport::Now::at(S),
             &DecidedEntry { index: Index(index), timestamp: Timestamp(0), proposal },
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -116,7 +116,7 @@
     }
 
     fn report(&mut self, now: Duration, decided: &DecidedEntry, r: &Report) -> Changed {
-        let peer = &decided.proposal.by;
+        let peer = &decided.proposal.proposer;
         let ms = r.term_ms.max(r.reserve_ms);
         if ms > TERM_MAX_MS || r.term_ms > r.reserve_ms {
             return Changed::default();
