--- a/crates/consensus/examples/measure.rs
+++ b/crates/consensus/examples/measure.rs
@@ -37,7 +37,7 @@
     for i in 0..nodes {
         start(&mut world, &names, i);
     }
-    let leads = |w: &mut World<Carried>| (0..VOTERS).any(|i| w.room(i).is_some_and(|r| r.node.leading()));
+    let leads = |w: &mut World<Carried>| (0..VOTERS).any(|i| w.room(i).is_some_and(|r| r.node.is_leader()));
     world.run_until(Duration::from_secs(20), leads).expect("a leader");
     world.run(Duration::from_secs(5));
     (world, names)
@@ -80,7 +80,7 @@
         world.run(Duration::from_secs(1) / per_s.max(1) as u32);
     }
     let sent = |i: usize| (world.counts(i).sent_bytes - before[i]) / seconds;
-    let leads = |i: &usize| world.room(*i).is_some_and(|r| r.node.leading());
+    let leads = |i: &usize| world.room(*i).is_some_and(|r| r.node.is_leader());
     let leader = (0..VOTERS).find(leads).expect("a leader");
     let mean = |of: Vec<usize>| of.iter().map(|i| sent(*i)).sum::<u64>() / of.len().max(1) as u64;
     [sent(leader), mean((0..VOTERS).filter(|i| *i != leader).collect()), mean((VOTERS..nodes).collect())]
--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -15,7 +15,7 @@
 
 /// Why a voter does not vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoVote {
+pub enum NoVoteReason {
     /// This node is not among the voters: it learns.
     Learner,
     /// Not all voters have been seen at once yet: the fleet is not founded.
@@ -106,17 +106,17 @@
     }
 
     /// Why it does not vote, if so.
-    pub fn why_not(&self) -> Option<NoVote> {
+    pub fn why_not(&self) -> Option<NoVoteReason> {
         match self.own.stage {
             Stage::Founded => None,
             Stage::Fresh => {
                 let lost =
                     |s: &Said| s.stage != Stage::Fresh && s.set.get(self.me) != Some(&self.own.identity);
-                Some(if self.others().any(lost) { NoVote::LostDisk } else { NoVote::Founding })
+                Some(if self.others().any(lost) { NoVoteReason::LostDisk } else { NoVoteReason::Founding })
             }
             Stage::Locked => {
                 let other = |s: &Said| s.stage != Stage::Fresh && s.set != self.own.set;
-                Some(if self.others().any(other) { NoVote::Torn } else { NoVote::Founding })
+                Some(if self.others().any(other) { NoVoteReason::Torn } else { NoVoteReason::Founding })
             }
         }
     }
--- a/crates/consensus/src/founding/tests.rs
+++ b/crates/consensus/src/founding/tests.rs
@@ -58,5 +58,5 @@
 fn a_voter_with_another_disk_than_the_founding_one_knows_that_it_must_not_vote() {
     let mut back = fresh(1, 99);
     back.hear(0, Said { identity: 10, stage: Stage::Founded, set: vec![10, 11, 12] });
-    assert_eq!(back.why_not(), Some(NoVote::LostDisk));
+    assert_eq!(back.why_not(), Some(NoVoteReason::LostDisk));
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -36,12 +36,12 @@
 
 pub use chain::{MachineSnapshots, SNAPSHOT_MAX};
 pub use entry::{DecidedEntry, Index, Proposal, Timestamp, Topic, BODY_MAX};
-pub use founding::NoVote;
+pub use founding::NoVoteReason;
 pub use head::{Hash, NAMES_MAX};
 pub use learn::PEERS_MAX;
 pub use lease::{Grant, HeldLease, Leases, DRIFT, SLACK};
 pub use machine::{SnapshotError, StateMachine};
-pub use node::{Node, OpenError, Refused, Status};
+pub use node::{Node, OpenError, ProposeError, Status};
 pub use ready::{Ready, StoredError, Write};
 pub use settings::{Settings, SettingsError, VOTERS};
 pub use wire::MESSAGE_MAX;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -10,7 +10,7 @@
 
 use crate::chain::{Chain, Checkpoint, MachineSnapshots};
 use crate::entry::{DecidedEntry, Index, Proposal, Topic, BODY_MAX};
-use crate::founding::{NoVote, Said};
+use crate::founding::{NoVoteReason, Said};
 use crate::head::Item;
 use crate::learn::Learner;
 use crate::ready::{Ready, Stored, StoredError, Writes, WAITING_MAX};
@@ -41,26 +41,26 @@
 
 /// Why a proposal was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ProposeError {
     /// Larger than [`BODY_MAX`].
     TooLarge(usize),
     /// So many of this node's proposals wait already.
     Full(usize),
-    /// The log is broken here ([`Status::broken`]).
-    Broken,
+    /// The log is broken here ([`Status::diverged_at`]).
+    Diverged,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLarge(n) => write!(f, "a proposal of {n} bytes, at most {BODY_MAX} are taken"),
             Self::Full(n) => write!(f, "{n} proposals of this node wait already"),
-            Self::Broken => write!(f, "this node's log does not fit the others'"),
+            Self::Diverged => write!(f, "this node's log does not fit the others'"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ProposeError {}
 
 /// Why a node could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -92,11 +92,11 @@
     /// The last that it knows to be decided anywhere.
     pub known: Index,
     /// Why it does not vote, where it does not.
-    pub no_vote: Option<NoVote>,
+    pub no_vote: Option<NoVoteReason>,
     /// What its store last said when it refused a write.
-    pub refused: Option<String>,
+    pub write_error: Option<String>,
     /// The index at which its log differs from another node's: it uses the log no further.
-    pub broken: Option<Index>,
+    pub diverged_at: Option<Index>,
     /// Messages that could not be read or were out of place.
     pub dropped: u64,
 }
@@ -205,16 +205,16 @@
     /// entry comes out of [`Node::take_decided`], all that was decided before the call has come out before it.
     ///
     /// # Errors
-    /// See [`Refused`].
-    pub fn propose(&mut self, now: Now, topic: Topic, body: Vec<u8>) -> Result<u64, Refused> {
+    /// See [`ProposeError`].
+    pub fn propose(&mut self, now: Now, topic: Topic, body: Vec<u8>) -> Result<u64, ProposeError> {
         if self.broken.is_some() {
-            return Err(Refused::Broken);
+            return Err(ProposeError::Diverged);
         }
         if body.len() > BODY_MAX {
-            return Err(Refused::TooLarge(body.len()));
+            return Err(ProposeError::TooLarge(body.len()));
         }
         if self.own.len() >= OWN_MAX {
-            return Err(Refused::Full(self.own.len()));
+            return Err(ProposeError::Full(self.own.len()));
         }
         let id = self.next_id;
         self.next_id += 1;
@@ -239,7 +239,7 @@
     }
 
     /// The entry whose machines' snapshots are wanted now; only when all decided entries were taken.
-    pub fn wants_snapshot(&self) -> Option<Index> {
+    pub fn snapshot_due(&self) -> Option<Index> {
         let due = self.jump
             || self.chain.since.0 >= self.settings.checkpoint_entries
             || (self.chain.since.1 >= CHECKPOINT_BYTES && self.chain.since.0 > 0);
@@ -248,18 +248,23 @@
             .then_some(self.chain.head.index)
     }
 
-    /// The machines' snapshots at the index that [`Node::wants_snapshot`] named.
+    /// The machines' snapshots at the index that [`Node::snapshot_due`] named.
     ///
     /// # Errors
     /// They are larger than [`crate::SNAPSHOT_MAX`] together: the log is not trimmed, and the leader will refuse more when it
     /// is full.
-    pub fn give_snapshot(&mut self, now: Now, at: Index, machines: MachineSnapshots) -> Result<(), Refused> {
-        if self.wants_snapshot() != Some(at) {
+    pub fn provide_snapshot(
+        &mut self,
+        now: Now,
+        at: Index,
+        machines: MachineSnapshots,
+    ) -> Result<(), ProposeError> {
+        if self.snapshot_due() != Some(at) {
             return Ok(());
         }
         let size = machines.iter().map(|(_, m)| m.len()).sum();
         let checkpoint = Checkpoint { head: self.chain.head.clone(), machines };
-        let bytes = checkpoint.encode().ok_or(Refused::TooLarge(size))?;
+        let bytes = checkpoint.encode().ok_or(ProposeError::TooLarge(size))?;
         self.pump(now);
         if self.chain.head.index != at {
             return Ok(());
@@ -288,7 +293,7 @@
     }
 
     /// A write outlives a loss of power.
-    pub fn durable(&mut self, now: Now, number: u64) {
+    pub fn write_completed(&mut self, now: Now, number: u64) {
         self.refused = None;
         let held = self.writes.durable(number);
         held.into_iter().for_each(|m| self.push_out(m));
@@ -297,23 +302,23 @@
 
     /// A write was refused (no space, say). Until it is durable the voter hears and says nothing, so that the others go on
     /// without it; [`Node::take_ready`] offers the write again after a second.
-    pub fn refused(&mut self, now: Now, number: u64, why: String) {
+    pub fn write_failed(&mut self, now: Now, number: u64, error: String) {
         if self.writes.refused(number) {
-            self.refused = Some((why, now.boot + RETRY));
+            self.refused = Some((error, now.boot + RETRY));
         }
     }
 
     /// Whether this node leads as far as it knows; several may think so.
-    pub fn leading(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.hears() && self.broken.is_none() && self.voter.as_ref().is_some_and(Voter::leads)
     }
 
     /// How it stands.
     pub fn status(&self) -> Status {
         let why = || match &self.voter {
-            _ if self.broken.is_some() => Some(NoVote::Broken),
-            None => Some(NoVote::Learner),
-            Some(_) if self.refused.is_some() => Some(NoVote::CannotWrite),
+            _ if self.broken.is_some() => Some(NoVoteReason::Broken),
+            None => Some(NoVoteReason::Learner),
+            Some(_) if self.refused.is_some() => Some(NoVoteReason::CannotWrite),
             Some(voter) => voter.why_not(),
         };
         Status {
@@ -321,8 +326,8 @@
             decided: self.chain.head.index,
             known: Index(self.learner.known.max(self.chain.end())),
             no_vote: why(),
-            refused: self.refused.as_ref().map(|(why, _)| why.clone()),
-            broken: self.broken,
+            write_error: self.refused.as_ref().map(|(why, _)| why.clone()),
+            diverged_at: self.broken,
             dropped: self.dropped + self.voter.as_ref().map_or(0, |v| v.dropped),
         }
     }
@@ -351,7 +356,7 @@
 
     /// Sends proposals to where they can be decided: to the leader, or to any voter where none is known or `anyhow`.
     fn route(&mut self, now: Now, proposals: Vec<Proposal>, hops: u8, anyhow: bool) {
-        if self.leading() {
+        if self.is_leader() {
             for p in proposals {
                 let size = p.body.len() + 128;
                 if self.queue.len() >= QUEUE_MAX || self.queue_bytes + size > QUEUE_BYTES {
@@ -492,9 +497,9 @@
             if self.chain.head.last_of(&proposal.proposer) >= proposal.id {
                 continue;
             }
-            let room = self.voter.as_ref().is_some_and(Voter::has_room) && self.leading();
+            let room = self.voter.as_ref().is_some_and(Voter::has_room) && self.is_leader();
             let Some(voter) = self.voter.as_mut().filter(|_| room) else {
-                if self.leading() {
+                if self.is_leader() {
                     self.queue_bytes += proposal.body.len() + 128;
                     self.queue.push_front(proposal);
                     self.flush_at = Some(now.boot + self.settings.batch);
@@ -539,7 +544,7 @@
         self.dropped += (before - proposals.len()) as u64;
         if self.voter.is_none() || !self.hears() || hops > HOPS_MAX || proposals.is_empty() {
             self.dropped += 1;
-        } else if self.leading() || hops < HOPS_MAX {
+        } else if self.is_leader() || hops < HOPS_MAX {
             self.route(now, proposals, hops + 1, false);
         }
     }
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -16,7 +16,7 @@
 /// Writes that may wait for the carrier; past that the voter hears nothing until it catches up.
 pub(crate) const WAITING_MAX: usize = 64;
 
-/// What a carrier has to make durable. What depends on it is sent only after [`crate::Node::durable`].
+/// What a carrier has to make durable. What depends on it is sent only after [`crate::Node::write_completed`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ready {
     /// To be said back.
--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -112,7 +112,7 @@
         let voters = self.plan.voters;
         let all = |w: &mut World<Carried>| {
             (0..voters).all(|i| w.room(i).is_some_and(|r| r.node.status().no_vote.is_none()))
-                && (0..voters).any(|i| w.room(i).is_some_and(|r| r.node.leading()))
+                && (0..voters).any(|i| w.room(i).is_some_and(|r| r.node.is_leader()))
         };
         assert!(self.world.run_until(TOGETHER, all).is_some(), "seed {}: founded", self.seed);
     }
@@ -157,7 +157,7 @@
         if let Some(first) = broken.first() {
             return Err(format!("seed {}: {first}", self.seed));
         }
-        if let Some((_, _, status)) = at.iter().find(|(_, _, s)| s.broken.is_some()) {
+        if let Some((_, _, status)) = at.iter().find(|(_, _, s)| s.diverged_at.is_some()) {
             return Err(format!(
                 "seed {}: no two nodes decide different entries at one index: {status:?}",
                 self.seed
--- a/crates/consensus/src/sim/stories.rs
+++ b/crates/consensus/src/sim/stories.rs
@@ -1,7 +1,7 @@
 //! Single failures, each with what is noticed and what holds.
 
 use super::*;
-use crate::founding::NoVote;
+use crate::founding::NoVoteReason;
 
 fn quiet(seed: u64, voters: usize, nodes: usize) -> Fleet {
     let plan = Plan { voters, nodes, checkpoint: 16, ..Plan::default() };
@@ -12,11 +12,11 @@
 
 impl Fleet {
     fn leader(&self) -> usize {
-        let leads = |i: &usize| self.world.room(*i).is_some_and(|r| r.node.leading());
+        let leads = |i: &usize| self.world.room(*i).is_some_and(|r| r.node.is_leader());
         (0..self.plan.voters).find(leads).expect("a leader")
     }
 
-    fn no_vote(&self, i: usize) -> Option<NoVote> {
+    fn no_vote(&self, i: usize) -> Option<NoVoteReason> {
         self.world.room(i).expect("it runs").node.status().no_vote
     }
 
@@ -102,7 +102,7 @@
     fleet.lose_disk(lost);
     fleet.start(lost);
     fleet.world.run(3000 * MS);
-    assert_eq!(fleet.no_vote(lost), Some(NoVote::LostDisk));
+    assert_eq!(fleet.no_vote(lost), Some(NoVoteReason::LostDisk));
     assert_eq!(fleet.index(lost), fleet.index(3), "it learns all");
     // With one more voter away there is no majority of disks: what is proposed now must not be decided.
     let third = (0..3).find(|i| *i != lost && *i != fleet.leader()).expect("a third");
@@ -120,9 +120,9 @@
     fleet.disks[leader].lock().expect("a disk").full = true;
     fleet.propose(3, vec![1]);
     fleet.world.run(100 * MS);
-    assert_eq!(fleet.no_vote(leader), Some(NoVote::CannotWrite));
+    assert_eq!(fleet.no_vote(leader), Some(NoVoteReason::CannotWrite));
     let status = fleet.world.room(leader).expect("it runs").node.status();
-    assert_eq!(status.refused.as_deref(), Some("no space left"));
+    assert_eq!(status.write_error.as_deref(), Some("no space left"));
     assert!(fleet.decides(3, Duration::from_secs(10)).is_some(), "the others go on");
     assert_ne!(fleet.leader(), leader);
     fleet.disks[leader].lock().expect("a disk").full = false;
@@ -190,7 +190,7 @@
     };
     fleet.world.act(3, |room, now| magpietally_transport::Room::on_message(room, now, &from, &bytes));
     let status = fleet.world.room(3).expect("it runs").node.status();
-    assert_eq!((status.broken, status.no_vote), (Some(index), Some(NoVote::Broken)));
+    assert_eq!((status.diverged_at, status.no_vote), (Some(index), Some(NoVoteReason::Broken)));
     assert!(!fleet.propose(3, vec![1]), "it takes no proposal");
 }
 
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -10,7 +10,7 @@
 use omnipaxos::util::{LogSync, NodeId};
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::founding::{Founding, NoVote, Said};
+use crate::founding::{Founding, NoVoteReason, Said};
 use crate::head::Item;
 use crate::storage::{Disk, Op, Standing, Votes};
 use crate::wire::{Stage, Wire};
@@ -112,9 +112,9 @@
         &self.disk
     }
 
-    pub fn why_not(&self) -> Option<NoVote> {
+    pub fn why_not(&self) -> Option<NoVoteReason> {
         if self.disk.lock().broken.is_some() {
-            return Some(NoVote::Broken);
+            return Some(NoVoteReason::Broken);
         }
         self.founding.why_not()
     }
@@ -171,7 +171,7 @@
 
     /// One beat; whether the log has to be replaced by what this node has learnt, `learnt` being its end.
     pub fn tick(&mut self, now: Duration, learnt: u64, every: Duration) -> bool {
-        if self.why_not() == Some(NoVote::Broken) {
+        if self.why_not() == Some(NoVoteReason::Broken) {
             return false;
         }
         if self.said_at.is_none_or(|at| now >= at + every) && self.founding.own.stage != Stage::Founded {
--- a/crates/consensus/testing/carried.rs
+++ b/crates/consensus/testing/carried.rs
@@ -123,10 +123,10 @@
                 if let (Some((_, ready)), Some(disk)) = (self.pending.take(), &self.disk) {
                     let mut disk = disk.lock().expect("a disk");
                     if disk.full {
-                        self.node.refused(now, ready.number, "no space left".to_owned());
+                        self.node.write_failed(now, ready.number, "no space left".to_owned());
                     } else {
                         disk.write(&ready.write);
-                        self.node.durable(now, ready.number);
+                        self.node.write_completed(now, ready.number);
                     }
                     still = false;
                 }
@@ -149,9 +149,9 @@
                 self.apply(now, &decided);
                 still = false;
             }
-            if let Some(at) = self.node.wants_snapshot() {
+            if let Some(at) = self.node.snapshot_due() {
                 let machines = vec![(Topic::Policy, self.digest.to_le_bytes().to_vec())];
-                self.node.give_snapshot(now, at, machines).expect("a small snapshot");
+                self.node.provide_snapshot(now, at, machines).expect("a small snapshot");
                 still = false;
             }
             if still {
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -142,14 +142,14 @@
                 }
             };
             match written {
-                Ok(()) => self.log.durable(now, ready.number),
+                Ok(()) => self.log.write_completed(now, ready.number),
                 Err(error) => {
                     tracing::error!(target: "fleet", "the store refuses: {error}");
                     if matches!(error, StoreError::Doubted(_)) {
                         self.doubt = Some(error.to_string());
                         return;
                     }
-                    self.log.refused(now, ready.number, error.to_string());
+                    self.log.write_failed(now, ready.number, error.to_string());
                     return;
                 }
             }
@@ -204,10 +204,10 @@
                 Topic::Voters | Topic::Addresses => {}
             }
         }
-        if let Some(index) = self.log.wants_snapshot() {
+        if let Some(index) = self.log.snapshot_due() {
             let machines =
                 vec![(Topic::Policy, rooms.policy.snapshot()), (Topic::Quota, rooms.quota.snapshot())];
-            if let Err(error) = self.log.give_snapshot(now, index, machines) {
+            if let Err(error) = self.log.provide_snapshot(now, index, machines) {
                 tracing::error!(target: "fleet", "a snapshot at {}: {error}", index.0);
             }
         }
@@ -221,7 +221,7 @@
 
     /// Lets the rooms do what is due, and proposes what they want.
     fn rooms(&mut self, now: Now) {
-        let leading = self.log.leading();
+        let leading = self.log.is_leader();
         let rooms = &mut *self.shared.rooms();
         let mut machines: [&mut dyn StateMachine; 2] = [&mut rooms.policy, &mut rooms.quota];
         for machine in &mut machines {
