--- a/crates/consensus/src/check.rs
+++ b/crates/consensus/src/check.rs
@@ -19,12 +19,12 @@
     /// When, by the checker's clock, in microseconds.
     pub at_us: u64,
     /// What.
-    pub what: What,
+    pub what: Observation,
 }
 
 /// What was seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Observation {
     /// An entry came out of the log.
     Entry {
         /// At which index.
@@ -48,7 +48,7 @@
     },
 }
 
-impl What {
+impl Observation {
     /// An entry's record.
     pub fn entry(decided: &DecidedEntry) -> Self {
         let p = &decided.proposal;
@@ -67,7 +67,7 @@
 
 /// A rule that was broken, by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Violation {
     /// Two nodes decided different entries at one index.
     TwoEntries {
         /// Where.
@@ -113,7 +113,7 @@
     },
 }
 
-impl Broken {
+impl Violation {
     /// The rule's name.
     pub fn rule(&self) -> &'static str {
         match self {
@@ -126,14 +126,14 @@
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {self:?}", self.rule())
     }
 }
 
 /// Every rule that the history breaks, each at its first place.
-pub fn check(history: &[Record]) -> Vec<Broken> {
+pub fn check(history: &[Record]) -> Vec<Violation> {
     let mut broken = Vec::new();
     entries(history, &mut broken);
     order(history, &mut broken);
@@ -143,53 +143,53 @@
     broken
 }
 
-fn entries(history: &[Record], broken: &mut Vec<Broken>) {
+fn entries(history: &[Record], broken: &mut Vec<Violation>) {
     let mut first: BTreeMap<Index, (u64, &Peer)> = BTreeMap::new();
     let mut own: BTreeMap<(&str, Index), u64> = BTreeMap::new();
     let mut proposals: BTreeMap<(&str, u64, u64), Index> = BTreeMap::new();
     for Record { node, what, .. } in history {
-        let What::Entry { index, hash, by } = what else { continue };
+        let Observation::Entry { index, hash, by } = what else { continue };
         let mine = *own.entry((node.name.as_str(), *index)).or_insert(*hash);
         if mine != *hash {
-            broken.push(Broken::Undone { index: *index, node: node.clone() });
+            broken.push(Violation::Undone { index: *index, node: node.clone() });
             continue;
         }
         let (theirs, one) = *first.entry(*index).or_insert((*hash, node));
         if theirs != *hash {
-            broken.push(Broken::TwoEntries { index: *index, one: one.clone(), other: node.clone() });
+            broken.push(Violation::TwoEntries { index: *index, one: one.clone(), other: node.clone() });
         }
         if let Some((by, id)) = by {
             let at = *proposals.entry((by.name.as_str(), by.session.0, *id)).or_insert(*index);
             if at != *index {
-                broken.push(Broken::Twice { proposal: (by.clone(), *id), first: at, again: *index });
+                broken.push(Violation::Twice { proposal: (by.clone(), *id), first: at, again: *index });
             }
         }
     }
 }
 
-fn order(history: &[Record], broken: &mut Vec<Broken>) {
+fn order(history: &[Record], broken: &mut Vec<Violation>) {
     let mut last: BTreeMap<(&str, u64), Index> = BTreeMap::new();
     for Record { node, what, .. } in history {
         let last = last.entry((node.name.as_str(), node.session.0)).or_default();
         let (came, right) = match what {
-            What::Entry { index, .. } => (*index, index.0 == last.0 + 1),
-            What::Restored { index } => (*index, index > last),
-            What::Read { .. } => continue,
+            Observation::Entry { index, .. } => (*index, index.0 == last.0 + 1),
+            Observation::Restored { index } => (*index, index > last),
+            Observation::Read { .. } => continue,
         };
         if !right {
-            broken.push(Broken::Order { node: node.clone(), before: *last, came });
+            broken.push(Violation::Order { node: node.clone(), before: *last, came });
         }
         *last = came;
     }
 }
 
-fn reads(history: &[Record], broken: &mut Vec<Broken>) {
+fn reads(history: &[Record], broken: &mut Vec<Violation>) {
     // The greatest index that had come out anywhere, by time.
     let mut out: Vec<(u64, Index)> = history
         .iter()
         .filter_map(|r| match r.what {
-            What::Entry { index, .. } | What::Restored { index } => Some((r.at_us, index)),
-            What::Read { .. } => None,
+            Observation::Entry { index, .. } | Observation::Restored { index } => Some((r.at_us, index)),
+            Observation::Read { .. } => None,
         })
         .collect();
     out.sort_unstable();
@@ -199,11 +199,11 @@
         *index = most;
     }
     for Record { node, what, .. } in history {
-        let What::Read { asked_us, index: saw } = what else { continue };
+        let Observation::Read { asked_us, index: saw } = what else { continue };
         let before = out.partition_point(|(at, _)| at < asked_us);
         let decided = before.checked_sub(1).map_or(Index(0), |i| out[i].1);
         if *saw < decided {
-            broken.push(Broken::Stale { node: node.clone(), saw: *saw, decided });
+            broken.push(Violation::Stale { node: node.clone(), saw: *saw, decided });
         }
     }
 }
--- a/crates/consensus/src/check/tests.rs
+++ b/crates/consensus/src/check/tests.rs
@@ -7,27 +7,27 @@
 
 fn saw(name: &str, session: u64, at_us: u64, index: u64, hash: u64) -> Record {
     let by = Some((peer("p", 1), hash));
-    Record { node: peer(name, session), at_us, what: What::Entry { index: Index(index), hash, by } }
+    Record { node: peer(name, session), at_us, what: Observation::Entry { index: Index(index), hash, by } }
 }
 
 fn rules(history: &[Record]) -> Vec<&'static str> {
-    check(history).iter().map(Broken::rule).collect()
+    check(history).iter().map(Violation::rule).collect()
 }
 
 #[test]
 fn a_sound_history_breaks_no_rule() {
     let mut h = vec![saw("a", 1, 1, 1, 10), saw("a", 1, 2, 2, 20), saw("b", 1, 9, 1, 10)];
     h.push(saw("a", 2, 10, 1, 10));
-    h.push(Record { node: peer("b", 2), at_us: 11, what: What::Restored { index: Index(2) } });
+    h.push(Record { node: peer("b", 2), at_us: 11, what: Observation::Restored { index: Index(2) } });
     h.push(saw("b", 2, 12, 3, 30));
-    h.push(Record { node: peer("a", 1), at_us: 5, what: What::Read { asked_us: 3, index: Index(2) } });
+    h.push(Record { node: peer("a", 1), at_us: 5, what: Observation::Read { asked_us: 3, index: Index(2) } });
     assert_eq!(check(&h), []);
 }
 
 #[test]
 fn each_faulty_history_is_caught_by_the_name_of_its_rule() {
     let read = |asked_us, index| {
-        let what = What::Read { asked_us, index: Index(index) };
+        let what = Observation::Read { asked_us, index: Index(index) };
         Record { node: peer("b", 1), at_us: 99, what }
     };
     let faulty = [
--- a/crates/consensus/src/sim/stories.rs
+++ b/crates/consensus/src/sim/stories.rs
@@ -146,7 +146,7 @@
     fleet.collect();
     let restored = |r: &Record| {
         r.node.name == fleet.names[4]
-            && matches!(r.what, crate::check::What::Restored { index } if index.0 > 0)
+            && matches!(r.what, crate::check::Observation::Restored { index } if index.0 > 0)
     };
     assert!(fleet.history.iter().any(restored), "by a snapshot");
     assert_eq!(fleet.verdict(), Ok(()));
@@ -167,7 +167,7 @@
         if let (Some(first), true) = (bytes.first_mut(), n % 4 > 0) {
             *first = crate::wire::FORMAT;
         }
-        // What tells of other entries at an index stops a node, as it should: not here.
+        // Observation tells of other entries at an index stops a node, as it should: not here.
         if !matches!(bytes.get(1), Some(4 | 5)) {
             fleet.world.act(0, |room, now| magpietally_transport::Room::on_message(room, now, &from, &bytes));
         }
--- a/crates/consensus/testing/carried.rs
+++ b/crates/consensus/testing/carried.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use magpietally_consensus::check::{Record, What};
+use magpietally_consensus::check::{Observation, Record};
 use magpietally_consensus::{DecidedEntry, Index, Node, Ready, Settings, Topic, Write};
 use magpietally_transport::{Now, Outgoing, Peer, Room};
 
@@ -96,7 +96,7 @@
         self.settle(now);
     }
 
-    fn see(&mut self, now: Now, what: What) {
+    fn see(&mut self, now: Now, what: Observation) {
         if self.records {
             self.seen.push(Record { node: self.me.clone(), at_us: now.boot.as_micros() as u64, what });
         }
@@ -104,14 +104,14 @@
 
     fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         self.index = decided.index;
-        let what = What::entry(decided);
-        if let What::Entry { hash, .. } = &what {
+        let what = Observation::entry(decided);
+        if let Observation::Entry { hash, .. } = &what {
             self.digest = self.digest.rotate_left(7).wrapping_add(*hash);
         }
         self.see(now, what);
         if decided.proposal.proposer == self.me {
             if let Some(asked_us) = self.reads.remove(&decided.proposal.id) {
-                self.see(now, What::Read { asked_us, index: self.index });
+                self.see(now, Observation::Read { asked_us, index: self.index });
             }
         }
     }
@@ -142,7 +142,7 @@
                 let digest = digest.and_then(|m| <[u8; 8]>::try_from(m).ok());
                 self.digest = u64::from_le_bytes(digest.expect("the machine's own snapshot"));
                 self.index = index;
-                self.see(now, What::Restored { index });
+                self.see(now, Observation::Restored { index });
                 still = false;
             }
             while let Some(decided) = self.node.take_decided() {
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -176,7 +176,7 @@
         if let Some((index, machines)) = self.log.take_restore() {
             any = true;
             if self.shared.keeps_records() {
-                self.record_log(now, log_check::What::Restored { index });
+                self.record_log(now, log_check::Observation::Restored { index });
             }
             for (topic, snapshot) in machines {
                 let restored = match topic {
@@ -193,7 +193,7 @@
         while let Some(decided) = self.log.take_decided() {
             any = true;
             if self.shared.keeps_records() {
-                self.record_log(now, log_check::What::entry(&decided));
+                self.record_log(now, log_check::Observation::entry(&decided));
             }
             match decided.proposal.topic {
                 Topic::Policy => {
@@ -214,7 +214,7 @@
         any
     }
 
-    fn record_log(&self, now: Now, what: log_check::What) {
+    fn record_log(&self, now: Now, what: log_check::Observation) {
         let at_us = u64::try_from(now.boot.as_micros()).unwrap_or(u64::MAX);
         self.shared.record(&Line::Log(log_check::Record { node: self.udp.me().clone(), at_us, what }));
     }
