--- a/crates/consensus/src/chain.rs
+++ b/crates/consensus/src/chain.rs
@@ -12,7 +12,7 @@
 
 /// The largest snapshot of all machines together, in bytes: with the voter's own votes it has to fit one record of the
 /// store (8 MiB), and a node that catches up holds it twice.
-pub const SNAPSHOT_MAX: usize = 4 << 20;
+pub const SNAPSHOT_MAX_BYTES: usize = 4 << 20;
 
 /// The machines' snapshots, each with whose it is.
 pub type MachineSnapshots = Vec<(Topic, Vec<u8>)>;
@@ -27,7 +27,7 @@
 impl Checkpoint {
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(self, vec![FORMAT]).ok()?;
-        (bytes.len() <= SNAPSHOT_MAX).then_some(bytes)
+        (bytes.len() <= SNAPSHOT_MAX_BYTES).then_some(bytes)
     }
 
     pub fn decode(bytes: &[u8]) -> Option<Self> {
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -5,7 +5,7 @@
 
 /// The largest body of a proposal, in bytes: a policy document is the largest, and an entry has to fit one message of a
 /// stream with a batch's other proposals.
-pub const BODY_MAX: usize = 64 << 10;
+pub const BODY_MAX_BYTES: usize = 64 << 10;
 
 /// An entry's place in the log: the first is 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     /// The proposer's number for it, from 1, within its session. The log decides each (proposer, id) at most once, and none
     /// whose id is not above the last decided one of the same session: proposals that overtake others displace them.
     pub id: u64,
-    /// The room's own encoding, at most [`BODY_MAX`] bytes.
+    /// The room's own encoding, at most [`BODY_MAX_BYTES`] bytes.
     pub body: Vec<u8>,
 }
 
--- a/crates/consensus/src/head.rs
+++ b/crates/consensus/src/head.rs
@@ -11,7 +11,7 @@
 /// The most proposers whose last number is remembered. Past that the one that proposed longest ago is forgotten, by the
 /// log's own order: a fleet of 500 nodes has room for eight generations of names, and one forgotten can only be
 /// decided twice if its proposal is still on its way after 4,096 other nodes proposed.
-pub const NAMES_MAX: usize = 4096;
+pub const PROPOSERS_MAX: usize = 4096;
 
 /// The chained hash of an entry and all before it: 16 bytes of SHA-256.
 pub type Hash = [u8; 16];
@@ -62,7 +62,7 @@
         let (by, id) = (&item.proposal.proposer, item.proposal.id);
         let anew = self.last.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
         let proposal = if anew && id > 0 {
-            if self.last.len() >= NAMES_MAX && !self.last.contains_key(&by.name) {
+            if self.last.len() >= PROPOSERS_MAX && !self.last.contains_key(&by.name) {
                 let oldest = self.last.iter().min_by_key(|(_, l)| l.at).map(|(n, _)| n.clone());
                 oldest.map(|n| self.last.remove(&n));
             }
--- a/crates/consensus/src/head/tests.rs
+++ b/crates/consensus/src/head/tests.rs
@@ -21,10 +21,10 @@
 #[test]
 fn names_are_bounded_and_the_one_that_proposed_longest_ago_is_forgotten() {
     let mut head = Head::default();
-    for n in 0..NAMES_MAX + 1 {
+    for n in 0..PROPOSERS_MAX + 1 {
         head.apply(&item(&format!("n{n}"), 1, 1));
     }
-    assert_eq!(head.last.len(), NAMES_MAX);
+    assert_eq!(head.last.len(), PROPOSERS_MAX);
     let name = |n: usize| Peer { name: Name::new(&format!("n{n}")).expect("a name"), session: Session(1) };
     assert_eq!((head.last_of(&name(0)), head.last_of(&name(1))), (0, 1));
 }
--- a/crates/consensus/src/learn.rs
+++ b/crates/consensus/src/learn.rs
@@ -5,7 +5,7 @@
 use magpietally_transport::{Kind, Name, Now, Peer};
 use rand::{Rng, RngExt};
 
-use crate::chain::{Checkpoint, SNAPSHOT_MAX};
+use crate::chain::{Checkpoint, SNAPSHOT_MAX_BYTES};
 use crate::entry::Index;
 use crate::node::Node;
 use crate::settings::Settings;
@@ -309,7 +309,7 @@
             self.dropped += 1;
             return;
         }
-        if piece.index <= self.chain.head.index || piece.total > SNAPSHOT_MAX as u64 {
+        if piece.index <= self.chain.head.index || piece.total > SNAPSHOT_MAX_BYTES as u64 {
             self.learner.asked = None;
             self.learner.fetch = None;
             return;
--- a/crates/consensus/src/machine.rs
+++ b/crates/consensus/src/machine.rs
@@ -47,7 +47,7 @@
     /// When [`StateMachine::tick`] has something to do next, by the boot clock.
     fn next_due(&self) -> Option<Duration>;
 
-    /// The body of the next proposal, at most [`crate::BODY_MAX`] bytes. It may get lost: a machine that still wants it
+    /// The body of the next proposal, at most [`crate::BODY_MAX_BYTES`] bytes. It may get lost: a machine that still wants it
     /// says it again, by its own timer.
     fn take_proposal(&mut self) -> Option<Vec<u8>>;
 }
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, BODY_MAX};
+use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, BODY_MAX_BYTES};
 use crate::machine::StateMachine;
 
 /// How far the clock moves in one step.
@@ -328,7 +328,7 @@
             let node = &mut self.nodes[i];
             let Some(machine) = node.machine.as_mut() else { return };
             let Some(body) = machine.take_proposal() else { return };
-            assert!(body.len() <= BODY_MAX, "a proposal of {} bytes", body.len());
+            assert!(body.len() <= BODY_MAX_BYTES, "a proposal of {} bytes", body.len());
             let proposal =
                 Proposal { topic: machine.topic(), proposer: node.peer.clone(), id: node.next_id, body };
             node.next_id += 1;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64;
 
 use crate::chain::{Chain, Checkpoint, MachineSnapshots};
-use crate::entry::{DecidedEntry, Index, Proposal, Topic, BODY_MAX};
+use crate::entry::{DecidedEntry, Index, Proposal, Topic, BODY_MAX_BYTES};
 use crate::founding::{NoVoteReason, Said};
 use crate::head::Item;
 use crate::learn::Learner;
@@ -42,7 +42,7 @@
 /// Why a proposal was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// Larger than [`BODY_MAX`].
+    /// Larger than [`BODY_MAX_BYTES`].
     TooLarge(usize),
     /// So many of this node's proposals wait already.
     Full(usize),
@@ -53,7 +53,7 @@
 impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge(n) => write!(f, "a proposal of {n} bytes, at most {BODY_MAX} are taken"),
+            Self::TooLarge(n) => write!(f, "a proposal of {n} bytes, at most {BODY_MAX_BYTES} are taken"),
             Self::Full(n) => write!(f, "{n} proposals of this node wait already"),
             Self::Diverged => write!(f, "this node's log does not fit the others'"),
         }
@@ -210,7 +210,7 @@
         if self.broken.is_some() {
             return Err(ProposeError::Diverged);
         }
-        if body.len() > BODY_MAX {
+        if body.len() > BODY_MAX_BYTES {
             return Err(ProposeError::TooLarge(body.len()));
         }
         if self.own.len() >= OWN_MAX {
@@ -251,7 +251,7 @@
     /// The machines' snapshots at the index that [`Node::snapshot_due`] named.
     ///
     /// # Errors
-    /// They are larger than [`crate::SNAPSHOT_MAX`] together: the log is not trimmed, and the leader will refuse more when it
+    /// They are larger than [`crate::SNAPSHOT_MAX_BYTES`] together: the log is not trimmed, and the leader will refuse more when it
     /// is full.
     pub fn provide_snapshot(
         &mut self,
@@ -538,7 +538,8 @@
 
     fn on_proposals(&mut self, now: Now, from: &Peer, hops: u8, mut proposals: Vec<Proposal>) {
         let before = proposals.len();
-        proposals.retain(|p| p.id > 0 && p.body.len() <= BODY_MAX && !p.proposer.name.as_str().is_empty());
+        proposals
+            .retain(|p| p.id > 0 && p.body.len() <= BODY_MAX_BYTES && !p.proposer.name.as_str().is_empty());
         // What comes from its proposer itself is its own.
         proposals.retain(|p| hops > 0 || p.proposer == *from);
         self.dropped += (before - proposals.len()) as u64;
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -6,12 +6,12 @@
 use magpietally_transport::Name;
 
 /// The fewest and the most voters: with 3 one may be lost, with 7 three; more only make every decision dearer.
-pub const VOTERS: std::ops::RangeInclusive<usize> = 3..=7;
+pub const VOTER_COUNT: std::ops::RangeInclusive<usize> = 3..=7;
 
 /// A node's settings, the same in the whole fleet but for the seed.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who votes, [`VOTERS`] of them, in the same order at every node. An odd number: a fourth voter bears no more losses
+    /// Who votes, [`VOTER_COUNT`] of them, in the same order at every node. An odd number: a fourth voter bears no more losses
     /// than three.
     pub voters: Vec<Name>,
     /// For jitter, the choice of peers, and a voter's identity at its first start: a different one at each start.
@@ -59,7 +59,7 @@
     /// # Errors
     /// See [`SettingsError`].
     pub fn check(&self) -> Result<(), SettingsError> {
-        if !VOTERS.contains(&self.voters.len()) {
+        if !VOTER_COUNT.contains(&self.voters.len()) {
             return Err(SettingsError::Voters(self.voters.len()));
         }
         for (i, name) in self.voters.iter().enumerate() {
@@ -98,7 +98,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Voters(n) => {
-                write!(f, "{n} voters are named, {} to {} are allowed", VOTERS.start(), VOTERS.end())
+                write!(
+                    f,
+                    "{n} voters are named, {} to {} are allowed",
+                    VOTER_COUNT.start(),
+                    VOTER_COUNT.end()
+                )
             }
             Self::Name(name) => write!(f, "voter {:?} is empty or named twice", name.as_str()),
             Self::Zero(what) => write!(f, "{what}: too little"),
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -12,7 +12,7 @@
 
 /// The largest message, in bytes: the tail of the log that voters keep behind a checkpoint (256 KiB), what came since it (as
 /// much) and what is not decided yet (as much) go together to a voter that is behind.
-pub const MESSAGE_MAX: usize = 1 << 20;
+pub const MESSAGE_MAX_BYTES: usize = 1 << 20;
 
 /// How far a voter is with the founding of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
 
 /// Why a message could not be read.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Wire, &'static str> {
-    if bytes.len() > MESSAGE_MAX {
+    if bytes.len() > MESSAGE_MAX_BYTES {
         return Err("larger than any message");
     }
     match bytes.split_first() {
@@ -67,5 +67,5 @@
 /// The message's bytes; `None` where it is larger than any may be.
 pub(crate) fn encode<T: Serialize>(wire: &T) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(wire, vec![FORMAT]).ok()?;
-    (bytes.len() <= MESSAGE_MAX).then_some(bytes)
+    (bytes.len() <= MESSAGE_MAX_BYTES).then_some(bytes)
 }
--- a/crates/policy_change/src/entry.rs
+++ b/crates/policy_change/src/entry.rs
@@ -1,12 +1,12 @@
 //! What the room writes into the log.
 
-use magpietally_consensus::{Index, BODY_MAX};
+use magpietally_consensus::{Index, BODY_MAX_BYTES};
 use magpietally_transport::Peer;
 use serde::{Deserialize, Serialize};
 
 /// The largest document, in bytes: a proposal's body less what stands around the document in it (the entry's kind, the
 /// base, the ticket and the lengths take at most 40 bytes; the rest is for later fields).
-pub const DOCUMENT_MAX: usize = BODY_MAX - 256;
+pub const DOCUMENT_MAX: usize = BODY_MAX_BYTES - 256;
 /// The longest reason of a refusal, in bytes: a file's name, a line, a field and a sentence.
 pub const WHY_MAX: usize = 512;
 /// Expired leases that one entry names at most: the entry stays near 6 KB with the longest names.
@@ -99,7 +99,7 @@
 
     /// The entry in a proposal's body; `None` when it can't be read or breaks a bound.
     pub fn decode(body: &[u8]) -> Option<Self> {
-        if body.len() > BODY_MAX {
+        if body.len() > BODY_MAX_BYTES {
             return None;
         }
         let (entry, rest) = postcard::take_from_bytes::<Self>(body).ok()?;
