--- a/crates/addresses/examples/measure.rs
+++ b/crates/addresses/examples/measure.rs
@@ -27,11 +27,11 @@
 fn gap(seed: u64, nodes: usize, loss: Loss) -> Option<Duration> {
     let mut w = world(seed, nodes);
     let owner = w.owner_site().and_then(|s| w.speaker(s))?;
-    w.model.lead(Some((owner + 1) % w.of.len()));
+    w.model.set_leader(Some((owner + 1) % w.of.len()));
     match loss {
         Loss::Kill => w.kill(owner, true),
-        Loss::Pause => w.model.pause(owner, true),
-        Loss::Cut => w.model.cut(owner, true),
+        Loss::Pause => w.model.set_paused(owner, true),
+        Loss::Cut => w.model.set_isolated(owner, true),
     }
     w.until(ms(10_000), |w| w.router.steer(EXCLUSIVE, 0).is_none())?;
     w.until(ms(30_000), |w| w.router.steer(EXCLUSIVE, 0).is_some())
--- a/crates/addresses/tests/common/mod.rs
+++ b/crates/addresses/tests/common/mod.rs
@@ -277,7 +277,7 @@
         for s in 0..self.sites.len() {
             let mut sums = Sums::default();
             for i in 0..self.of.len() {
-                if self.of[i] == s && self.model.runs(i) {
+                if self.of[i] == s && self.model.is_running(i) {
                     sums.add(&self.figures(s));
                 }
             }
--- a/crates/addresses/tests/runs.rs
+++ b/crates/addresses/tests/runs.rs
@@ -20,7 +20,7 @@
 }
 
 fn rough() -> Faults {
-    Faults { lost: 0.15, doubled: 0.2, deciding: ms(150), learning: ms(150) }
+    Faults { loss: 0.15, duplicate: 0.2, max_decide_delay: ms(150), max_learn_delay: ms(150) }
 }
 
 /// After the last of the disturbances: leases lapse, the log moves again, and the next speaks.
@@ -28,13 +28,13 @@
 
 /// A node that can lead takes the lead; who led before still thinks so.
 fn elect(w: &mut World, cut: &[bool], before: usize) -> usize {
-    let able: Vec<usize> = (0..w.of.len()).filter(|&i| w.model.runs(i) && !cut[i]).collect();
+    let able: Vec<usize> = (0..w.of.len()).filter(|&i| w.model.is_running(i) && !cut[i]).collect();
     if able.is_empty() {
         return before;
     }
     let next = able[w.rng.random_range(0..able.len())];
-    w.model.lead(Some(next));
-    w.model.also_leading(&[before]);
+    w.model.set_leader(Some(next));
+    w.model.set_other_leaders(&[before]);
     next
 }
 
@@ -62,30 +62,30 @@
             }
             3 => {
                 for j in (0..nodes).filter(|j| j % 3 == site) {
-                    w.model.cut(j, true);
+                    w.model.set_isolated(j, true);
                     cut[j] = true;
                     undo.push((lasts, Undo::Cut(j)));
                 }
             }
             4 => {
-                w.model.cut(i, true);
+                w.model.set_isolated(i, true);
                 cut[i] = true;
                 undo.push((lasts, Undo::Cut(i)));
             }
-            5 | 6 if w.model.runs(i) => {
+            5 | 6 if w.model.is_running(i) => {
                 // Now and then the very node that speaks.
                 let i = w.speaker(site).unwrap_or(i);
-                w.model.pause(i, true);
+                w.model.set_paused(i, true);
                 undo.push((lasts, Undo::Pause(i)));
             }
-            7 if w.model.runs(i) => {
+            7 if w.model.is_running(i) => {
                 let i = w.speaker(site).unwrap_or(i);
                 let closes = w.rng.random_bool(0.5);
                 w.kill(i, closes);
                 undo.push((lasts, Undo::Start(i)));
             }
             8 => {
-                w.model.lead(None);
+                w.model.set_leader(None);
                 undo.push((w.model.now() + ms(w.rng.random_range(300..7000)), Undo::Lead));
             }
             _ => leader = elect(&mut w, &cut, leader),
@@ -97,13 +97,13 @@
         let (due, later): (Vec<_>, Vec<_>) = undo.into_iter().partition(|u| u.0 <= now);
         undo = later;
         due.into_iter().for_each(|(_, u)| revert(&mut w, &mut cut, &mut leader, u));
-        if !w.model.runs(leader) || cut[leader] {
+        if !w.model.is_running(leader) || cut[leader] {
             leader = elect(&mut w, &cut, leader);
         }
     }
     undo.into_iter().for_each(|(_, u)| revert(&mut w, &mut cut, &mut leader, u));
     leader = elect(&mut w, &cut, leader);
-    w.model.also_leading(&[(leader + 1) % nodes]);
+    w.model.set_other_leaders(&[(leader + 1) % nodes]);
     w.model.set_faults(Faults::default());
     w.disturb(RECOVERS);
     w.run(RECOVERS);
@@ -121,10 +121,10 @@
 fn revert(w: &mut World, cut: &mut [bool], leader: &mut usize, undo: Undo) {
     match undo {
         Undo::Cut(i) => {
-            w.model.cut(i, false);
+            w.model.set_isolated(i, false);
             cut[i] = false;
         }
-        Undo::Pause(i) => w.model.pause(i, false),
+        Undo::Pause(i) => w.model.set_paused(i, false),
         Undo::Start(i) => w.start(i),
         Undo::Lead => *leader = elect(w, cut, *leader),
         Undo::Load(site) => w.loads[site] = WELL,
@@ -175,8 +175,8 @@
     let mut w = World::new(1, 3, 3, Faults::default(), Planted::KeepsExclusive);
     w.run(ms(12_000));
     let owner = w.owner_site().and_then(|s| w.speaker(s)).expect("an owner");
-    w.model.lead(Some((owner + 1) % 9));
-    w.model.cut(owner, true);
+    w.model.set_leader(Some((owner + 1) % 9));
+    w.model.set_isolated(owner, true);
     w.disturb(RECOVERS);
     w.run(ms(20_000));
     assert!(judge(&w).broke("never-two-owners"), "{:?}", judge(&w).faults);
@@ -186,23 +186,23 @@
 fn a_node_that_counts_its_lease_from_the_answer_is_caught() {
     let caught = |planted| {
         (0..20).filter(move |&seed| {
-            let slow = Faults { deciding: ms(300), learning: ms(300), ..Faults::default() };
+            let slow = Faults { max_decide_delay: ms(300), max_learn_delay: ms(300), ..Faults::default() };
             let mut w = World::new(seed, 3, 3, slow.clone(), planted);
             w.disturb(ms(100_000));
             for _ in 0..3 {
                 w.run(ms(15_000));
                 let Some(owner) = w.owner_site().and_then(|s| w.speaker(s)) else { continue };
-                w.model.lead(Some((owner + 1) % 9));
+                w.model.set_leader(Some((owner + 1) % 9));
                 // Stopped between asking and the answer; when it wakes it learns, but nothing that it says comes through.
-                w.model.pause(owner, true);
+                w.model.set_paused(owner, true);
                 w.run(ms(4300));
-                w.model.pause(owner, false);
-                w.model.set_faults(Faults { lost: 1.0, ..slow.clone() });
+                w.model.set_paused(owner, false);
+                w.model.set_faults(Faults { loss: 1.0, ..slow.clone() });
                 w.run(ms(400));
                 w.model.set_faults(slow.clone());
-                w.model.cut(owner, true);
+                w.model.set_isolated(owner, true);
                 w.run(ms(14_000));
-                w.model.cut(owner, false);
+                w.model.set_isolated(owner, false);
             }
             judge(&w).broke("never-two-owners")
         })
@@ -221,7 +221,7 @@
         w.rules.addresses.truncate(1);
         w.run(ms(15_000));
         let speaker = w.speaker(0).expect("a speaker");
-        w.model.lead(Some((speaker + 1) % 9));
+        w.model.set_leader(Some((speaker + 1) % 9));
         w.kill(speaker, false);
         w.loads[0].share = 500;
         w.disturb(RECOVERS);
--- a/crates/consensus/src/learn.rs
+++ b/crates/consensus/src/learn.rs
@@ -81,13 +81,13 @@
 
 impl Learner {
     pub fn new(now: Duration, settings: &Settings, rng: &mut impl Rng) -> Self {
-        let purse = || Purse { left: Purse::MOST, at: now, per_s: settings.catch_up_per_s };
+        let purse = || Purse { left: Purse::MOST, at: now, per_s: settings.catch_up_bytes_per_s };
         Self {
             peers: settings.voters.clone(),
             known: 0,
             ahead: None,
             leader: None,
-            gossip_at: now + settings.gossip.mul_f64(rng.random_range(0.0..1.0)),
+            gossip_at: now + settings.gossip_interval.mul_f64(rng.random_range(0.0..1.0)),
             hurry: 0,
             asked: None,
             fetch: None,
@@ -145,7 +145,7 @@
         if now.boot >= self.learner.gossip_at {
             // Spread, so that nodes started together do not all speak at once.
             self.learner.gossip_at =
-                now.boot + self.settings.gossip.mul_f64(self.rng.random_range(0.75..1.25));
+                now.boot + self.settings.gossip_interval.mul_f64(self.rng.random_range(0.75..1.25));
             if let Some(to) = self.peer() {
                 let beat = self.beat();
                 self.send(to, Some(Kind::Datagram), &beat);
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -24,22 +24,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
     /// Share of proposals that are never decided.
-    pub lost: f64,
+    pub loss: f64,
     /// Share of proposals that come to the log a second time, later.
-    pub doubled: f64,
+    pub duplicate: f64,
     /// A proposal is decided up to this long after it was made, evenly drawn.
-    pub deciding: Duration,
+    pub max_decide_delay: Duration,
     /// A node learns of an entry up to this long after it was decided, evenly drawn.
-    pub learning: Duration,
+    pub max_learn_delay: Duration,
 }
 
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            lost: 0.0,
-            doubled: 0.0,
-            deciding: Duration::from_millis(10),
-            learning: Duration::from_millis(10),
+            loss: 0.0,
+            duplicate: 0.0,
+            max_decide_delay: Duration::from_millis(10),
+            max_learn_delay: Duration::from_millis(10),
         }
     }
 }
@@ -124,7 +124,7 @@
     /// first on, as drawn.
     pub fn start(&mut self, i: usize, make: impl FnOnce(Peer, Now) -> M) {
         self.nodes[i].peer.session.0 += 1;
-        let now = self.local(i);
+        let now = self.local_time(i);
         let mut machine = make(self.nodes[i].peer.clone(), now);
         let mut learnt = 0;
         let others: Vec<usize> =
@@ -148,22 +148,22 @@
     }
 
     /// Node `i` stops running (SIGSTOP) or runs again; its boot clock goes on.
-    pub fn pause(&mut self, i: usize, paused: bool) {
+    pub fn set_paused(&mut self, i: usize, paused: bool) {
         self.nodes[i].paused = paused;
     }
 
     /// Node `i` is cut off from the log, or has it again.
-    pub fn cut(&mut self, i: usize, cut: bool) {
+    pub fn set_isolated(&mut self, i: usize, cut: bool) {
         self.nodes[i].cut = cut;
     }
 
     /// Who leads; while nobody does, nothing is decided.
-    pub fn lead(&mut self, leader: Option<usize>) {
+    pub fn set_leader(&mut self, leader: Option<usize>) {
         self.leader = leader;
     }
 
     /// Nodes that think they lead, beside the one that does.
-    pub fn also_leading(&mut self, nodes: &[usize]) {
+    pub fn set_other_leaders(&mut self, nodes: &[usize]) {
         self.also_leading = nodes.to_vec();
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Sets node `i`'s wall clock ahead by so much from now on.
-    pub fn set_wall(&mut self, i: usize, ahead_ms: i64) {
+    pub fn set_wall_ahead(&mut self, i: usize, ahead_ms: i64) {
         self.nodes[i].clocks.wall_ahead_ms = ahead_ms;
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// What node `i`'s clocks show.
-    pub fn local(&self, i: usize) -> Now {
+    pub fn local_time(&self, i: usize) -> Now {
         let c = &self.nodes[i].clocks;
         let wall = self.epoch_ms + self.now.as_millis() as u64;
         Now {
@@ -203,13 +203,13 @@
     }
 
     /// Whether node `i` runs now: neither killed nor stopped.
-    pub fn runs(&self, i: usize) -> bool {
+    pub fn is_running(&self, i: usize) -> bool {
         self.nodes[i].machine.is_some() && !self.nodes[i].paused
     }
 
     /// Node `i`'s machine, if it runs, and what its clocks show: for what its users ask of it.
     pub fn machine(&mut self, i: usize) -> Option<(&mut M, Now)> {
-        let now = self.local(i);
+        let now = self.local_time(i);
         let node = &mut self.nodes[i];
         if node.paused {
             return None;
@@ -223,7 +223,7 @@
     }
 
     /// How many entries node `i` has learnt.
-    pub fn learnt(&self, i: usize) -> usize {
+    pub fn learned_count(&self, i: usize) -> usize {
         self.nodes[i].learnt
     }
 
@@ -263,7 +263,7 @@
             self.decide(proposal);
         }
         for i in 0..self.nodes.len() {
-            if !self.runs(i) {
+            if !self.is_running(i) {
                 continue;
             }
             // A node that wakes may find its timers or the network first.
@@ -279,19 +279,19 @@
     }
 
     fn decide(&mut self, proposal: Proposal) {
-        let Some(leader) = self.leader.filter(|&l| self.runs(l) && !self.nodes[l].cut) else { return };
+        let Some(leader) = self.leader.filter(|&l| self.is_running(l) && !self.nodes[l].cut) else { return };
         let last = self.last_ids.entry(proposal.proposer.clone()).or_default();
         if proposal.id <= *last {
             return;
         }
         *last = proposal.id;
         let before = self.log.last().map_or(0, |d| d.timestamp.0);
-        let timestamp = Timestamp(self.local(leader).wall_ms.max(before));
+        let timestamp = Timestamp(self.local_time(leader).wall_ms.max(before));
         self.log.push(DecidedEntry { index: Index(self.log.len() as u64 + 1), timestamp, proposal });
     }
 
     fn learn(&mut self, i: usize) {
-        let now = self.local(i);
+        let now = self.local_time(i);
         let node = &mut self.nodes[i];
         if node.cut {
             node.comes = None;
@@ -299,7 +299,7 @@
         }
         while let Some(decided) = self.log.get(node.learnt) {
             let comes = *node.comes.get_or_insert_with(|| {
-                self.now + self.faults.learning.mul_f64(self.rng.random_range(0.0..=1.0))
+                self.now + self.faults.max_learn_delay.mul_f64(self.rng.random_range(0.0..=1.0))
             });
             if comes > self.now {
                 return;
@@ -314,7 +314,7 @@
     }
 
     fn tick(&mut self, i: usize) {
-        let now = self.local(i);
+        let now = self.local_time(i);
         let leading = self.leader == Some(i) || self.also_leading.contains(&i);
         if let Some(machine) = self.nodes[i].machine.as_mut() {
             if machine.next_due().is_some_and(|due| due <= now.boot) {
@@ -332,16 +332,16 @@
             let proposal =
                 Proposal { topic: machine.topic(), proposer: node.peer.clone(), id: node.next_id, body };
             node.next_id += 1;
-            if node.cut || self.rng.random_bool(self.faults.lost) {
+            if node.cut || self.rng.random_bool(self.faults.loss) {
                 continue;
             }
-            let copies = if self.rng.random_bool(self.faults.doubled) { 2 } else { 1 };
+            let copies = if self.rng.random_bool(self.faults.duplicate) { 2 } else { 1 };
             for _ in 0..copies {
                 if self.on_their_way.len() >= ON_THEIR_WAY {
                     break;
                 }
                 self.order += 1;
-                let at = self.now + self.faults.deciding.mul_f64(self.rng.random_range(0.0..=1.0));
+                let at = self.now + self.faults.max_decide_delay.mul_f64(self.rng.random_range(0.0..=1.0));
                 self.on_their_way.insert((at, self.order), proposal.clone());
             }
         }
--- a/crates/consensus/src/model/tests.rs
+++ b/crates/consensus/src/model/tests.rs
@@ -39,7 +39,7 @@
 #[test]
 fn every_node_learns_the_same_entries_once_and_in_order_through_kills_cuts_and_doubles() {
     for seed in 0..20 {
-        let faults = Faults { lost: 0.2, doubled: 0.3, ..Faults::default() };
+        let faults = Faults { loss: 0.2, duplicate: 0.3, ..Faults::default() };
         let mut model = Model::new(seed, faults, 0);
         let make = |me, now: Now| Crier { me, due: now.boot, want: None, heard: Vec::new() };
         for i in 0..4u64 {
@@ -47,15 +47,15 @@
             model.add(Name::new(&format!("n{i}")).expect("a name"), clocks, make);
         }
         model.run(Duration::from_secs(5), |_| {});
-        model.cut(1, true);
-        model.pause(2, true);
+        model.set_isolated(1, true);
+        model.set_paused(2, true);
         model.kill(3);
         model.run(Duration::from_secs(5), |_| {});
-        model.cut(1, false);
-        model.pause(2, false);
+        model.set_isolated(1, false);
+        model.set_paused(2, false);
         model.start(3, make);
         model.run(Duration::from_secs(5), |_| {});
-        model.lead(None);
+        model.set_leader(None);
         model.run(Duration::from_secs(1), |_| {});
         let want: Vec<(u64, String)> =
             model.log().iter().map(|d| (d.index.0, d.proposal.proposer.to_string())).collect();
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -365,7 +365,7 @@
                 }
                 self.queue_bytes += size;
                 self.queue.push_back(p);
-                self.flush_at.get_or_insert(now.boot + self.settings.batch);
+                self.flush_at.get_or_insert(now.boot + self.settings.batch_delay);
             }
             return;
         }
@@ -502,7 +502,7 @@
                 if self.is_leader() {
                     self.queue_bytes += proposal.body.len() + 128;
                     self.queue.push_front(proposal);
-                    self.flush_at = Some(now.boot + self.settings.batch);
+                    self.flush_at = Some(now.boot + self.settings.batch_delay);
                 } else {
                     // Another leads now: the proposers say them again.
                     self.dropped += 1 + self.queue.len() as u64;
@@ -584,9 +584,9 @@
             return;
         }
         if now.boot >= self.beat_at {
-            self.beat_at = now.boot + self.settings.beat;
+            self.beat_at = now.boot + self.settings.tick_interval;
             if self.hears() {
-                let (learnt, every) = (self.chain.end(), self.settings.gossip);
+                let (learnt, every) = (self.chain.end(), self.settings.gossip_interval);
                 if let Some(voter) = &mut self.voter {
                     self.jump |= voter.tick(now.boot, learnt, every);
                 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -18,17 +18,17 @@
     pub seed: u64,
     /// One round of heartbeats between voters is five of these: a leader is missed after two to three rounds, and a round
     /// must be longer than the way there and back.
-    pub beat: Duration,
+    pub tick_interval: Duration,
     /// How long the leader collects proposals before it passes them on together: one write for many, at little delay.
-    pub batch: Duration,
+    pub batch_delay: Duration,
     /// How often a node tells one peer where its log ends.
-    pub gossip: Duration,
+    pub gossip_interval: Duration,
     /// To how many peers a node passes on what it has just learnt. With 3, one round of a random spread misses about one
     /// node in twenty, which then asks.
     pub fanout: usize,
     /// The most a node asks for of what it missed, in bytes a second, and the most it gives others: the fleet's decisions
     /// must not fill a link that carries clients.
-    pub catch_up_per_s: u64,
+    pub catch_up_bytes_per_s: u64,
     /// A checkpoint of the machines' states is made after so many entries.
     pub checkpoint_entries: u64,
     /// The entries kept for others to catch up with, in number and in bytes; with a snapshot behind them.
@@ -43,11 +43,11 @@
         Self {
             voters,
             seed,
-            beat: Duration::from_millis(40),
-            batch: Duration::from_millis(10),
-            gossip: Duration::from_millis(500),
+            tick_interval: Duration::from_millis(40),
+            batch_delay: Duration::from_millis(10),
+            gossip_interval: Duration::from_millis(500),
             fanout: 3,
-            catch_up_per_s: 1 << 20,
+            catch_up_bytes_per_s: 1 << 20,
             checkpoint_entries: 2048,
             keep_entries: 16_384,
             keep_bytes: 4 << 20,
@@ -60,22 +60,22 @@
     /// See [`SettingsError`].
     pub fn check(&self) -> Result<(), SettingsError> {
         if !VOTER_COUNT.contains(&self.voters.len()) {
-            return Err(SettingsError::Voters(self.voters.len()));
+            return Err(SettingsError::VoterCount(self.voters.len()));
         }
         for (i, name) in self.voters.iter().enumerate() {
             if name.as_str().is_empty() || self.voters[..i].contains(name) {
-                return Err(SettingsError::Name(name.clone()));
+                return Err(SettingsError::VoterName(name.clone()));
             }
         }
         let least = Duration::from_millis(1);
-        if self.beat < least || self.batch < least || self.gossip < least {
-            return Err(SettingsError::Zero("beat, batch or gossip"));
+        if self.tick_interval < least || self.batch_delay < least || self.gossip_interval < least {
+            return Err(SettingsError::TooSmall("tick_interval, batch_delay or gossip_interval"));
         }
-        if self.checkpoint_entries == 0 || self.catch_up_per_s < 1024 {
-            return Err(SettingsError::Zero("checkpoint_entries or catch_up_per_s"));
+        if self.checkpoint_entries == 0 || self.catch_up_bytes_per_s < 1024 {
+            return Err(SettingsError::TooSmall("checkpoint_entries or catch_up_bytes_per_s"));
         }
         if (self.keep_entries as u64) < 2 * self.checkpoint_entries {
-            return Err(SettingsError::Keep);
+            return Err(SettingsError::KeepEntries);
         }
         Ok(())
     }
@@ -85,19 +85,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// So many voters were named.
-    Voters(usize),
+    VoterCount(usize),
     /// A voter's name is empty or named twice.
-    Name(Name),
+    VoterName(Name),
     /// One of these is nothing, or too little.
-    Zero(&'static str),
+    TooSmall(&'static str),
     /// Entries must be kept for twice a checkpoint's number, so that a snapshot's taker finds what follows it.
-    Keep,
+    KeepEntries,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Voters(n) => {
+            Self::VoterCount(n) => {
                 write!(
                     f,
                     "{n} voters are named, {} to {} are allowed",
@@ -105,9 +105,9 @@
                     VOTER_COUNT.end()
                 )
             }
-            Self::Name(name) => write!(f, "voter {:?} is empty or named twice", name.as_str()),
-            Self::Zero(what) => write!(f, "{what}: too little"),
-            Self::Keep => write!(f, "keep_entries must be at least twice checkpoint_entries"),
+            Self::VoterName(name) => write!(f, "voter {:?} is empty or named twice", name.as_str()),
+            Self::TooSmall(what) => write!(f, "{what}: too little"),
+            Self::KeepEntries => write!(f, "keep_entries must be at least twice checkpoint_entries"),
         }
     }
 }
--- a/crates/consensus/src/sim/stories.rs
+++ b/crates/consensus/src/sim/stories.rs
@@ -199,6 +199,6 @@
     let named = |n: &[&str]| n.iter().map(|n| Name::new(n).expect("a name")).collect::<Vec<_>>();
     let why = |n: &[&str]| Settings::new(named(n), 1).check();
     assert_eq!(why(&["a", "b", "c"]), Ok(()));
-    assert_eq!(why(&["a", "b"]), Err(crate::SettingsError::Voters(2)));
-    assert_eq!(why(&["a", "b", "a"]), Err(crate::SettingsError::Name(named(&["a"]).remove(0))));
+    assert_eq!(why(&["a", "b"]), Err(crate::SettingsError::VoterCount(2)));
+    assert_eq!(why(&["a", "b", "a"]), Err(crate::SettingsError::VoterName(named(&["a"]).remove(0))));
 }
--- a/crates/policy_change/examples/measure.rs
+++ b/crates/policy_change/examples/measure.rs
@@ -18,7 +18,7 @@
 /// One change with so many nodes killed a moment before: the time from proposing until every running node has the new
 /// version active, and each node's closing.
 fn one(seed: u64, nodes: usize, down: usize) -> Option<(Duration, Vec<Duration>)> {
-    let faults = Faults { lost: 0.01, doubled: 0.01, deciding: 20 * MS, learning: 50 * MS };
+    let faults = Faults { loss: 0.01, duplicate: 0.01, max_decide_delay: 20 * MS, max_learn_delay: 50 * MS };
     let mut model = Model::new(seed, faults, 1_700_000_000_000);
     for i in 0..nodes {
         let rate = 0.9952 + 0.0096 * (i as f64 / nodes as f64);
--- a/crates/policy_change/src/cases.rs
+++ b/crates/policy_change/src/cases.rs
@@ -65,7 +65,7 @@
         play.run(after as u32 * 4 * MS);
         play.kill(0);
         play.run(300 * MS);
-        play.model.lead(Some(1));
+        play.model.set_leader(Some(1));
         // Its lease runs out, or the others' patience does.
         let s = short();
         let ended = play.until(s.vote_for + s.close_for + 20 * s.again, |p| {
--- a/crates/policy_change/src/play.rs
+++ b/crates/policy_change/src/play.rs
@@ -131,12 +131,12 @@
     }
 
     pub(crate) fn pause(&mut self, i: usize, paused: bool) {
-        self.model.pause(i, paused);
+        self.model.set_paused(i, paused);
         self.befall(i, !paused, |l| l.paused = paused);
     }
 
     pub(crate) fn cut(&mut self, i: usize, cut: bool) {
-        self.model.cut(i, cut);
+        self.model.set_isolated(i, cut);
         self.befall(i, true, |l| l.cut = cut);
     }
 
@@ -278,8 +278,8 @@
                 self.pause(i, false);
             }
         }
-        self.model.lead(Some(0));
-        self.model.also_leading(&[]);
+        self.model.set_leader(Some(0));
+        self.model.set_other_leaders(&[]);
         self.model.set_faults(Faults::default());
     }
 
@@ -305,7 +305,7 @@
             state.apply(decided.index, by, entry);
             for i in 0..self.locals.len() {
                 // Each knows what the log says up to the entry it has learnt, and that is what its snapshot holds.
-                if self.model.learnt(i) as u64 == decided.index.0 {
+                if self.model.learned_count(i) as u64 == decided.index.0 {
                     assert_eq!(*self.node(i).state(), state, "n{i} and the log");
                     let copy = postcard::from_bytes::<State>(&self.node(i).snapshot());
                     assert_eq!(copy.as_ref(), Ok(&state), "n{i}'s snapshot");
--- a/crates/policy_change/src/properties.rs
+++ b/crates/policy_change/src/properties.rs
@@ -16,10 +16,10 @@
 fn weather(play: &mut Play) -> Faults {
     let slow = if play.rng.random_bool(0.3) { 600 } else { 60 };
     Faults {
-        lost: play.rng.random_range(0.0..0.3),
-        doubled: play.rng.random_range(0.0..0.3),
-        deciding: play.rng.random_range(1..slow) * MS,
-        learning: play.rng.random_range(1..slow) * MS,
+        loss: play.rng.random_range(0.0..0.3),
+        duplicate: play.rng.random_range(0.0..0.3),
+        max_decide_delay: play.rng.random_range(1..slow) * MS,
+        max_learn_delay: play.rng.random_range(1..slow) * MS,
     }
 }
 
@@ -29,22 +29,22 @@
     match play.rng.random_range(0..16) {
         0 => play.kill(i),
         1 | 2 => play.cut(i, true),
-        3 | 4 if play.model.runs(i) => {
+        3 | 4 if play.model.is_running(i) => {
             play.pause(i, true);
             // A shorter stop is not told from a slow moment, see the gate.
             play.run(200 * MS);
         }
-        5 => play.model.lead(None),
+        5 => play.model.set_leader(None),
         6 => {
             let other = play.rng.random_range(0..NODES);
-            play.model.also_leading(&[i, other]);
+            play.model.set_other_leaders(&[i, other]);
         }
         7 => {
             let faults = weather(play);
             play.model.set_faults(faults);
         }
         8 => play.heal(),
-        9 if play.model.runs(i) => {
+        9 if play.model.is_running(i) => {
             // It learns of its renewal when it wakes, long after it asked, and nothing after that.
             let stop = play.rng.random_range(1000..1900) * MS;
             play.pause(i, true);
@@ -55,7 +55,7 @@
             play.cut(i, true);
         }
         9 | 10 => {
-            play.model.lead(Some(i));
+            play.model.set_leader(Some(i));
             play.cut(i, false);
         }
         11 => {
@@ -153,7 +153,7 @@
     let mut play = Play::new(seed, vec![Settings { plant, ..short() }; NODES], Faults::default());
     play.run(300 * MS);
     let decided = |p: &mut Play| {
-        let unlearnt = &p.model.log()[p.model.learnt(3)..];
+        let unlearnt = &p.model.log()[p.model.learned_count(3)..];
         unlearnt.iter().any(|d| d.proposal.proposer.name.as_str() == "n3")
     };
     play.until(2000 * MS, decided).expect("it asks for its lease to go on");
@@ -161,7 +161,7 @@
     play.run(1200 * MS);
     play.propose(1, "share = 1");
     // What it asks for when it wakes is lost.
-    play.model.set_faults(Faults { lost: 1.0, ..Faults::default() });
+    play.model.set_faults(Faults { loss: 1.0, ..Faults::default() });
     play.pause(3, false);
     play.run(30 * MS);
     play.cut(3, true);
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -136,7 +136,7 @@
     let mut sim = Sim::new(5, 5, &plain(200, 400), Settings::default());
     sim.ask(0..5, CLUBS, "lookup", 600.0);
     sim.run(5 * S);
-    sim.model.cut(3, true);
+    sim.model.set_isolated(3, true);
     sim.run(20 * S);
     let from = sim.model.now();
     sim.run(20 * S);
@@ -199,7 +199,7 @@
     sim.run(4 * S);
     let day = sim.model.machine(1).expect("running").0.state().day().0;
     for i in 0..3 {
-        sim.model.set_wall(i, 86_400_000);
+        sim.model.set_wall_ahead(i, 86_400_000);
     }
     sim.run(4 * S);
     assert_eq!(sim.model.machine(1).expect("running").0.state().day().0, day + 1);
@@ -290,7 +290,7 @@
         let mut sim = Sim::planted(2, 3, &plain(200, 100), short(), plant);
         sim.ask(0..3, CLUBS, "lookup", 600.0);
         sim.run(3 * S);
-        sim.model.cut(2, true);
+        sim.model.set_isolated(2, true);
         sim.run(6 * S);
         let faults = check(&sim.records);
         let told = faults.iter().any(|f| matches!(f, Fault::AfterLease { node: 2, .. }));
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -251,10 +251,10 @@
         let n = self.model.len();
         let i = self.rng.random_range(0..n);
         match self.rng.random_range(0..12) {
-            0 => self.model.cut(i, true),
-            1 | 2 => self.model.cut(i, false),
-            3 => self.model.pause(i, true),
-            4 | 5 => self.model.pause(i, false),
+            0 => self.model.set_isolated(i, true),
+            1 | 2 => self.model.set_isolated(i, false),
+            3 => self.model.set_paused(i, true),
+            4 | 5 => self.model.set_paused(i, false),
             6 => self.kill(i),
             7 | 8 => {
                 self.kill(i);
@@ -262,17 +262,22 @@
             }
             9 => {
                 let leader = self.rng.random_range(0..n + 1);
-                self.model.lead((leader < n).then_some(leader));
-                self.model.also_leading(&[i]);
+                self.model.set_leader((leader < n).then_some(leader));
+                self.model.set_other_leaders(&[i]);
             }
             10 => {
                 let ahead = self.rng.random_range(-600_000..600_000);
-                self.model.set_wall(i, ahead);
+                self.model.set_wall_ahead(i, ahead);
             }
             _ => {
                 let lost = self.rng.random_range(0.0..0.4);
                 let slow = Duration::from_millis(self.rng.random_range(1..1500));
-                self.model.set_faults(Faults { lost, doubled: 0.3, deciding: slow, learning: slow });
+                self.model.set_faults(Faults {
+                    loss: lost,
+                    duplicate: 0.3,
+                    max_decide_delay: slow,
+                    max_learn_delay: slow,
+                });
             }
         }
     }
@@ -280,14 +285,14 @@
     /// All faults end: everybody runs, the first node leads.
     pub fn heal(&mut self) {
         for i in 0..self.model.len() {
-            self.model.cut(i, false);
-            self.model.pause(i, false);
-            if !self.model.runs(i) {
+            self.model.set_isolated(i, false);
+            self.model.set_paused(i, false);
+            if !self.model.is_running(i) {
                 self.start(i);
             }
         }
-        self.model.lead(Some(0));
-        self.model.also_leading(&[]);
+        self.model.set_leader(Some(0));
+        self.model.set_other_leaders(&[]);
         self.model.set_faults(Faults::default());
     }
 }
