--- a/crates/addresses/src/exhaustive.rs
+++ b/crates/addresses/src/exhaustive.rs
@@ -10,7 +10,7 @@
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 
-use magpietally_consensus::{Index, Proposal, Stamp};
+use magpietally_consensus::{Index, Proposal, Timestamp};
 use magpietally_transport::Session;
 
 use super::*;
@@ -30,7 +30,7 @@
     now: u64,
     nodes: Vec<Addresses>,
     learnt: [usize; 2],
-    log: Vec<Decided>,
+    log: Vec<DecidedEntry>,
     waiting: [Option<Body>; 2],
     asks: [u64; 2],
     /// The second node has proposed the end.
@@ -104,8 +104,8 @@
     fn decide(&mut self, i: usize, body: &Body) {
         let index = Index(self.log.len() as u64 + 1);
         let (topic, by, id) = (Topic::Addresses, self.nodes[i].me.clone(), index.0);
-        let proposal = Proposal { topic, by, id, body: body.encode() };
-        self.log.push(Decided { index, stamp: Stamp(0), proposal });
+        let proposal = Proposal { topic, proposer: by, id, body: body.encode() };
+        self.log.push(DecidedEntry { index, timestamp: Timestamp(0), proposal });
     }
 
     fn learn(&mut self, i: usize) {
@@ -154,7 +154,7 @@
             }
             let state = &self.nodes[i].state;
             let owner = Key::Owner(E.into());
-            let lapsed = state.leases.lapsed(at(self.now).boot).find(|(k, _)| **k == owner);
+            let lapsed = state.leases.expired(at(self.now).boot).find(|(k, _)| **k == owner);
             if let Some((_, grant)) = lapsed.filter(|_| i == 1 && !self.ended) {
                 let body = Body::End(vec![(owner.clone(), grant.index)]);
                 add(&|w| (w.ended, w.waiting[1]) = (true, Some(body.clone())));
@@ -178,7 +178,7 @@
         let mut h = DefaultHasher::new();
         let now = at(self.now).boot;
         // Of what a node knows by its clock: what it holds yet, and (the second alone ends leases) when the owner's lapses.
-        let held = |h: Held| h.until().max(now);
+        let held = |h: HeldLease| h.expires_at().max(now);
         let nodes = self.nodes.iter().map(|n| {
             let owned: Vec<_> = n.owned.iter().map(|(p, h)| (p, held(*h))).collect();
             let state = (&n.state.plain, n.state.leases.grants());
@@ -187,7 +187,7 @@
         let all: Vec<_> = nodes.collect();
         let owner = Key::Owner(E.into());
         let lapses = (self.now..=SECONDS)
-            .find(|t| self.nodes[1].state.leases.lapsed(at(*t).boot).any(|(k, _)| *k == owner));
+            .find(|t| self.nodes[1].state.leases.expired(at(*t).boot).any(|(k, _)| *k == owner));
         let bodies: Vec<_> = self.log.iter().map(|d| &d.proposal.body).collect();
         let text = format!(
             "{all:?}{lapses:?}{bodies:?}{:?}{:?}{:?}{:?}{:?}{}",
--- a/crates/addresses/tests/common/mod.rs
+++ b/crates/addresses/tests/common/mod.rs
@@ -10,7 +10,7 @@
     AddressRule, Addresses, Figures, Judgement, Kind, Planted, Rules, Settings, State, Sums,
 };
 use magpietally_consensus::model::{Clocks, Faults, Model, STEP};
-use magpietally_consensus::Machine;
+use magpietally_consensus::StateMachine;
 use magpietally_transport::{Name, Now, Peer, Session};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -277,7 +277,7 @@
         for s in 0..self.sites.len() {
             let mut sums = Sums::default();
             for i in 0..self.of.len() {
-                if self.of[i] == s && self.model.runs(i) {
+                if self.of[i] == s && self.model.is_running(i) {
                     sums.add(&self.figures(s));
                 }
             }
@@ -294,7 +294,7 @@
     fn observe(&mut self) {
         let now = Now { boot: self.model.now(), wall_ms: 0 };
         while let Some(decided) = self.model.log().get(self.observed) {
-            let by = &decided.proposal.by.name;
+            let by = &decided.proposal.proposer.name;
             let bytes = decided.proposal.body.len() as u64;
             self.observer.apply(now, decided);
             if let Some(i) = (0..self.of.len()).find(|i| name_of(*i, self.sites.len()) == by.as_str()) {
--- a/crates/consensus/src/chain.rs
+++ b/crates/consensus/src/chain.rs
@@ -6,28 +6,28 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{Decided, Index, Topic};
+use crate::entry::{DecidedEntry, Index, Topic};
 use crate::head::{Hash, Head, Item};
 use crate::wire::FORMAT;
 
 /// The largest snapshot of all machines together, in bytes: with the voter's own votes it has to fit one record of the
 /// store (8 MiB), and a node that catches up holds it twice.
-pub const SNAPSHOT_MAX: usize = 4 << 20;
+pub const SNAPSHOT_MAX_BYTES: usize = 4 << 20;
 
 /// The machines' snapshots, each with whose it is.
-pub type Machines = Vec<(Topic, Vec<u8>)>;
+pub type MachineSnapshots = Vec<(Topic, Vec<u8>)>;
 
 /// What a snapshot holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Checkpoint {
     pub head: Head,
-    pub machines: Machines,
+    pub machines: MachineSnapshots,
 }
 
 impl Checkpoint {
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(self, vec![FORMAT]).ok()?;
-        (bytes.len() <= SNAPSHOT_MAX).then_some(bytes)
+        (bytes.len() <= SNAPSHOT_MAX_BYTES).then_some(bytes)
     }
 
     pub fn decode(bytes: &[u8]) -> Option<Self> {
@@ -74,7 +74,7 @@
         self.end() - self.kept.len() as u64
     }
 
-    pub fn apply(&mut self, item: Item, keep: (usize, usize)) -> Decided {
+    pub fn apply(&mut self, item: Item, keep: (usize, usize)) -> DecidedEntry {
         let decided = self.head.apply(&item);
         let size = item.size();
         self.bytes += size;
--- a/crates/consensus/src/head.rs
+++ b/crates/consensus/src/head.rs
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::entry::{Decided, Index, Proposal, Stamp, Topic};
+use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, Topic};
 
 /// The most proposers whose last number is remembered. Past that the one that proposed longest ago is forgotten, by the
 /// log's own order: a fleet of 500 nodes has room for eight generations of names, and one forgotten can only be
 /// decided twice if its proposal is still on its way after 4,096 other nodes proposed.
-pub const NAMES_MAX: usize = 4096;
+pub const PROPOSERS_MAX: usize = 4096;
 
 /// The chained hash of an entry and all before it: 16 bytes of SHA-256.
 pub type Hash = [u8; 16];
@@ -32,7 +32,7 @@
 impl Item {
     /// About what it takes in memory and in a message, in bytes.
     pub fn size(&self) -> usize {
-        self.proposal.body.len() + self.proposal.by.name.as_str().len() + 40
+        self.proposal.body.len() + self.proposal.proposer.name.as_str().len() + 40
     }
 }
 
@@ -48,30 +48,30 @@
 pub(crate) struct Head {
     pub index: Index,
     pub hash: Hash,
-    pub stamp: Stamp,
+    pub timestamp: Timestamp,
     last: BTreeMap<Name, Last>,
 }
 
 impl Head {
     /// Takes the next item. A proposal that was decided before, or was overtaken by a later one of its proposer, leaves
     /// its place empty: an entry of the log's own topic by nobody.
-    pub fn apply(&mut self, item: &Item) -> Decided {
+    pub fn apply(&mut self, item: &Item) -> DecidedEntry {
         self.index.0 += 1;
-        self.stamp = self.stamp.max(Stamp(item.wall_ms));
+        self.timestamp = self.timestamp.max(Timestamp(item.wall_ms));
         self.hash = chain(&self.hash, item);
-        let (by, id) = (&item.proposal.by, item.proposal.id);
+        let (by, id) = (&item.proposal.proposer, item.proposal.id);
         let anew = self.last.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
         let proposal = if anew && id > 0 {
-            if self.last.len() >= NAMES_MAX && !self.last.contains_key(&by.name) {
+            if self.last.len() >= PROPOSERS_MAX && !self.last.contains_key(&by.name) {
                 let oldest = self.last.iter().min_by_key(|(_, l)| l.at).map(|(n, _)| n.clone());
                 oldest.map(|n| self.last.remove(&n));
             }
             self.last.insert(by.name.clone(), Last { session: by.session, id, at: self.index });
             item.proposal.clone()
         } else {
-            Proposal { topic: Topic::Voters, by: Peer::default_of_nobody(), id: 0, body: Vec::new() }
+            Proposal { topic: Topic::Voters, proposer: Peer::default_of_nobody(), id: 0, body: Vec::new() }
         };
-        Decided { index: self.index, stamp: self.stamp, proposal }
+        DecidedEntry { index: self.index, timestamp: self.timestamp, proposal }
     }
 
     /// The last number decided of this proposer's session; 0 where none was.
@@ -97,9 +97,9 @@
     sha.update(item.wall_ms.to_le_bytes());
     let p = &item.proposal;
     sha.update([p.topic as u8]);
-    sha.update((p.by.name.as_str().len() as u64).to_le_bytes());
-    sha.update(p.by.name.as_str().as_bytes());
-    sha.update(p.by.session.0.to_le_bytes());
+    sha.update((p.proposer.name.as_str().len() as u64).to_le_bytes());
+    sha.update(p.proposer.name.as_str().as_bytes());
+    sha.update(p.proposer.session.0.to_le_bytes());
     sha.update(p.id.to_le_bytes());
     sha.update(&p.body);
     let mut hash = Hash::default();
--- a/crates/consensus/src/model/tests.rs
+++ b/crates/consensus/src/model/tests.rs
@@ -10,12 +10,12 @@
     heard: Vec<(u64, String)>,
 }
 
-impl Machine for Crier {
+impl StateMachine for Crier {
     fn topic(&self) -> Topic {
         Topic::Policy
     }
-    fn apply(&mut self, _: Now, d: &Decided) {
-        self.heard.push((d.index.0, d.proposal.by.to_string()));
+    fn apply(&mut self, _: Now, d: &DecidedEntry) {
+        self.heard.push((d.index.0, d.proposal.proposer.to_string()));
     }
     fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.heard).expect("plain values")
@@ -39,7 +39,7 @@
 #[test]
 fn every_node_learns_the_same_entries_once_and_in_order_through_kills_cuts_and_doubles() {
     for seed in 0..20 {
-        let faults = Faults { lost: 0.2, doubled: 0.3, ..Faults::default() };
+        let faults = Faults { loss: 0.2, duplicate: 0.3, ..Faults::default() };
         let mut model = Model::new(seed, faults, 0);
         let make = |me, now: Now| Crier { me, due: now.boot, want: None, heard: Vec::new() };
         for i in 0..4u64 {
@@ -47,21 +47,21 @@
             model.add(Name::new(&format!("n{i}")).expect("a name"), clocks, make);
         }
         model.run(Duration::from_secs(5), |_| {});
-        model.cut(1, true);
-        model.pause(2, true);
+        model.set_isolated(1, true);
+        model.set_paused(2, true);
         model.kill(3);
         model.run(Duration::from_secs(5), |_| {});
-        model.cut(1, false);
-        model.pause(2, false);
+        model.set_isolated(1, false);
+        model.set_paused(2, false);
         model.start(3, make);
         model.run(Duration::from_secs(5), |_| {});
-        model.lead(None);
+        model.set_leader(None);
         model.run(Duration::from_secs(1), |_| {});
         let want: Vec<(u64, String)> =
-            model.log().iter().map(|d| (d.index.0, d.proposal.by.to_string())).collect();
+            model.log().iter().map(|d| (d.index.0, d.proposal.proposer.to_string())).collect();
         assert!(want.len() > 20, "seed {seed}: {} entries", want.len());
         let ids: std::collections::BTreeSet<(Peer, u64)> =
-            model.log().iter().map(|d| (d.proposal.by.clone(), d.proposal.id)).collect();
+            model.log().iter().map(|d| (d.proposal.proposer.clone(), d.proposal.id)).collect();
         assert_eq!(ids.len(), want.len(), "seed {seed}: a proposal was decided twice");
         for i in 0..4 {
             let (machine, _) = model.machine(i).expect("running");
--- a/crates/consensus/testing/carried.rs
+++ b/crates/consensus/testing/carried.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use magpietally_consensus::check::{Record, What};
-use magpietally_consensus::{Decided, Index, Node, Ready, Settings, Topic, Write};
+use magpietally_consensus::check::{Observation, Record};
+use magpietally_consensus::{DecidedEntry, Index, Node, Ready, Settings, Topic, Write};
 use magpietally_transport::{Now, Outgoing, Peer, Room};
 
 /// What is on a disk, and whether there is space on it.
@@ -96,22 +96,22 @@
         self.settle(now);
     }
 
-    fn see(&mut self, now: Now, what: What) {
+    fn see(&mut self, now: Now, what: Observation) {
         if self.records {
             self.seen.push(Record { node: self.me.clone(), at_us: now.boot.as_micros() as u64, what });
         }
     }
 
-    fn apply(&mut self, now: Now, decided: &Decided) {
+    fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         self.index = decided.index;
-        let what = What::entry(decided);
-        if let What::Entry { hash, .. } = &what {
+        let what = Observation::entry(decided);
+        if let Observation::Entry { hash, .. } = &what {
             self.digest = self.digest.rotate_left(7).wrapping_add(*hash);
         }
         self.see(now, what);
-        if decided.proposal.by == self.me {
+        if decided.proposal.proposer == self.me {
             if let Some(asked_us) = self.reads.remove(&decided.proposal.id) {
-                self.see(now, What::Read { asked_us, index: self.index });
+                self.see(now, Observation::Read { asked_us, index: self.index });
             }
         }
     }
@@ -123,10 +123,10 @@
                 if let (Some((_, ready)), Some(disk)) = (self.pending.take(), &self.disk) {
                     let mut disk = disk.lock().expect("a disk");
                     if disk.full {
-                        self.node.refused(now, ready.number, "no space left".to_owned());
+                        self.node.write_failed(now, ready.number, "no space left".to_owned());
                     } else {
                         disk.write(&ready.write);
-                        self.node.durable(now, ready.number);
+                        self.node.write_completed(now, ready.number);
                     }
                     still = false;
                 }
@@ -142,16 +142,16 @@
                 let digest = digest.and_then(|m| <[u8; 8]>::try_from(m).ok());
                 self.digest = u64::from_le_bytes(digest.expect("the machine's own snapshot"));
                 self.index = index;
-                self.see(now, What::Restored { index });
+                self.see(now, Observation::Restored { index });
                 still = false;
             }
             while let Some(decided) = self.node.take_decided() {
                 self.apply(now, &decided);
                 still = false;
             }
-            if let Some(at) = self.node.wants_snapshot() {
+            if let Some(at) = self.node.snapshot_due() {
                 let machines = vec![(Topic::Policy, self.digest.to_le_bytes().to_vec())];
-                self.node.give_snapshot(now, at, machines).expect("a small snapshot");
+                self.node.provide_snapshot(now, at, machines).expect("a small snapshot");
                 still = false;
             }
             if still {
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use magpietally_consensus::Machine;
+use magpietally_consensus::StateMachine;
 use magpietally_transport::{Name, Peer, Session};
 
 use crate::check::{check, Fault, Record, What};
@@ -136,7 +136,7 @@
     let mut sim = Sim::new(5, 5, &plain(200, 400), Settings::default());
     sim.ask(0..5, CLUBS, "lookup", 600.0);
     sim.run(5 * S);
-    sim.model.cut(3, true);
+    sim.model.set_isolated(3, true);
     sim.run(20 * S);
     let from = sim.model.now();
     sim.run(20 * S);
@@ -199,7 +199,7 @@
     sim.run(4 * S);
     let day = sim.model.machine(1).expect("running").0.state().day().0;
     for i in 0..3 {
-        sim.model.set_wall(i, 86_400_000);
+        sim.model.set_wall_ahead(i, 86_400_000);
     }
     sim.run(4 * S);
     assert_eq!(sim.model.machine(1).expect("running").0.state().day().0, day + 1);
@@ -233,7 +233,7 @@
 
 #[test]
 fn what_strangers_propose_breaks_no_bound_and_no_sum() {
-    use magpietally_consensus::{Decided, Index, Proposal, Stamp, Topic};
+    use magpietally_consensus::{DecidedEntry, Index, Proposal, Timestamp, Topic};
     use rand::{RngExt, SeedableRng};
     let mut rng = rand_pcg::Pcg64::seed_from_u64(13);
     let peer = |n: u64| Peer { name: Name::new("x").expect("a name"), session: Session(n) };
@@ -253,10 +253,10 @@
                 crate::Body::Report(report).encode()
             }
         };
-        let proposal = Proposal { topic: Topic::Quota, by: peer(1 + index % 7), id: index, body };
+        let proposal = Proposal { topic: Topic::Quota, proposer: peer(1 + index % 7), id: index, body };
         q.apply(
             magpietally_transport::Now::at(S),
-            &Decided { index: Index(index), stamp: Stamp(0), proposal },
+            &DecidedEntry { index: Index(index), timestamp: Timestamp(0), proposal },
         );
         let sums = q.state().sums();
         assert!(sums.0 <= 1_000_000 && sums.1 <= 1_000_000, "{sums:?} at {index}");
@@ -290,7 +290,7 @@
         let mut sim = Sim::planted(2, 3, &plain(200, 100), short(), plant);
         sim.ask(0..3, CLUBS, "lookup", 600.0);
         sim.run(3 * S);
-        sim.model.cut(2, true);
+        sim.model.set_isolated(2, true);
         sim.run(6 * S);
         let faults = check(&sim.records);
         let told = faults.iter().any(|f| matches!(f, Fault::AfterLease { node: 2, .. }));
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpietally_consensus::{Decided, Grant, Index, Leases};
+use magpietally_consensus::{DecidedEntry, Grant, Index, Leases};
 use magpietally_transport::Peer;
 use serde::{Deserialize, Serialize};
 
@@ -89,9 +89,9 @@
 }
 
 impl State {
-    pub(crate) fn apply(&mut self, now: Duration, decided: &Decided) -> Changed {
+    pub(crate) fn apply(&mut self, now: Duration, decided: &DecidedEntry) -> Changed {
         let c = &mut self.common;
-        c.stamp_ms = c.stamp_ms.max(decided.stamp.0);
+        c.stamp_ms = c.stamp_ms.max(decided.timestamp.0);
         let day = u32::try_from(c.stamp_ms / DAY_MS).unwrap_or(u32::MAX);
         if day > c.day {
             c.day = day;
@@ -115,8 +115,8 @@
         }
     }
 
-    fn report(&mut self, now: Duration, decided: &Decided, r: &Report) -> Changed {
-        let peer = &decided.proposal.by;
+    fn report(&mut self, now: Duration, decided: &DecidedEntry, r: &Report) -> Changed {
+        let peer = &decided.proposal.proposer;
         let ms = r.term_ms.max(r.reserve_ms);
         if ms > TERM_MAX_MS || r.term_ms > r.reserve_ms {
             return Changed::default();
@@ -258,8 +258,8 @@
 
     /// Leases that have ended for their holders by this node's count, to be proposed for ending.
     pub(crate) fn lapsed(&self, now: Duration) -> Vec<(u32, u64, bool)> {
-        let all = self.reserves.lapsed(now).map(|(sid, g)| (*sid, g.index.0, true));
-        let some = self.shares.lapsed(now).map(|(sid, g)| (*sid, g.index.0, false));
+        let all = self.reserves.expired(now).map(|(sid, g)| (*sid, g.index.0, true));
+        let some = self.shares.expired(now).map(|(sid, g)| (*sid, g.index.0, false));
         all.chain(some).take(crate::entry::ENDS_MAX).collect()
     }
 
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use magpietally_config::file::read_plain;
-use magpietally_consensus::{check as log_check, Machine, Node, Topic, Write};
+use magpietally_consensus::{check as log_check, Node, StateMachine, Topic, Write};
 use magpietally_policy_change::{End, Outcome, Version, Why, DOCUMENT_MAX};
 use magpietally_store::disk::Folder;
 use magpietally_store::{Log, Store, StoreError};
@@ -142,14 +142,14 @@
                 }
             };
             match written {
-                Ok(()) => self.log.durable(now, ready.number),
+                Ok(()) => self.log.write_completed(now, ready.number),
                 Err(error) => {
                     tracing::error!(target: "fleet", "the store refuses: {error}");
                     if matches!(error, StoreError::Doubted(_)) {
                         self.doubt = Some(error.to_string());
                         return;
                     }
-                    self.log.refused(now, ready.number, error.to_string());
+                    self.log.write_failed(now, ready.number, error.to_string());
                     return;
                 }
             }
@@ -176,7 +176,7 @@
         if let Some((index, machines)) = self.log.take_restore() {
             any = true;
             if self.shared.keeps_records() {
-                self.record_log(now, log_check::What::Restored { index });
+                self.record_log(now, log_check::Observation::Restored { index });
             }
             for (topic, snapshot) in machines {
                 let restored = match topic {
@@ -193,7 +193,7 @@
         while let Some(decided) = self.log.take_decided() {
             any = true;
             if self.shared.keeps_records() {
-                self.record_log(now, log_check::What::entry(&decided));
+                self.record_log(now, log_check::Observation::entry(&decided));
             }
             match decided.proposal.topic {
                 Topic::Policy => {
@@ -204,26 +204,26 @@
                 Topic::Voters | Topic::Addresses => {}
             }
         }
-        if let Some(index) = self.log.wants_snapshot() {
+        if let Some(index) = self.log.snapshot_due() {
             let machines =
                 vec![(Topic::Policy, rooms.policy.snapshot()), (Topic::Quota, rooms.quota.snapshot())];
-            if let Err(error) = self.log.give_snapshot(now, index, machines) {
+            if let Err(error) = self.log.provide_snapshot(now, index, machines) {
                 tracing::error!(target: "fleet", "a snapshot at {}: {error}", index.0);
             }
         }
         any
     }
 
-    fn record_log(&self, now: Now, what: log_check::What) {
+    fn record_log(&self, now: Now, what: log_check::Observation) {
         let at_us = u64::try_from(now.boot.as_micros()).unwrap_or(u64::MAX);
         self.shared.record(&Line::Log(log_check::Record { node: self.udp.me().clone(), at_us, what }));
     }
 
     /// Lets the rooms do what is due, and proposes what they want.
     fn rooms(&mut self, now: Now) {
-        let leading = self.log.leading();
+        let leading = self.log.is_leader();
         let rooms = &mut *self.shared.rooms();
-        let mut machines: [&mut dyn Machine; 2] = [&mut rooms.policy, &mut rooms.quota];
+        let mut machines: [&mut dyn StateMachine; 2] = [&mut rooms.policy, &mut rooms.quota];
         for machine in &mut machines {
             if machine.next_due().is_some_and(|due| due <= now.boot) {
                 machine.tick(now, leading);
