--- a/crates/consensus/src/check.rs
+++ b/crates/consensus/src/check.rs
@@ -1,7 +1,8 @@
-//! A checker of histories: what a log's users may rely on, held against what its nodes recorded.
+//! Checks recorded histories of nodes against the guarantees of the log.
 //!
-//! Pure: its input are plain records, each with a time on **one** clock (the checker's, not a node's). Records may come in
-//! any order but that of one node's session, which has to be its own.
+//! The checker is a pure function of plain records, each with a time on **one** clock, the checker's rather
+//! than a node's. Records may be in any order, except that the records of one node's session must be in their
+//! by_node order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,110 +12,110 @@
 
 use crate::entry::{DecidedEntry, Index};
 
-/// What a node saw.
+/// A record of what a node observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who.
+    /// The observing node.
     pub node: Peer,
-    /// When, by the checker's clock, in microseconds.
+    /// Time on the checker's clock, in microseconds.
     pub at_us: u64,
-    /// What.
+    /// The observation.
     pub what: Observation,
 }
 
-/// What was seen.
+/// What a node observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// An entry came out of the log.
+    /// A decided entry came out of the log.
     Entry {
-        /// At which index.
+        /// Its index.
         index: Index,
-        /// A hash of all of it, stamp included.
+        /// Hash of the whole entry, timestamp included.
         hash: u64,
-        /// Whose it is, by session and number; `None` for a place that was left empty.
+        /// Proposer and proposal number; `None` for an empty entry.
         by: Option<(Peer, u64)>,
     },
-    /// A snapshot took the place of all entries up to and with this.
+    /// A snapshot replaced all entries up to and including an index.
     Restored {
-        /// The last that it covers.
+        /// The last entry the snapshot covers.
         index: Index,
     },
-    /// A read that claims to be current.
+    /// A linearizable read.
     Read {
-        /// When it was asked for, by the checker's clock, in microseconds.
+        /// When the read was requested, on the checker's clock, in microseconds.
         asked_us: u64,
-        /// The last entry that it saw.
+        /// The last entry the read saw.
         index: Index,
     },
 }
 
 impl Observation {
-    /// An entry's record.
+    /// The observation of a decided entry.
     pub fn entry(decided: &DecidedEntry) -> Self {
-        let p = &decided.proposal;
+        let proposal = &decided.proposal;
         let mut crc = crc32fast::Hasher::new();
         crc.update(&decided.index.0.to_le_bytes());
         crc.update(&decided.timestamp.0.to_le_bytes());
-        crc.update(&[p.topic as u8]);
-        crc.update(p.proposer.name.as_str().as_bytes());
-        crc.update(&p.proposer.session.0.to_le_bytes());
-        crc.update(&p.id.to_le_bytes());
-        crc.update(&p.body);
-        let by = (p.id > 0).then(|| (p.proposer.clone(), p.id));
+        crc.update(&[proposal.topic as u8]);
+        crc.update(proposal.proposer.name.as_str().as_bytes());
+        crc.update(&proposal.proposer.session.0.to_le_bytes());
+        crc.update(&proposal.id.to_le_bytes());
+        crc.update(&proposal.body);
+        let by = (proposal.id > 0).then(|| (proposal.proposer.clone(), proposal.id));
         Self::Entry { index: decided.index, hash: u64::from(crc.finalize()), by }
     }
 }
 
-/// A rule that was broken, by name.
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Two nodes decided different entries at one index.
     TwoEntries {
-        /// Where.
+        /// The index.
         index: Index,
-        /// One of them.
+        /// One of the nodes.
         one: Peer,
-        /// The other.
+        /// The other node.
         other: Peer,
     },
-    /// A node decided another entry at an index than it had before, in this session or an earlier one.
+    /// A node decided a different entry at an index than before, in this session or an earlier one.
     Undone {
-        /// Where.
+        /// The index.
         index: Index,
-        /// Who.
+        /// The node.
         node: Peer,
     },
-    /// Entries did not come one after the other within a session.
+    /// Entries within a session did not have consecutive indexes.
     Order {
-        /// Who.
+        /// The node.
         node: Peer,
-        /// The last before.
+        /// The previous index.
         before: Index,
-        /// What came.
+        /// The index that followed.
         came: Index,
     },
     /// One proposal was decided at two indexes.
     Twice {
-        /// Whose, and its number.
+        /// The proposer and the proposal number.
         proposal: (Peer, u64),
-        /// Where first.
+        /// The first index.
         first: Index,
-        /// Where again.
+        /// The second index.
         again: Index,
     },
-    /// A read that claims to be current did not see what was decided before it was asked for.
+    /// A linearizable read did not see an entry that was decided before the read was requested.
     Stale {
-        /// Who read.
+        /// The reading node.
         node: Peer,
-        /// What it saw.
+        /// The last entry the read saw.
         saw: Index,
-        /// What was decided.
+        /// The last entry that was decided.
         decided: Index,
     },
 }
 
 impl Violation {
-    /// The rule's name.
+    /// The rule's text.
     pub fn rule(&self) -> &'static str {
         match self {
             Self::TwoEntries { .. } => "no two nodes decide different entries at one index",
@@ -132,78 +133,78 @@
     }
 }
 
-/// Every rule that the history breaks, each at its first place.
+/// Returns the violated rules, each with its first occurrence.
 pub fn check(history: &[Record]) -> Vec<Violation> {
-    let mut broken = Vec::new();
-    entries(history, &mut broken);
-    order(history, &mut broken);
-    reads(history, &mut broken);
+    let mut violations = Vec::new();
+    entries(history, &mut violations);
+    order(history, &mut violations);
+    reads(history, &mut violations);
     let mut seen = BTreeSet::new();
-    broken.retain(|b| seen.insert(b.rule()));
-    broken
+    violations.retain(|b| seen.insert(b.rule()));
+    violations
 }
 
-fn entries(history: &[Record], broken: &mut Vec<Violation>) {
+fn entries(history: &[Record], violations: &mut Vec<Violation>) {
     let mut first: BTreeMap<Index, (u64, &Peer)> = BTreeMap::new();
-    let mut own: BTreeMap<(&str, Index), u64> = BTreeMap::new();
+    let mut by_node: BTreeMap<(&str, Index), u64> = BTreeMap::new();
     let mut proposals: BTreeMap<(&str, u64, u64), Index> = BTreeMap::new();
     for Record { node, what, .. } in history {
         let Observation::Entry { index, hash, by } = what else { continue };
-        let mine = *own.entry((node.name.as_str(), *index)).or_insert(*hash);
-        if mine != *hash {
-            broken.push(Violation::Undone { index: *index, node: node.clone() });
+        let own_hash = *by_node.entry((node.name.as_str(), *index)).or_insert(*hash);
+        if own_hash != *hash {
+            violations.push(Violation::Undone { index: *index, node: node.clone() });
             continue;
         }
-        let (theirs, one) = *first.entry(*index).or_insert((*hash, node));
-        if theirs != *hash {
-            broken.push(Violation::TwoEntries { index: *index, one: one.clone(), other: node.clone() });
+        let (first_hash, one) = *first.entry(*index).or_insert((*hash, node));
+        if first_hash != *hash {
+            violations.push(Violation::TwoEntries { index: *index, one: one.clone(), other: node.clone() });
         }
         if let Some((by, id)) = by {
             let at = *proposals.entry((by.name.as_str(), by.session.0, *id)).or_insert(*index);
             if at != *index {
-                broken.push(Violation::Twice { proposal: (by.clone(), *id), first: at, again: *index });
+                violations.push(Violation::Twice { proposal: (by.clone(), *id), first: at, again: *index });
             }
         }
     }
 }
 
-fn order(history: &[Record], broken: &mut Vec<Violation>) {
+fn order(history: &[Record], violations: &mut Vec<Violation>) {
     let mut last: BTreeMap<(&str, u64), Index> = BTreeMap::new();
     for Record { node, what, .. } in history {
         let last = last.entry((node.name.as_str(), node.session.0)).or_default();
-        let (came, right) = match what {
+        let (came, in_order) = match what {
             Observation::Entry { index, .. } => (*index, index.0 == last.0 + 1),
             Observation::Restored { index } => (*index, index > last),
             Observation::Read { .. } => continue,
         };
-        if !right {
-            broken.push(Violation::Order { node: node.clone(), before: *last, came });
+        if !in_order {
+            violations.push(Violation::Order { node: node.clone(), before: *last, came });
         }
         *last = came;
     }
 }
 
-fn reads(history: &[Record], broken: &mut Vec<Violation>) {
-    // The greatest index that had come out anywhere, by time.
-    let mut out: Vec<(u64, Index)> = history
+fn reads(history: &[Record], violations: &mut Vec<Violation>) {
+    // The highest index that any node had output by each time.
+    let mut decided_by: Vec<(u64, Index)> = history
         .iter()
         .filter_map(|r| match r.what {
             Observation::Entry { index, .. } | Observation::Restored { index } => Some((r.at_us, index)),
             Observation::Read { .. } => None,
         })
         .collect();
-    out.sort_unstable();
-    let mut most = Index(0);
-    for (_, index) in &mut out {
-        most = most.max(*index);
-        *index = most;
+    decided_by.sort_unstable();
+    let mut highest = Index(0);
+    for (_, index) in &mut decided_by {
+        highest = highest.max(*index);
+        *index = highest;
     }
     for Record { node, what, .. } in history {
         let Observation::Read { asked_us, index: saw } = what else { continue };
-        let before = out.partition_point(|(at, _)| at < asked_us);
-        let decided = before.checked_sub(1).map_or(Index(0), |i| out[i].1);
+        let before = decided_by.partition_point(|(at, _)| at < asked_us);
+        let decided = before.checked_sub(1).map_or(Index(0), |i| decided_by[i].1);
         if *saw < decided {
-            broken.push(Violation::Stale { node: node.clone(), saw: *saw, decided });
+            violations.push(Violation::Stale { node: node.clone(), saw: *saw, decided });
         }
     }
 }
--- a/crates/consensus/src/check/tests.rs
+++ b/crates/consensus/src/check/tests.rs
@@ -2,7 +2,7 @@
 use magpietally_transport::{Name, Session};
 
 fn peer(name: &str, session: u64) -> Peer {
-    Peer { name: Name::new(name).expect("a name"), session: Session(session) }
+    Peer { name: Name::new(name).expect("valid name"), session: Session(session) }
 }
 
 fn saw(name: &str, session: u64, at_us: u64, index: u64, hash: u64) -> Record {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_sound_history_breaks_no_rule() {
+fn a_valid_history_violates_no_rule() {
     let mut h = vec![saw("a", 1, 1, 1, 10), saw("a", 1, 2, 2, 20), saw("b", 1, 9, 1, 10)];
     h.push(saw("a", 2, 10, 1, 10));
     h.push(Record { node: peer("b", 2), at_us: 11, what: Observation::Restored { index: Index(2) } });
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_faulty_history_is_caught_by_the_name_of_its_rule() {
+fn each_invalid_history_is_reported_under_its_rule() {
     let read = |asked_us, index| {
         let what = Observation::Read { asked_us, index: Index(index) };
         Record { node: peer("b", 1), at_us: 99, what }
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -1,26 +1,26 @@
-//! What is proposed and what is decided.
+//! Proposals and decided entries.
 
 use magpietally_transport::Peer;
 use serde::{Deserialize, Serialize};
 
-/// The largest body of a proposal, in bytes: a policy document is the largest, and an entry has to fit one message of a
-/// stream with a batch's other proposals.
+/// The largest body of a proposal, in bytes. Policy documents are the largest bodies, and an entry must fit
+/// into one stream message together with the other proposals of its batch.
 pub const BODY_MAX_BYTES: usize = 64 << 10;
 
-/// An entry's place in the log: the first is 1.
+/// Position of an entry in the log; the first is 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// The log's clock, Unix time in milliseconds: the wall clock of the leader that proposed the entry, but never before the
-/// stamp of the entry before. All nodes see the same stamps; a day begins by them. It may stand still or jump ahead, so
-/// no span is measured by it.
+/// Log time: Unix time in milliseconds, from the wall clock of the leader that proposed the entry, but never
+/// earlier than the timestamp of the previous entry. All nodes see the same timestamps, and calendar days are
+/// derived from them. Log time can stand still or jump ahead, so it is not used to measure durations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Timestamp(pub u64);
 
-/// Which room an entry is for.
+/// The state machine an entry belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Topic {
-    /// The log's own: who votes.
+    /// The log itself: the set of voters.
     Voters,
     /// Policy versions.
     Policy,
@@ -30,27 +30,28 @@
     Addresses,
 }
 
-/// What a node wants decided.
+/// A request to have something decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Whose it is.
+    /// The state machine it belongs to.
     pub topic: Topic,
-    /// Who proposed it, at which start.
+    /// The proposing node and its session.
     pub proposer: Peer,
-    /// The proposer's number for it, from 1, within its session. The log decides each (proposer, id) at most once, and none
-    /// whose id is not above the last decided one of the same session: proposals that overtake others displace them.
+    /// The proposer's number for this proposal, starting at 1 in each session. The log decides each
+    /// (proposer, id) at most once, and only ids above the last decided id of the same session: a proposal
+    /// that overtakes earlier ones supersedes them.
     pub id: u64,
-    /// The room's own encoding, at most [`BODY_MAX_BYTES`] bytes.
+    /// Payload in the state machine's own encoding, at most [`BODY_MAX_BYTES`] bytes.
     pub body: Vec<u8>,
 }
 
-/// One decided entry.
+/// A decided entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedEntry {
-    /// Where in the log.
+    /// Position in the log.
     pub index: Index,
-    /// When, by the log's clock.
+    /// Log time of the entry.
     pub timestamp: Timestamp,
-    /// What.
+    /// The proposal that was decided.
     pub proposal: Proposal,
 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,44 +1,48 @@
-//! How a node of the log is set.
+//! Settings of a node of the log.
 
 use std::fmt;
 use std::time::Duration;
 
 use magpietally_transport::Name;
 
-/// The fewest and the most voters: with 3 one may be lost, with 7 three; more only make every decision dearer.
+/// Allowed number of voters. With 3 voters one may fail, with 7 three; more would only make every decision
+/// more expensive.
 pub const VOTER_COUNT: std::ops::RangeInclusive<usize> = 3..=7;
 
-/// A node's settings, the same in the whole fleet but for the seed.
+/// Settings of a node, the same in the whole fleet except for the seed.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who votes, [`VOTER_COUNT`] of them, in the same order at every node. An odd number: a fourth voter bears no more losses
-    /// than three.
+    /// The voters, [`VOTER_COUNT`] of them, in the same order on every node. Use an odd number: four voters
+    /// tolerate no more failures than three.
     pub voters: Vec<Name>,
-    /// For jitter, the choice of peers, and a voter's identity at its first start: a different one at each start.
+    /// Seeds the jitter, the choice of peers, and a voter's identity at its first start; different at each
+    /// start.
     pub seed: u64,
-    /// One round of heartbeats between voters is five of these: a leader is missed after two to three rounds, and a round
-    /// must be longer than the way there and back.
+    /// Interval of the voters' clock tick. A heartbeat round between voters takes five ticks, and a failed
+    /// leader is noticed after two to three rounds. A round must be longer than the round-trip time.
     pub tick_interval: Duration,
-    /// How long the leader collects proposals before it passes them on together: one write for many, at little delay.
+    /// How long the leader collects proposals before it replicates them together: one write covers many
+    /// proposals, at a small delay.
     pub batch_delay: Duration,
     /// How often a node tells one peer where its log ends.
     pub gossip_interval: Duration,
-    /// To how many peers a node passes on what it has just learnt. With 3, one round of a random spread misses about one
-    /// node in twenty, which then asks.
+    /// Number of peers to which a node forwards newly learned entries. With 3, one round of random gossip
+    /// misses about one node in twenty, which then requests the entries itself.
     pub fanout: usize,
-    /// The most a node asks for of what it missed, in bytes a second, and the most it gives others: the fleet's decisions
-    /// must not fill a link that carries clients.
+    /// Limit on the missed entries a node requests, and separately on those it sends to others, in bytes per
+    /// second, so that catching up does not fill a link that carries client traffic.
     pub catch_up_bytes_per_s: u64,
-    /// A checkpoint of the machines' states is made after so many entries.
+    /// Number of entries after which a checkpoint of the state machines is made.
     pub checkpoint_entries: u64,
-    /// The entries kept for others to catch up with, in number and in bytes; with a snapshot behind them.
+    /// Limit on the number of decided entries kept for other nodes to catch up; older entries are covered by
+    /// a snapshot.
     pub keep_entries: usize,
-    /// See [`Settings::keep_entries`].
+    /// Limit on the size of the decided entries kept, in bytes; see [`Settings::keep_entries`].
     pub keep_bytes: usize,
 }
 
 impl Settings {
-    /// The usual ones for these voters.
+    /// Default settings for these voters.
     pub fn new(voters: Vec<Name>, seed: u64) -> Self {
         Self {
             voters,
@@ -54,7 +58,7 @@
         }
     }
 
-    /// Checks them.
+    /// Validates the settings.
     ///
     /// # Errors
     /// See [`SettingsError`].
@@ -67,8 +71,8 @@
                 return Err(SettingsError::VoterName(name.clone()));
             }
         }
-        let least = Duration::from_millis(1);
-        if self.tick_interval < least || self.batch_delay < least || self.gossip_interval < least {
+        let min = Duration::from_millis(1);
+        if self.tick_interval < min || self.batch_delay < min || self.gossip_interval < min {
             return Err(SettingsError::TooSmall("tick_interval, batch_delay or gossip_interval"));
         }
         if self.checkpoint_entries == 0 || self.catch_up_bytes_per_s < 1024 {
@@ -81,32 +85,33 @@
     }
 }
 
-/// Why settings were refused.
+/// Why settings were rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// So many voters were named.
+    /// The number of voters is out of range.
     VoterCount(usize),
-    /// A voter's name is empty or named twice.
+    /// A voter's name is empty or listed twice.
     VoterName(Name),
-    /// One of these is nothing, or too little.
+    /// One of these settings is zero or too small.
     TooSmall(&'static str),
-    /// Entries must be kept for twice a checkpoint's number, so that a snapshot's taker finds what follows it.
+    /// Entries must be kept for at least two checkpoints, so that a node that received a snapshot finds the
+    /// entries that follow it.
     KeepEntries,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::VoterCount(n) => {
+            Self::VoterCount(count) => {
                 write!(
                     f,
-                    "{n} voters are named, {} to {} are allowed",
+                    "{count} voters are named, {} to {} are allowed",
                     VOTER_COUNT.start(),
                     VOTER_COUNT.end()
                 )
             }
             Self::VoterName(name) => write!(f, "voter {:?} is empty or named twice", name.as_str()),
-            Self::TooSmall(what) => write!(f, "{what}: too little"),
+            Self::TooSmall(what) => write!(f, "{what}: too small"),
             Self::KeepEntries => write!(f, "keep_entries must be at least twice checkpoint_entries"),
         }
     }
