--- a/crates/consensus/src/head.rs
+++ b/crates/consensus/src/head.rs
@@ -1,4 +1,5 @@
-//! What follows from the entries alone: where the log ends, its chained hash, its clock and who proposed what last.
+//! State derived from the entries alone: the end of the log, its chained hash, its time, and each proposer's
+//! last proposal.
 
 use std::collections::BTreeMap;
 
@@ -8,94 +9,96 @@
 
 use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, Topic};
 
-/// The most proposers whose last number is remembered. Past that the one that proposed longest ago is forgotten, by the
-/// log's own order: a fleet of 500 nodes has room for eight generations of names, and one forgotten can only be
-/// decided twice if its proposal is still on its way after 4,096 other nodes proposed.
+/// The most proposers whose last proposal is remembered. Beyond that the proposer whose last proposal is
+/// oldest in the log is forgotten. This allows eight generations of names in a fleet of 500 nodes. A proposal
+/// of a forgotten proposer can be decided twice only if it is still in flight after 4,096 other nodes have
+/// proposed.
 pub const PROPOSERS_MAX: usize = 4096;
 
-/// The chained hash of an entry and all before it: 16 bytes of SHA-256.
+/// Chained hash of an entry and all entries before it: 16 bytes of SHA-256.
 pub type Hash = [u8; 16];
 
-/// One place of the log as the voters decide it.
+/// One entry of the log as the voters decide it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Item {
-    /// The leader's wall clock.
+pub(crate) struct LogEntry {
+    /// The leader's wall clock, Unix time in milliseconds.
     pub wall_ms: u64,
-    /// What was proposed, perhaps a second time.
+    /// The proposal, possibly a repeated one.
     pub proposal: Proposal,
 }
 
-impl omnipaxos::storage::Entry for Item {
+impl omnipaxos::storage::Entry for LogEntry {
     type Snapshot = omnipaxos::storage::NoSnapshot;
 }
 
-impl Item {
-    /// About what it takes in memory and in a message, in bytes.
+impl LogEntry {
+    /// Approximate size in memory and in a message, in bytes.
     pub fn size(&self) -> usize {
         self.proposal.body.len() + self.proposal.proposer.name.as_str().len() + 40
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Last {
+struct LastProposal {
     session: Session,
     id: u64,
-    at: Index,
+    index: Index,
 }
 
-/// The log's state behind an entry.
+/// State of the log after an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
     pub index: Index,
     pub hash: Hash,
     pub timestamp: Timestamp,
-    last: BTreeMap<Name, Last>,
+    proposers: BTreeMap<Name, LastProposal>,
 }
 
 impl Head {
-    /// Takes the next item. A proposal that was decided before, or was overtaken by a later one of its proposer, leaves
-    /// its place empty: an entry of the log's own topic by nobody.
-    pub fn apply(&mut self, item: &Item) -> DecidedEntry {
+    /// Applies the next entry. A proposal that was decided before, or was superseded by a later one of its
+    /// proposer, yields an empty entry: topic [`Topic::Voters`], no proposer.
+    pub fn apply(&mut self, entry: &LogEntry) -> DecidedEntry {
         self.index.0 += 1;
-        self.timestamp = self.timestamp.max(Timestamp(item.wall_ms));
-        self.hash = chain(&self.hash, item);
-        let (by, id) = (&item.proposal.proposer, item.proposal.id);
-        let anew = self.last.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
-        let proposal = if anew && id > 0 {
-            if self.last.len() >= PROPOSERS_MAX && !self.last.contains_key(&by.name) {
-                let oldest = self.last.iter().min_by_key(|(_, l)| l.at).map(|(n, _)| n.clone());
-                oldest.map(|n| self.last.remove(&n));
+        self.timestamp = self.timestamp.max(Timestamp(entry.wall_ms));
+        self.hash = chain_hash(&self.hash, entry);
+        let (by, id) = (&entry.proposal.proposer, entry.proposal.id);
+        let is_new = self.proposers.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
+        let proposal = if is_new && id > 0 {
+            if self.proposers.len() >= PROPOSERS_MAX && !self.proposers.contains_key(&by.name) {
+                let oldest = self.proposers.iter().min_by_key(|(_, l)| l.index).map(|(n, _)| n.clone());
+                oldest.map(|n| self.proposers.remove(&n));
             }
-            self.last.insert(by.name.clone(), Last { session: by.session, id, at: self.index });
-            item.proposal.clone()
+            self.proposers
+                .insert(by.name.clone(), LastProposal { session: by.session, id, index: self.index });
+            entry.proposal.clone()
         } else {
-            Proposal { topic: Topic::Voters, proposer: Peer::default_of_nobody(), id: 0, body: Vec::new() }
+            Proposal { topic: Topic::Voters, proposer: Peer::no_peer(), id: 0, body: Vec::new() }
         };
         DecidedEntry { index: self.index, timestamp: self.timestamp, proposal }
     }
 
-    /// The last number decided of this proposer's session; 0 where none was.
-    pub fn last_of(&self, by: &Peer) -> u64 {
-        self.last.get(&by.name).filter(|l| l.session == by.session).map_or(0, |l| l.id)
+    /// The last decided id of this proposer's session, or 0 if there is none.
+    pub fn last_id(&self, by: &Peer) -> u64 {
+        self.proposers.get(&by.name).filter(|l| l.session == by.session).map_or(0, |l| l.id)
     }
 }
 
-trait Nobody {
-    fn default_of_nobody() -> Self;
+trait NoPeer {
+    fn no_peer() -> Self;
 }
 
-impl Nobody for Peer {
-    fn default_of_nobody() -> Self {
+impl NoPeer for Peer {
+    fn no_peer() -> Self {
         Self { name: Name::default(), session: Session(0) }
     }
 }
 
-/// The hash behind `item`, `before` being the one in front of it.
-pub(crate) fn chain(before: &Hash, item: &Item) -> Hash {
+/// The chained hash after `entry`, where `previous` is the hash before it.
+pub(crate) fn chain_hash(previous: &Hash, entry: &LogEntry) -> Hash {
     let mut sha = Sha256::new();
-    sha.update(before);
-    sha.update(item.wall_ms.to_le_bytes());
-    let p = &item.proposal;
+    sha.update(previous);
+    sha.update(entry.wall_ms.to_le_bytes());
+    let p = &entry.proposal;
     sha.update([p.topic as u8]);
     sha.update((p.proposer.name.as_str().len() as u64).to_le_bytes());
     sha.update(p.proposer.name.as_str().as_bytes());
--- a/crates/consensus/src/learn/tests.rs
+++ b/crates/consensus/src/learner/tests.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 #[test]
-fn as_many_peers_as_the_carriers_take_are_all_spoken_to() {
+fn peers_up_to_the_transport_limit_are_all_used() {
     let names = |of: &str, count: usize| -> Vec<Name> {
-        (0..count).map(|n| Name::new(&format!("{of}{n}")).expect("a name")).collect()
+        (0..count).map(|n| Name::new(&format!("{of}{n}")).expect("valid name")).collect()
     };
     let voters = names("v", 3);
     let settings = Settings::new(voters.clone(), 1);
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -1,9 +1,10 @@
-//! The log as its users may assume it, in virtual time: one list of decided entries, nodes that learn it late, proposals
-//! that get lost or doubled, nodes that are cut off, stopped, killed and started again, boot clocks of different speeds,
-//! wall clocks that are wrong, and now and then nobody that leads or two that think they do.
+//! A model of the log in virtual time: a single list of decided entries, and nodes that learn them late.
+//! Proposals are lost or duplicated. Nodes are isolated, paused, killed and restarted, their boot clocks run
+//! at different speeds and their wall clocks are wrong. At times there is no leader, or several nodes believe
+//! they lead.
 //!
-//! It is no consensus: it is the statement of what the consensus has to give, for tests of the rooms that stand on it.
-//! Seeded; the same calls give the same run on every machine.
+//! The model runs no consensus protocol. It states what consensus has to provide, for tests of the state
+//! machines that use the log. It is seeded: the same calls produce the same run on every machine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,23 +14,23 @@
 use rand_pcg::Pcg64;
 
 use crate::entry::{DecidedEntry, Index, Proposal, Timestamp, BODY_MAX_BYTES};
-use crate::machine::StateMachine;
+use crate::state_machine::StateMachine;
 
-/// How far the clock moves in one step.
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(1);
-/// Proposals on their way at most; past that they are lost.
-const ON_THEIR_WAY: usize = 1 << 16;
+/// Limit on the proposals in flight; further ones are lost.
+const IN_FLIGHT_MAX: usize = 1 << 16;
 
-/// What befalls every proposal and every entry.
+/// Faults that affect proposals and entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
-    /// Share of proposals that are never decided.
+    /// Fraction of proposals that are never decided.
     pub loss: f64,
-    /// Share of proposals that come to the log a second time, later.
+    /// Fraction of proposals that reach the log a second time, later.
     pub duplicate: f64,
-    /// A proposal is decided up to this long after it was made, evenly drawn.
+    /// Maximum time from a proposal to its decision; uniformly distributed.
     pub max_decide_delay: Duration,
-    /// A node learns of an entry up to this long after it was decided, evenly drawn.
+    /// Maximum time from a decision until a node learns of it; uniformly distributed.
     pub max_learn_delay: Duration,
 }
 
@@ -44,14 +45,14 @@
     }
 }
 
-/// The clocks of one node against the true time.
+/// The clocks of one node relative to true time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Clocks {
-    /// What the boot clock shows at the true time zero.
+    /// Reading of the boot clock at true time zero.
     pub boot_at_zero: Duration,
-    /// Seconds of the boot clock in a true second; within [`crate::DRIFT`] of 1 for any two nodes.
+    /// Boot clock seconds per true second. Any two nodes differ by less than [`crate::DRIFT`].
     pub rate: f64,
-    /// By how much the wall clock is ahead, in milliseconds.
+    /// How far the wall clock is ahead, in milliseconds.
     pub wall_ahead_ms: i64,
 }
 
@@ -59,24 +60,24 @@
     machine: Option<M>,
     peer: Peer,
     clocks: Clocks,
-    /// Entries learnt.
-    learnt: usize,
-    /// When the next entry comes to it, if that has been drawn.
-    comes: Option<Duration>,
+    /// Number of entries learned.
+    learned: usize,
+    /// When the next entry is delivered, once drawn.
+    delivery_at: Option<Duration>,
     next_id: u64,
-    cut: bool,
+    isolated: bool,
     paused: bool,
 }
 
-/// The log and the nodes on it.
+/// The log and its nodes.
 pub struct Model<M: StateMachine> {
     nodes: Vec<Node<M>>,
     log: Vec<DecidedEntry>,
-    on_their_way: BTreeMap<(Duration, u64), Proposal>,
-    order: u64,
+    in_flight: BTreeMap<(Duration, u64), Proposal>,
+    next_sequence: u64,
     last_ids: BTreeMap<Peer, u64>,
     leader: Option<usize>,
-    also_leading: Vec<usize>,
+    other_leaders: Vec<usize>,
     faults: Faults,
     rng: Pcg64,
     now: Duration,
@@ -84,16 +85,16 @@
 }
 
 impl<M: StateMachine> Model<M> {
-    /// No nodes yet; the true wall clock begins at `epoch_ms`.
+    /// A model without nodes; the true wall clock starts at `epoch_ms`.
     pub fn new(seed: u64, faults: Faults, epoch_ms: u64) -> Self {
         Self {
             nodes: Vec::new(),
             log: Vec::new(),
-            on_their_way: BTreeMap::new(),
-            order: 0,
+            in_flight: BTreeMap::new(),
+            next_sequence: 0,
             last_ids: BTreeMap::new(),
             leader: Some(0),
-            also_leading: Vec::new(),
+            other_leaders: Vec::new(),
             faults,
             rng: Pcg64::seed_from_u64(seed),
             now: Duration::ZERO,
@@ -101,18 +102,18 @@
         }
     }
 
-    /// Adds a node and starts it; its number. `make` is handed who it is and its first moment.
+    /// Adds a node, starts it and returns its number. `make` receives its identity and the time of its start.
     pub fn add(&mut self, name: Name, clocks: Clocks, make: impl FnOnce(Peer, Now) -> M) -> usize {
         let peer = Peer { name, session: Session(0) };
-        let (paused, cut) = (false, false);
+        let (paused, isolated) = (false, false);
         self.nodes.push(Node {
             machine: None,
             peer,
             clocks,
-            learnt: 0,
-            comes: None,
+            learned: 0,
+            delivery_at: None,
             next_id: 1,
-            cut,
+            isolated,
             paused,
         });
         let i = self.nodes.len() - 1;
@@ -120,69 +121,69 @@
         i
     }
 
-    /// Starts node `i` (again): a new session, nothing known but a snapshot of another node's or all entries from the
-    /// first on, as drawn.
+    /// Starts or restarts node `i` with a new session. It either begins with a snapshot of another node or
+    /// learns all entries from the first, chosen at random.
     pub fn start(&mut self, i: usize, make: impl FnOnce(Peer, Now) -> M) {
         self.nodes[i].peer.session.0 += 1;
         let now = self.local_time(i);
         let mut machine = make(self.nodes[i].peer.clone(), now);
-        let mut learnt = 0;
+        let mut learned = 0;
         let others: Vec<usize> =
             (0..self.nodes.len()).filter(|&j| j != i && self.nodes[j].machine.is_some()).collect();
         if !others.is_empty() && self.rng.random_bool(0.5) {
             let from = &self.nodes[others[self.rng.random_range(0..others.len())]];
             if let Some(snapshot) = from.machine.as_ref().map(M::snapshot) {
                 if machine.restore(now, &snapshot).is_ok() {
-                    learnt = from.learnt;
+                    learned = from.learned;
                 }
             }
         }
         let node = &mut self.nodes[i];
-        (node.machine, node.learnt, node.comes, node.next_id, node.paused) =
-            (Some(machine), learnt, None, 1, false);
+        (node.machine, node.learned, node.delivery_at, node.next_id, node.paused) =
+            (Some(machine), learned, None, 1, false);
     }
 
-    /// Node `i` is killed: what it knew is gone.
+    /// Kills node `i`; its state is lost.
     pub fn kill(&mut self, i: usize) {
         self.nodes[i].machine = None;
     }
 
-    /// Node `i` stops running (SIGSTOP) or runs again; its boot clock goes on.
+    /// Pauses node `i` (as SIGSTOP does) or resumes it; its boot clock continues.
     pub fn set_paused(&mut self, i: usize, paused: bool) {
         self.nodes[i].paused = paused;
     }
 
-    /// Node `i` is cut off from the log, or has it again.
-    pub fn set_isolated(&mut self, i: usize, cut: bool) {
-        self.nodes[i].cut = cut;
+    /// Disconnects node `i` from the log, or reconnects it.
+    pub fn set_isolated(&mut self, i: usize, isolated: bool) {
+        self.nodes[i].isolated = isolated;
     }
 
-    /// Who leads; while nobody does, nothing is decided.
+    /// Sets the leader; without one nothing is decided.
     pub fn set_leader(&mut self, leader: Option<usize>) {
         self.leader = leader;
     }
 
-    /// Nodes that think they lead, beside the one that does.
+    /// Sets the nodes that wrongly believe they lead, in addition to the leader.
     pub fn set_other_leaders(&mut self, nodes: &[usize]) {
-        self.also_leading = nodes.to_vec();
+        self.other_leaders = nodes.to_vec();
     }
 
-    /// What befalls proposals and entries from now on.
+    /// Sets the faults that apply from now on.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// Sets node `i`'s wall clock ahead by so much from now on.
+    /// Sets how far node `i`'s wall clock is ahead from now on.
     pub fn set_wall_ahead(&mut self, i: usize, ahead_ms: i64) {
         self.nodes[i].clocks.wall_ahead_ms = ahead_ms;
     }
 
-    /// The true time. Checkers count by it; no machine sees it.
+    /// The true time, for checkers; state machines never see it.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// What node `i`'s clocks show.
+    /// The readings of node `i`'s clocks.
     pub fn local_time(&self, i: usize) -> Now {
         let c = &self.nodes[i].clocks;
         let wall = self.epoch_ms + self.now.as_millis() as u64;
@@ -192,22 +193,22 @@
         }
     }
 
-    /// How many nodes there are, running or not.
+    /// Number of nodes, running or not.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// No node at all.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Whether node `i` runs now: neither killed nor stopped.
+    /// Returns whether node `i` is running: neither killed nor paused.
     pub fn is_running(&self, i: usize) -> bool {
         self.nodes[i].machine.is_some() && !self.nodes[i].paused
     }
 
-    /// Node `i`'s machine, if it runs, and what its clocks show: for what its users ask of it.
+    /// Node `i`'s state machine and clock readings, if the node is running, for requests of its users.
     pub fn machine(&mut self, i: usize) -> Option<(&mut M, Now)> {
         let now = self.local_time(i);
         let node = &mut self.nodes[i];
@@ -217,17 +218,17 @@
         node.machine.as_mut().map(|m| (m, now))
     }
 
-    /// All that has been decided.
+    /// All decided entries.
     pub fn log(&self) -> &[DecidedEntry] {
         &self.log
     }
 
-    /// How many entries node `i` has learnt.
+    /// Number of entries node `i` has learned.
     pub fn learned_count(&self, i: usize) -> usize {
-        self.nodes[i].learnt
+        self.nodes[i].learned
     }
 
-    /// Runs for `d`; `each` is called after every step.
+    /// Runs for `d` and calls `each` after every step.
     pub fn run(&mut self, d: Duration, mut each: impl FnMut(&mut Self)) {
         let end = self.now + d;
         while self.now < end {
@@ -237,25 +238,25 @@
         }
     }
 
-    /// Runs until `done` holds, for at most `limit`; the time it took, if it came.
+    /// Runs until `done` returns true, for at most `limit`. Returns the time taken, or `None` at the limit.
     pub fn run_until(
         &mut self,
         limit: Duration,
         mut done: impl FnMut(&mut Self) -> bool,
     ) -> Option<Duration> {
-        let begun = self.now;
+        let started_at = self.now;
         while !done(self) {
-            if self.now - begun >= limit {
+            if self.now - started_at >= limit {
                 return None;
             }
             self.now += STEP;
             self.step();
         }
-        Some(self.now - begun)
+        Some(self.now - started_at)
     }
 
     fn step(&mut self) {
-        while let Some(entry) = self.on_their_way.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
@@ -266,20 +267,22 @@
             if !self.is_running(i) {
                 continue;
             }
-            // A node that wakes may find its timers or the network first.
+            // A node that resumes may process its timers or the network first.
             if self.rng.random_bool(0.5) {
-                self.learn(i);
+                self.deliver(i);
                 self.tick(i);
             } else {
                 self.tick(i);
-                self.learn(i);
+                self.deliver(i);
             }
             self.propose(i);
         }
     }
 
     fn decide(&mut self, proposal: Proposal) {
-        let Some(leader) = self.leader.filter(|&l| self.is_running(l) && !self.nodes[l].cut) else { return };
+        let Some(leader) = self.leader.filter(|&l| self.is_running(l) && !self.nodes[l].isolated) else {
+            return;
+        };
         let last = self.last_ids.entry(proposal.proposer.clone()).or_default();
         if proposal.id <= *last {
             return;
@@ -290,32 +293,32 @@
         self.log.push(DecidedEntry { index: Index(self.log.len() as u64 + 1), timestamp, proposal });
     }
 
-    fn learn(&mut self, i: usize) {
+    fn deliver(&mut self, i: usize) {
         let now = self.local_time(i);
         let node = &mut self.nodes[i];
-        if node.cut {
-            node.comes = None;
+        if node.isolated {
+            node.delivery_at = None;
             return;
         }
-        while let Some(decided) = self.log.get(node.learnt) {
-            let comes = *node.comes.get_or_insert_with(|| {
+        while let Some(decided) = self.log.get(node.learned) {
+            let delivery_at = *node.delivery_at.get_or_insert_with(|| {
                 self.now + self.faults.max_learn_delay.mul_f64(self.rng.random_range(0.0..=1.0))
             });
-            if comes > self.now {
+            if delivery_at > self.now {
                 return;
             }
-            // Those decided meanwhile come with it.
+            // Entries decided in the meantime are delivered together with it.
             if let Some(machine) = node.machine.as_mut().filter(|m| m.topic() == decided.proposal.topic) {
                 machine.apply(now, decided);
             }
-            node.learnt += 1;
+            node.learned += 1;
         }
-        node.comes = None;
+        node.delivery_at = None;
     }
 
     fn tick(&mut self, i: usize) {
         let now = self.local_time(i);
-        let leading = self.leader == Some(i) || self.also_leading.contains(&i);
+        let leading = self.leader == Some(i) || self.other_leaders.contains(&i);
         if let Some(machine) = self.nodes[i].machine.as_mut() {
             if machine.next_due().is_some_and(|due| due <= now.boot) {
                 machine.tick(now, leading);
@@ -332,17 +335,17 @@
             let proposal =
                 Proposal { topic: machine.topic(), proposer: node.peer.clone(), id: node.next_id, body };
             node.next_id += 1;
-            if node.cut || self.rng.random_bool(self.faults.loss) {
+            if node.isolated || self.rng.random_bool(self.faults.loss) {
                 continue;
             }
             let copies = if self.rng.random_bool(self.faults.duplicate) { 2 } else { 1 };
             for _ in 0..copies {
-                if self.on_their_way.len() >= ON_THEIR_WAY {
+                if self.in_flight.len() >= IN_FLIGHT_MAX {
                     break;
                 }
-                self.order += 1;
+                self.next_sequence += 1;
                 let at = self.now + self.faults.max_decide_delay.mul_f64(self.rng.random_range(0.0..=1.0));
-                self.on_their_way.insert((at, self.order), proposal.clone());
+                self.in_flight.insert((at, self.next_sequence), proposal.clone());
             }
         }
     }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One node's part of the log: a voter or a learner, as a room.
+//! One node's part of the log, voter or learner, as a protocol without I/O.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -8,54 +8,59 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::chain::{Chain, Checkpoint, MachineSnapshots};
+use crate::bootstrap::{NoVoteReason, PeerStatus};
 use crate::entry::{DecidedEntry, Index, Proposal, Topic, BODY_MAX_BYTES};
-use crate::founding::{NoVoteReason, Said};
-use crate::head::Item;
-use crate::learn::Learner;
-use crate::ready::{Ready, Stored, StoredError, Writes, WAITING_MAX};
+use crate::head::LogEntry;
+use crate::learned_log::{Checkpoint, LearnedLog, MachineSnapshots};
+use crate::learner::Learner;
+use crate::ready::{Ready, StoreSnapshot, StoredError, WriteQueue, QUEUED_WRITES_MAX};
 use crate::settings::{Settings, SettingsError};
 use crate::voter::Voter;
-use crate::wire::{decode, encode, Wire};
-
-/// Own proposals that wait for their decision: a machine has a few at a time.
-const OWN_MAX: usize = 256;
-/// A proposal is said again after this, so many times; then it is left to its machine.
-const AGAIN: Duration = Duration::from_secs(1);
-const TRIES: u32 = 3;
-/// Proposals that wait at the leader, in number and bytes: a second of a busy fleet.
-const QUEUE_MAX: usize = 4096;
-const QUEUE_BYTES: usize = 1 << 20;
-/// From a voter that does not lead to one that perhaps does: more hops would only chase a moving leader.
+use crate::wire::{decode, encode, WireMessage};
+
+/// Limit on this node's undecided proposals; a state machine has a few at a time.
+const OWN_PROPOSALS_MAX: usize = 256;
+/// Interval at which a proposal is repeated, and the number of attempts; after that it is left to its state
+/// machine.
+const PROPOSAL_RETRY: Duration = Duration::from_secs(1);
+const PROPOSAL_ATTEMPTS: u32 = 3;
+/// Limits on the proposals queued at the leader, in number and bytes: about one second of a busy fleet's
+/// proposals.
+const QUEUE_ENTRIES_MAX: usize = 4096;
+const QUEUE_BYTES_MAX: usize = 1 << 20;
+/// Limit on how often voters forward a proposal towards the leader. More hops would only chase a leader that
+/// keeps changing.
 const HOPS_MAX: u8 = 2;
-/// A refused write is tried again after this.
-const RETRY: Duration = Duration::from_secs(1);
-/// Decided entries that the user has not taken yet; the node learns no more until it does.
-pub(crate) const UNTAKEN_MAX: usize = 4096;
-/// Messages that wait for the carrier, which takes all after each call.
-const OUT_MAX: usize = 8192;
-/// Bytes of entries after which a voter's log is trimmed by a checkpoint, so that its tail fits one message.
+/// Delay before a failed write is retried.
+const WRITE_RETRY: Duration = Duration::from_secs(1);
+/// Limit on the decided entries that the user has not taken; at the limit the node stops learning.
+pub(crate) const UNTAKEN_ENTRIES_MAX: usize = 4096;
+/// Limit on the messages waiting for the caller, which takes all of them after each call.
+const OUTGOING_MAX: usize = 8192;
+/// Bytes of entries after which a checkpoint trims a voter's log, so that the log's tail fits one message.
 const CHECKPOINT_BYTES: usize = 256 << 10;
-/// The largest datagram this room sends: what fits a frame of 1,500 bytes.
-pub(crate) const DATAGRAM_MAX: usize = 1200;
+/// The largest datagram this protocol sends, in bytes: it fits a 1,500-byte frame.
+pub(crate) const DATAGRAM_MAX_BYTES: usize = 1200;
 
-/// Why a proposal was not taken.
+/// Why a proposal was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
     /// Larger than [`BODY_MAX_BYTES`].
     TooLarge(usize),
-    /// So many of this node's proposals wait already.
+    /// This many of the node's proposals are pending already.
     Full(usize),
-    /// The log is broken here ([`Status::diverged_at`]).
+    /// This node's log has diverged ([`Status::diverged_at`]).
     Diverged,
 }
 
 impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge(n) => write!(f, "a proposal of {n} bytes, at most {BODY_MAX_BYTES} are taken"),
-            Self::Full(n) => write!(f, "{n} proposals of this node wait already"),
-            Self::Diverged => write!(f, "this node's log does not fit the others'"),
+            Self::TooLarge(size) => {
+                write!(f, "too large: {size} bytes (a proposal may have {BODY_MAX_BYTES})")
+            }
+            Self::Full(pending) => write!(f, "{pending} proposals of this node are already pending"),
+            Self::Diverged => write!(f, "this node's log has diverged from the other nodes'"),
         }
     }
 }
@@ -65,9 +70,9 @@
 /// Why a node could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// Its settings.
+    /// The settings are invalid.
     Settings(SettingsError),
-    /// What its store holds.
+    /// The content of the store cannot be used.
     Stored(StoredError),
 }
 
@@ -82,29 +87,29 @@
 
 impl std::error::Error for OpenError {}
 
-/// How a node stands.
+/// A node's status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Who leads, as far as this node knows.
+    /// The leader, as far as this node knows.
     pub leader: Option<Name>,
-    /// The last entry this node has learnt.
+    /// The last entry this node has learned.
     pub decided: Index,
-    /// The last that it knows to be decided anywhere.
+    /// The last entry that this node knows to be decided anywhere.
     pub known: Index,
-    /// Why it does not vote, where it does not.
+    /// Why this node does not vote; `None` if it votes.
     pub no_vote: Option<NoVoteReason>,
-    /// What its store last said when it refused a write.
+    /// The store's last error, while a write is failing.
     pub write_error: Option<String>,
-    /// The index at which its log differs from another node's: it uses the log no further.
+    /// The index at which this node's log differs from another node's; the node has stopped using its log.
     pub diverged_at: Option<Index>,
-    /// Messages that could not be read or were out of place.
+    /// Messages dropped because they could not be decoded, were unexpected or exceeded a limit.
     pub dropped: u64,
 }
 
-struct Own {
+struct OwnProposal {
     proposal: Proposal,
-    tries: u32,
-    at: Duration,
+    attempts: u32,
+    retry_at: Duration,
 }
 
 /// One node of the log.
@@ -113,33 +118,34 @@
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64,
     voter: Option<Voter>,
-    writes: Writes,
-    refused: Option<(String, Duration)>,
-    pub(crate) chain: Chain,
+    writes: WriteQueue,
+    write_failure: Option<(String, Duration)>,
+    pub(crate) log: LearnedLog,
     pub(crate) learner: Learner,
-    /// Up to where the voter's log was compared with what was learnt elsewhere.
-    compared: u64,
-    jump: bool,
+    /// Index up to which the voter's log was compared with the entries learned from other nodes.
+    compared_to: u64,
+    replace_log: bool,
     decided: VecDeque<DecidedEntry>,
-    restore: Option<(Index, MachineSnapshots)>,
+    pending_restore: Option<(Index, MachineSnapshots)>,
     next_id: u64,
-    own: VecDeque<Own>,
+    own_proposals: VecDeque<OwnProposal>,
     queue: VecDeque<Proposal>,
     queue_bytes: usize,
     flush_at: Option<Duration>,
-    beat_at: Duration,
-    out: VecDeque<Outgoing>,
+    tick_at: Duration,
+    outgoing: VecDeque<Outgoing>,
     pub(crate) dropped: u64,
-    pub(crate) broken: Option<Index>,
+    pub(crate) diverged_at: Option<Index>,
     #[cfg(test)]
-    pub(crate) planted_sends_before_durable: bool,
-    /// Votes by datagrams where they fit one, to have them lost, doubled and reordered.
+    pub(crate) inject_send_before_durable: bool,
+    /// Sends consensus messages as datagrams where they fit, so that tests can lose, duplicate and reorder
+    /// them.
     #[cfg(test)]
-    pub(crate) votes_by_datagram: bool,
+    pub(crate) paxos_by_datagram: bool,
 }
 
 impl Node {
-    /// A node at a start: with what its store held, of which a learner needs none.
+    /// Opens a node with the content of its store; a learner needs no store.
     ///
     /// # Errors
     /// See [`OpenError`].
@@ -151,108 +157,114 @@
         records: &[Vec<u8>],
     ) -> Result<Self, OpenError> {
         settings.check().map_err(OpenError::Settings)?;
-        let stored = Stored::open(snapshot, records).map_err(OpenError::Stored)?;
+        let stored = StoreSnapshot::open(snapshot, records).map_err(OpenError::Stored)?;
         let checkpoint = stored.checkpoint().map_err(OpenError::Stored)?;
-        let (chain, restore) = match (checkpoint, stored.checkpoint) {
-            (Some(c), Some(bytes)) => (Chain::restored(&c, bytes), Some((c.head.index, c.machines))),
-            _ => (Chain::default(), None),
+        let (log, pending_restore) = match (checkpoint, stored.checkpoint) {
+            (Some(c), Some(bytes)) => (LearnedLog::restored(&c, bytes), Some((c.head.index, c.machines))),
+            _ => (LearnedLog::default(), None),
         };
         let mut rng = Pcg64::seed_from_u64(settings.seed ^ me.session.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let identity = rng.random_range(1..=u64::MAX);
-        let at = settings.voters.iter().position(|v| *v == me.name);
-        let voter = at.map(|i| Voter::open(i, settings.voters.len(), stored.votes, identity));
-        let compared = chain.end();
+        let position = settings.voters.iter().position(|v| *v == me.name);
+        let voter = position.map(|i| Voter::open(i, settings.voters.len(), stored.voter_state, identity));
+        let compared_to = log.end();
         let mut node = Self {
             learner: Learner::new(now.boot, &settings, &mut rng),
             me,
             rng,
             voter,
-            writes: Writes::default(),
-            refused: None,
-            chain,
-            compared,
-            jump: false,
+            writes: WriteQueue::default(),
+            write_failure: None,
+            log,
+            compared_to,
+            replace_log: false,
             decided: VecDeque::new(),
-            restore,
+            pending_restore,
             next_id: 1,
-            own: VecDeque::new(),
+            own_proposals: VecDeque::new(),
             queue: VecDeque::new(),
             queue_bytes: 0,
             flush_at: None,
-            beat_at: now.boot,
-            out: VecDeque::new(),
+            tick_at: now.boot,
+            outgoing: VecDeque::new(),
             dropped: 0,
-            broken: None,
+            diverged_at: None,
             settings,
             #[cfg(test)]
-            planted_sends_before_durable: false,
+            inject_send_before_durable: false,
             #[cfg(test)]
-            votes_by_datagram: false,
+            paxos_by_datagram: false,
         };
-        node.pump(now);
+        node.process_voter(now);
         Ok(node)
     }
 
-    /// The nodes of the fleet as they are known, which entries are passed on to and asked of; the voters always are. At
-    /// most [`crate::PEERS_MAX`] are used.
+    /// Sets the known nodes of the fleet, to which entries are forwarded and from which missing ones are
+    /// requested. Voters are always included. At most [`crate::PEERS_MAX`] are used.
     pub fn set_peers(&mut self, peers: &[Name]) {
         self.learner.set_peers(&self.me.name, &self.settings.voters, peers);
     }
 
-    /// Proposes an entry; the number by which it will be known ([`Proposal::id`]). It may be lost.
+    /// Proposes an entry and returns its number ([`Proposal::id`]). The proposal can be lost.
     ///
-    /// A proposal of [`Topic::Voters`] with an empty body changes nothing and is how to read **currently**: when its own
-    /// entry comes out of [`Node::take_decided`], all that was decided before the call has come out before it.
+    /// A proposal of [`Topic::Voters`] with an empty body changes nothing and serves as a **linearizable
+    /// read**: when its own entry comes out of [`Node::take_decided`], everything that was decided before the
+    /// call has come out before it.
     ///
     /// # Errors
     /// See [`ProposeError`].
     pub fn propose(&mut self, now: Now, topic: Topic, body: Vec<u8>) -> Result<u64, ProposeError> {
-        if self.broken.is_some() {
+        if self.diverged_at.is_some() {
             return Err(ProposeError::Diverged);
         }
         if body.len() > BODY_MAX_BYTES {
             return Err(ProposeError::TooLarge(body.len()));
         }
-        if self.own.len() >= OWN_MAX {
-            return Err(ProposeError::Full(self.own.len()));
+        if self.own_proposals.len() >= OWN_PROPOSALS_MAX {
+            return Err(ProposeError::Full(self.own_proposals.len()));
         }
         let id = self.next_id;
         self.next_id += 1;
         let proposal = Proposal { topic, proposer: self.me.clone(), id, body };
-        self.own.push_back(Own { proposal: proposal.clone(), tries: 1, at: now.boot + AGAIN });
+        self.own_proposals.push_back(OwnProposal {
+            proposal: proposal.clone(),
+            attempts: 1,
+            retry_at: now.boot + PROPOSAL_RETRY,
+        });
         self.route(now, vec![proposal], 0, false);
-        self.pump(now);
+        self.process_voter(now);
         Ok(id)
     }
 
-    /// The next decided entry, in order. Nothing while a snapshot waits in [`Node::take_restore`].
+    /// The next decided entry, in order; `None` while a snapshot waits in [`Node::take_restore`].
     pub fn take_decided(&mut self) -> Option<DecidedEntry> {
-        if self.restore.is_some() {
+        if self.pending_restore.is_some() {
             return None;
         }
         self.decided.pop_front()
     }
 
-    /// A snapshot that takes the place of all entries up to this index: this node was too far behind, or starts anew.
+    /// A snapshot that replaces all entries up to its index, because this node was too far behind or has just
+    /// started.
     pub fn take_restore(&mut self) -> Option<(Index, MachineSnapshots)> {
-        self.restore.take()
+        self.pending_restore.take()
     }
 
-    /// The entry whose machines' snapshots are wanted now; only when all decided entries were taken.
+    /// The index at which snapshots of the state machines are due; only when all decided entries were taken.
     pub fn snapshot_due(&self) -> Option<Index> {
-        let due = self.jump
-            || self.chain.since.0 >= self.settings.checkpoint_entries
-            || (self.chain.since.1 >= CHECKPOINT_BYTES && self.chain.since.0 > 0);
-        let taken = self.decided.is_empty() && self.restore.is_none();
-        (due && taken && self.broken.is_none() && self.writes.len() < WAITING_MAX)
-            .then_some(self.chain.head.index)
+        let due = self.replace_log
+            || self.log.since_snapshot.0 >= self.settings.checkpoint_entries
+            || (self.log.since_snapshot.1 >= CHECKPOINT_BYTES && self.log.since_snapshot.0 > 0);
+        let taken = self.decided.is_empty() && self.pending_restore.is_none();
+        (due && taken && self.diverged_at.is_none() && self.writes.len() < QUEUED_WRITES_MAX)
+            .then_some(self.log.head.index)
     }
 
-    /// The machines' snapshots at the index that [`Node::snapshot_due`] named.
+    /// Provides the state machines' snapshots at the index returned by [`Node::snapshot_due`].
     ///
     /// # Errors
-    /// They are larger than [`crate::SNAPSHOT_MAX_BYTES`] together: the log is not trimmed, and the leader will refuse more when it
-    /// is full.
+    /// Together they exceed [`crate::SNAPSHOT_MAX_BYTES`]. The log is then not trimmed, and the leader
+    /// rejects proposals once it is full.
     pub fn provide_snapshot(
         &mut self,
         now: Now,
@@ -263,103 +275,108 @@
             return Ok(());
         }
         let size = machines.iter().map(|(_, m)| m.len()).sum();
-        let checkpoint = Checkpoint { head: self.chain.head.clone(), machines };
+        let checkpoint = Checkpoint { head: self.log.head.clone(), machines };
         let bytes = checkpoint.encode().ok_or(ProposeError::TooLarge(size))?;
-        self.pump(now);
-        if self.chain.head.index != at {
+        self.process_voter(now);
+        if self.log.head.index != at {
             return Ok(());
         }
-        self.chain.shoot(bytes.clone());
+        self.log.set_snapshot(bytes.clone());
         if let Some(voter) = &mut self.voter {
-            if std::mem::take(&mut self.jump) && voter.decided() < at.0 {
-                voter.jump(at.0);
+            if std::mem::take(&mut self.replace_log) && voter.decided() < at.0 {
+                voter.replace_log(at.0);
             } else {
                 voter.trim(at.0);
             }
-            let votes = voter.disk().lock().votes.clone();
-            voter.disk().drop_ops();
-            self.writes.snapshot(&Stored { checkpoint: Some(bytes), votes });
+            let voter_state = voter.storage().lock().state.clone();
+            voter.storage().drop_ops();
+            self.writes.snapshot(&StoreSnapshot { checkpoint: Some(bytes), voter_state });
         }
-        self.pump(now);
+        self.process_voter(now);
         Ok(())
     }
 
-    /// The next write that has to be made durable. The next is given out when this one was answered.
+    /// The next write to make durable. One write is handed out at a time: the next follows when this one was
+    /// completed or failed.
     pub fn take_ready(&mut self, now: Now) -> Option<Ready> {
-        if self.refused.as_ref().is_some_and(|(_, at)| now.boot < *at) {
+        if self.write_failure.as_ref().is_some_and(|(_, at)| now.boot < *at) {
             return None;
         }
-        self.writes.take()
+        self.writes.start_next()
     }
 
-    /// A write outlives a loss of power.
+    /// Reports that a write is durable: it survives a power loss.
     pub fn write_completed(&mut self, now: Now, number: u64) {
-        self.refused = None;
-        let held = self.writes.durable(number);
-        held.into_iter().for_each(|m| self.push_out(m));
-        self.pump(now);
+        self.write_failure = None;
+        let messages = self.writes.complete(number);
+        messages.into_iter().for_each(|m| self.push_outgoing(m));
+        self.process_voter(now);
     }
 
-    /// A write was refused (no space, say). Until it is durable the voter hears and says nothing, so that the others go on
-    /// without it; [`Node::take_ready`] offers the write again after a second.
+    /// Reports that a write failed, for example because the disk is full. Until it succeeds the voter neither
+    /// handles nor sends messages, so that the other voters continue without it. [`Node::take_ready`] offers
+    /// the write again after a second.
     pub fn write_failed(&mut self, now: Now, number: u64, error: String) {
-        if self.writes.refused(number) {
-            self.refused = Some((error, now.boot + RETRY));
+        if self.writes.fail(number) {
+            self.write_failure = Some((error, now.boot + WRITE_RETRY));
         }
     }
 
-    /// Whether this node leads as far as it knows; several may think so.
+    /// Returns whether this node leads as far as it knows; several nodes may believe so.
     pub fn is_leader(&self) -> bool {
-        self.hears() && self.broken.is_none() && self.voter.as_ref().is_some_and(Voter::leads)
+        self.accepts_messages()
+            && self.diverged_at.is_none()
+            && self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
-    /// How it stands.
+    /// Returns the node's status.
     pub fn status(&self) -> Status {
-        let why = || match &self.voter {
-            _ if self.broken.is_some() => Some(NoVoteReason::Broken),
+        let no_vote_reason = || match &self.voter {
+            _ if self.diverged_at.is_some() => Some(NoVoteReason::Broken),
             None => Some(NoVoteReason::Learner),
-            Some(_) if self.refused.is_some() => Some(NoVoteReason::CannotWrite),
-            Some(voter) => voter.why_not(),
+            Some(_) if self.write_failure.is_some() => Some(NoVoteReason::CannotWrite),
+            Some(voter) => voter.no_vote_reason(),
         };
         Status {
             leader: self.leader(),
-            decided: self.chain.head.index,
-            known: Index(self.learner.known.max(self.chain.end())),
-            no_vote: why(),
-            write_error: self.refused.as_ref().map(|(why, _)| why.clone()),
-            diverged_at: self.broken,
+            decided: self.log.head.index,
+            known: Index(self.learner.known.max(self.log.end())),
+            no_vote: no_vote_reason(),
+            write_error: self.write_failure.as_ref().map(|(error, _)| error.clone()),
+            diverged_at: self.diverged_at,
             dropped: self.dropped + self.voter.as_ref().map_or(0, |v| v.dropped),
         }
     }
 
-    /// Who leads, as far as known.
+    /// The leader, as far as known.
     fn leader(&self) -> Option<Name> {
         self.newest_leader().map(|(_, name)| name)
     }
 
-    /// The leader of the last election known of, by the own vote or by others' word.
+    /// The leader of the latest known election, from this node's own voter or announced by other nodes.
     pub(crate) fn newest_leader(&self) -> Option<(u32, Name)> {
-        let voted = self
+        let local = self
             .voter
             .as_ref()
             .and_then(|v| Some((v.round(), self.settings.voters.get(v.leader()?)?.clone())));
-        match (voted, self.learner.leader.clone()) {
-            (Some(voted), Some(told)) => Some(if told.0 > voted.0 { told } else { voted }),
-            (voted, told) => voted.or(told),
+        match (local, self.learner.leader.clone()) {
+            (Some(local), Some(announced)) => Some(if announced.0 > local.0 { announced } else { local }),
+            (local, announced) => local.or(announced),
         }
     }
 
-    /// Whether the voter may take part: what it has to write does not pile up.
-    fn hears(&self) -> bool {
-        self.refused.is_none() && self.writes.len() < WAITING_MAX
+    /// Returns whether the voter may take part: no write is failing and the queue of writes is not full.
+    fn accepts_messages(&self) -> bool {
+        self.write_failure.is_none() && self.writes.len() < QUEUED_WRITES_MAX
     }
 
-    /// Sends proposals to where they can be decided: to the leader, or to any voter where none is known or `anyhow`.
-    fn route(&mut self, now: Now, proposals: Vec<Proposal>, hops: u8, anyhow: bool) {
+    /// Sends proposals towards the leader, or to a random other voter if no leader is known or `any_voter` is
+    /// set.
+    fn route(&mut self, now: Now, proposals: Vec<Proposal>, hops: u8, any_voter: bool) {
         if self.is_leader() {
             for p in proposals {
                 let size = p.body.len() + 128;
-                if self.queue.len() >= QUEUE_MAX || self.queue_bytes + size > QUEUE_BYTES {
+                if self.queue.len() >= QUEUE_ENTRIES_MAX || self.queue_bytes + size > QUEUE_BYTES_MAX {
                     self.dropped += 1;
                     continue;
                 }
@@ -369,9 +386,9 @@
             }
             return;
         }
-        let to = match self.leader().filter(|l| *l != self.me.name && !anyhow) {
+        let to = match self.leader().filter(|l| *l != self.me.name && !any_voter) {
             Some(leader) => leader,
-            // A voter without a leader has nobody better to ask.
+            // A voter that was sent the proposal and knows no leader has no better node to send it to.
             None if hops > 0 => return,
             None => {
                 let others: Vec<&Name> =
@@ -382,156 +399,160 @@
                 }
             }
         };
-        self.send(to, None, &Wire::Propose { hops, proposals });
+        self.send(to, None, &WireMessage::Propose { hops, proposals });
     }
 
-    /// Sends a message that depends on nothing durable; without a kind as a datagram where it fits one.
-    pub(crate) fn send(&mut self, to: Name, kind: Option<Kind>, wire: &Wire) -> usize {
+    /// Sends a message that does not depend on a write. Without `kind` it is sent as a datagram if it fits
+    /// one. Returns its size in bytes, or 0 if it is too large to send.
+    pub(crate) fn send(&mut self, to: Name, kind: Option<Kind>, wire: &WireMessage) -> usize {
         let Some(bytes) = encode(wire) else {
             self.dropped += 1;
             return 0;
         };
         let size = bytes.len();
-        let kind = kind.unwrap_or(if size <= DATAGRAM_MAX { Kind::Datagram } else { Kind::Stream });
-        self.push_out(Outgoing { to, kind, bytes });
+        let kind = kind.unwrap_or(if size <= DATAGRAM_MAX_BYTES { Kind::Datagram } else { Kind::Stream });
+        self.push_outgoing(Outgoing { to, kind, bytes });
         size
     }
 
-    fn push_out(&mut self, message: Outgoing) {
-        if self.out.len() >= OUT_MAX {
+    fn push_outgoing(&mut self, message: Outgoing) {
+        if self.outgoing.len() >= OUTGOING_MAX {
             self.dropped += 1;
         } else {
-            self.out.push_back(message);
+            self.outgoing.push_back(message);
         }
     }
 
-    /// Moves what the voter has done to where it belongs: changes to the writes, messages behind them, decided entries to
-    /// the user and the peers.
-    fn pump(&mut self, now: Now) {
+    /// Distributes the voter's results: state changes go to the write queue, messages are deferred until
+    /// those writes are durable, and decided entries go to the user and the peers.
+    fn process_voter(&mut self, now: Now) {
         let Some(voter) = &mut self.voter else { return };
-        let messages = voter.take_out();
-        if let Some(ops) = voter.disk().take_ops() {
+        let messages = voter.take_outgoing();
+        if let Some(ops) = voter.storage().take_ops() {
             self.writes.record(ops);
         }
-        let mut free = Vec::new();
+        let mut sendable = Vec::new();
         for (to, kind, wire) in messages {
             let (Some(to), Some(bytes)) = (self.settings.voters.get(to), encode(&wire)) else {
                 self.dropped += 1;
                 continue;
             };
             #[cfg(test)]
-            let kind =
-                if self.votes_by_datagram && bytes.len() <= DATAGRAM_MAX { Kind::Datagram } else { kind };
-            free.extend(self.writes.hold(Outgoing { to: to.clone(), kind, bytes }));
+            let kind = if self.paxos_by_datagram && bytes.len() <= DATAGRAM_MAX_BYTES {
+                Kind::Datagram
+            } else {
+                kind
+            };
+            sendable.extend(self.writes.defer(Outgoing { to: to.clone(), kind, bytes }));
         }
         #[cfg(test)]
-        if self.planted_sends_before_durable {
-            free.extend(self.writes.forget_to_hold());
-        }
-        free.into_iter().for_each(|m| self.push_out(m));
-        self.compare();
-        let from = self.chain.end();
-        while self.decided.len() < UNTAKEN_MAX && self.broken.is_none() {
-            let items = self.voter.as_ref().map(|v| v.decided_after(self.chain.end())).unwrap_or_default();
-            if items.is_empty() {
+        if self.inject_send_before_durable {
+            sendable.extend(self.writes.release_all_deferred());
+        }
+        sendable.into_iter().for_each(|m| self.push_outgoing(m));
+        self.compare_logs();
+        let from = self.log.end();
+        while self.decided.len() < UNTAKEN_ENTRIES_MAX && self.diverged_at.is_none() {
+            let entries = self.voter.as_ref().map(|v| v.decided_after(self.log.end())).unwrap_or_default();
+            if entries.is_empty() {
                 break;
             }
-            items.into_iter().for_each(|item| self.learn(item));
-            self.compared = self.chain.end();
+            entries.into_iter().for_each(|entry| self.learn_entry(entry));
+            self.compared_to = self.log.end();
         }
-        self.pass_on(now, from, None);
+        self.forward(now, from, None);
     }
 
-    /// Compares what the voter's log decided with what was learnt from others first.
-    fn compare(&mut self) {
+    /// Compares entries decided in the voter's log with the same entries learned earlier from other nodes.
+    fn compare_logs(&mut self) {
         let Some(voter) = &self.voter else { return };
-        let to = voter.decided().min(self.chain.end());
-        if self.compared >= to {
+        let to = voter.decided().min(self.log.end());
+        if self.compared_to >= to {
             return;
         }
-        let items = voter.decided_after(self.compared);
-        if items.is_empty() {
-            // Trimmed or jumped over: there is nothing left to compare.
-            self.compared = to;
+        let entries = voter.decided_after(self.compared_to);
+        if entries.is_empty() {
+            // Trimmed, or replaced by a snapshot: there is nothing left to compare.
+            self.compared_to = to;
         }
-        for item in items {
-            if self.compared >= to {
+        for entry in entries {
+            if self.compared_to >= to {
                 break;
             }
-            self.compared += 1;
-            if self.chain.item_at(self.compared).is_some_and(|learnt| *learnt != item) {
-                self.broken = Some(Index(self.compared));
+            self.compared_to += 1;
+            if self.log.entry_at(self.compared_to).is_some_and(|learned| *learned != entry) {
+                self.diverged_at = Some(Index(self.compared_to));
                 return;
             }
         }
     }
 
-    /// Takes the next decided item.
-    pub(crate) fn learn(&mut self, item: Item) {
-        let decided = self.chain.apply(item, (self.settings.keep_entries, self.settings.keep_bytes));
+    /// Applies the next decided entry.
+    pub(crate) fn learn_entry(&mut self, entry: LogEntry) {
+        let decided = self.log.apply(entry, (self.settings.keep_entries, self.settings.keep_bytes));
         if decided.proposal.proposer == self.me {
             let id = decided.proposal.id;
-            self.own.retain(|o| o.proposal.id > id);
+            self.own_proposals.retain(|o| o.proposal.id > id);
         }
         self.decided.push_back(decided);
     }
 
-    /// Whether more can be learnt before the user takes what was.
-    pub(crate) fn has_room(&self) -> bool {
-        self.decided.len() < UNTAKEN_MAX && self.broken.is_none()
+    /// Returns whether more entries can be learned before the user takes the pending ones.
+    pub(crate) fn has_capacity(&self) -> bool {
+        self.decided.len() < UNTAKEN_ENTRIES_MAX && self.diverged_at.is_none()
     }
 
-    /// Puts a snapshot in the place of all entries.
+    /// Replaces all entries by a snapshot.
     pub(crate) fn restore(&mut self, checkpoint: Checkpoint, bytes: Vec<u8>) {
-        self.chain = Chain::restored(&checkpoint, bytes);
+        self.log = LearnedLog::restored(&checkpoint, bytes);
         self.decided.clear();
-        let done = checkpoint.head.last_of(&self.me);
-        self.own.retain(|o| o.proposal.id > done);
-        self.restore = Some((checkpoint.head.index, checkpoint.machines));
+        let last_decided_id = checkpoint.head.last_id(&self.me);
+        self.own_proposals.retain(|o| o.proposal.id > last_decided_id);
+        self.pending_restore = Some((checkpoint.head.index, checkpoint.machines));
     }
 
     fn flush(&mut self, now: Now) {
         self.flush_at = None;
         while let Some(proposal) = self.queue.pop_front() {
             self.queue_bytes -= proposal.body.len() + 128;
-            if self.chain.head.last_of(&proposal.proposer) >= proposal.id {
+            if self.log.head.last_id(&proposal.proposer) >= proposal.id {
                 continue;
             }
-            let room = self.voter.as_ref().is_some_and(Voter::has_room) && self.is_leader();
-            let Some(voter) = self.voter.as_mut().filter(|_| room) else {
+            let has_capacity = self.voter.as_ref().is_some_and(Voter::has_capacity) && self.is_leader();
+            let Some(voter) = self.voter.as_mut().filter(|_| has_capacity) else {
                 if self.is_leader() {
                     self.queue_bytes += proposal.body.len() + 128;
                     self.queue.push_front(proposal);
                     self.flush_at = Some(now.boot + self.settings.batch_delay);
                 } else {
-                    // Another leads now: the proposers say them again.
+                    // Another voter leads now: the proposers will repeat their proposals.
                     self.dropped += 1 + self.queue.len() as u64;
                     self.queue.clear();
                     self.queue_bytes = 0;
                 }
                 return;
             };
-            if voter.append(Item { wall_ms: now.wall_ms, proposal }).is_err() {
+            if voter.append(LogEntry { wall_ms: now.wall_ms, proposal }).is_err() {
                 self.dropped += 1;
             }
         }
     }
 
-    fn say_again(&mut self, now: Now) {
-        let mut again = Vec::new();
-        self.own.retain_mut(|o| {
-            if now.boot < o.at {
+    fn retry_proposals(&mut self, now: Now) {
+        let mut retries = Vec::new();
+        self.own_proposals.retain_mut(|o| {
+            if now.boot < o.retry_at {
                 return true;
             }
-            o.tries += 1;
-            o.at = now.boot + AGAIN;
-            if o.tries <= TRIES {
-                again.push(o.proposal.clone());
+            o.attempts += 1;
+            o.retry_at = now.boot + PROPOSAL_RETRY;
+            if o.attempts <= PROPOSAL_ATTEMPTS {
+                retries.push(o.proposal.clone());
             }
-            o.tries <= TRIES
+            o.attempts <= PROPOSAL_ATTEMPTS
         });
-        for proposal in again {
-            // The leader as known did not answer, or the way to it is broken: another voter may know better.
+        for proposal in retries {
+            // The known leader did not respond or cannot be reached; another voter may know the current one.
             self.route(now, vec![proposal], 0, true);
         }
     }
@@ -540,10 +561,10 @@
         let before = proposals.len();
         proposals
             .retain(|p| p.id > 0 && p.body.len() <= BODY_MAX_BYTES && !p.proposer.name.as_str().is_empty());
-        // What comes from its proposer itself is its own.
+        // Unless forwarded, a proposal must come from its proposer.
         proposals.retain(|p| hops > 0 || p.proposer == *from);
         self.dropped += (before - proposals.len()) as u64;
-        if self.voter.is_none() || !self.hears() || hops > HOPS_MAX || proposals.is_empty() {
+        if self.voter.is_none() || !self.accepts_messages() || hops > HOPS_MAX || proposals.is_empty() {
             self.dropped += 1;
         } else if self.is_leader() || hops < HOPS_MAX {
             self.route(now, proposals, hops + 1, false);
@@ -554,66 +575,71 @@
 impl Room for Node {
     fn on_message(&mut self, now: Now, from: &Peer, bytes: &[u8]) {
         let wire = match decode(bytes) {
-            Ok(wire) if self.broken.is_none() => wire,
+            Ok(wire) if self.diverged_at.is_none() => wire,
             _ => {
                 self.dropped += 1;
                 return;
             }
         };
         let voter = self.settings.voters.iter().position(|v| *v == from.name && from.name != self.me.name);
-        let hears = self.hears();
+        let accepts_messages = self.accepts_messages();
         match (wire, voter, &mut self.voter) {
-            (Wire::Hello { identity, stage, set, answer }, Some(i), Some(me)) if hears => {
-                me.hear(i, Said { identity, stage, set }, answer);
+            (WireMessage::Hello { identity, stage, set, answer }, Some(i), Some(me)) if accepts_messages => {
+                me.on_hello(i, PeerStatus { identity, stage, set }, answer);
+            }
+            (WireMessage::Paxos { fleet, number, message }, Some(i), Some(me)) if accepts_messages => {
+                me.on_paxos(i, from.session, fleet, number, message);
             }
-            (Wire::Vote { fleet, number, message }, Some(i), Some(me)) if hears => {
-                me.on_vote(i, from.session, fleet, number, message);
+            (WireMessage::LogStatus { fleet, accepted, decided }, Some(i), Some(me)) => {
+                me.on_log_status(i, fleet, accepted, decided)
             }
-            (Wire::Tail { fleet, accepted, decided }, Some(i), Some(me)) => {
-                me.on_tail(i, fleet, accepted, decided)
+            (WireMessage::Propose { hops, proposals }, ..) => self.on_proposals(now, from, hops, proposals),
+            (WireMessage::Hello { .. } | WireMessage::Paxos { .. } | WireMessage::LogStatus { .. }, ..) => {
+                self.dropped += 1
             }
-            (Wire::Propose { hops, proposals }, ..) => self.on_proposals(now, from, hops, proposals),
-            (Wire::Hello { .. } | Wire::Vote { .. } | Wire::Tail { .. }, ..) => self.dropped += 1,
             (wire, ..) => self.on_gossip(now, from, wire),
         }
-        self.pump(now);
+        self.process_voter(now);
     }
 
     fn tick(&mut self, now: Now) {
-        if self.broken.is_some() {
+        if self.diverged_at.is_some() {
             return;
         }
-        if now.boot >= self.beat_at {
-            self.beat_at = now.boot + self.settings.tick_interval;
-            if self.hears() {
-                let (learnt, every) = (self.chain.end(), self.settings.gossip_interval);
+        if now.boot >= self.tick_at {
+            self.tick_at = now.boot + self.settings.tick_interval;
+            if self.accepts_messages() {
+                let (learned, hello_interval) = (self.log.end(), self.settings.gossip_interval);
                 if let Some(voter) = &mut self.voter {
-                    self.jump |= voter.tick(now.boot, learnt, every);
+                    self.replace_log |= voter.tick(now.boot, learned, hello_interval);
                 }
             }
         }
-        self.pump(now);
+        self.process_voter(now);
         if self.flush_at.is_some_and(|at| now.boot >= at) {
             self.flush(now);
         }
-        if self.own.front().is_some_and(|o| now.boot >= o.at) {
-            self.say_again(now);
+        if self.own_proposals.front().is_some_and(|o| now.boot >= o.retry_at) {
+            self.retry_proposals(now);
         }
         self.gossip(now);
-        self.pump(now);
+        self.process_voter(now);
     }
 
     fn next_due(&self) -> Option<Duration> {
-        if self.broken.is_some() {
+        if self.diverged_at.is_some() {
             return None;
         }
-        let beat = self.voter.is_some().then_some(self.beat_at);
-        let own = self.own.front().map(|o| o.at);
-        let retry = self.refused.as_ref().map(|(_, at)| *at);
-        [beat, own, retry, self.flush_at, Some(self.learner.next_due())].into_iter().flatten().min()
+        let tick = self.voter.is_some().then_some(self.tick_at);
+        let proposal_retry = self.own_proposals.front().map(|o| o.retry_at);
+        let write_retry = self.write_failure.as_ref().map(|(_, at)| *at);
+        [tick, proposal_retry, write_retry, self.flush_at, Some(self.learner.next_due())]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn take_outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,4 +1,5 @@
-//! One voter: the library's instance, guarded on every side (`docs/design/consensus.md` says against what).
+//! One voter: the consensus library's instance, protected against inputs and states it does not handle
+//! (listed in `docs/design/consensus.md`).
 
 use std::time::Duration;
 
@@ -10,84 +11,88 @@
 use omnipaxos::util::{LogSync, NodeId};
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::founding::{Founding, NoVoteReason, Said};
-use crate::head::Item;
-use crate::storage::{Disk, Op, Standing, Votes};
-use crate::wire::{Stage, Wire};
+use crate::bootstrap::{Bootstrap, NoVoteReason, PeerStatus};
+use crate::head::LogEntry;
+use crate::storage::{BootstrapState, VoterOp, VoterState, VoterStorage};
+use crate::wire::{BootstrapStage, WireMessage};
 
-/// Beats in one round of heartbeats.
-const ROUND: u64 = 5;
-/// Beats after which the library sends again what had no answer.
-const RESEND: u64 = 12;
-/// Beats without progress after which a follower asks its leader to bring it up to date: the library itself does not
-/// notice when the last message before a silence was lost.
-const NUDGE: u32 = 12;
-/// Beats without progress after which a voter whose log is behind what it has learnt takes the learnt entries for its log.
-const JUMP: u32 = 25;
-/// What may be accepted and not decided: past that the leader's proposals wait.
-const OPEN_ENTRIES: u64 = 1024;
-const OPEN_BYTES: usize = 256 << 10;
-/// The most the leader's log holds, in bytes, where its user gives no snapshots to trim it by.
-const LOG_BYTES: usize = 4 << 20;
-/// No fleet has so many elections; a greater round is damage, and the library would overflow by adding to it.
-pub(crate) const ROUND_MAX: u32 = 1 << 30;
+/// Ticks in one round of heartbeats.
+const HEARTBEAT_ROUND_TICKS: u64 = 5;
+/// Ticks after which the library resends messages that were not answered.
+const RESEND_TICKS: u64 = 12;
+/// Ticks without progress after which a follower asks its leader to bring it up to date. The library itself
+/// does not notice when the last message before a quiet period was lost.
+const RESYNC_TICKS: u32 = 12;
+/// Ticks without progress after which a voter whose log is behind what this node has learned replaces its log
+/// with the learned entries.
+const REPLACE_LOG_TICKS: u32 = 25;
+/// Limits on the accepted but undecided entries; beyond them the leader's proposals wait.
+const UNDECIDED_ENTRIES_MAX: u64 = 1024;
+const UNDECIDED_BYTES_MAX: usize = 256 << 10;
+/// The largest log of a leader, in bytes, when the user of the log provides no snapshots that would allow
+/// trimming it.
+const LOG_BYTES_MAX: usize = 4 << 20;
+/// Upper bound on the round of a ballot. No fleet holds that many elections: a greater round is corrupt, and
+/// the library would overflow when incrementing it.
+pub(crate) const ELECTION_ROUND_MAX: u32 = 1 << 30;
 
-/// Numbers on both lanes (datagrams and streams) of one other voter.
+/// Highest message numbers received from one other voter, for datagrams and for streams.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lane {
+struct Channel {
     session: Session,
-    came: [u64; 2],
+    last_received: [u64; 2],
 }
 
 pub(crate) struct Voter {
     me: usize,
     voters: usize,
-    disk: Disk,
-    founding: Founding,
-    omni: Option<OmniPaxos<Item, Disk>>,
-    lanes: Vec<Lane>,
-    sent: u64,
-    said_at: Option<Duration>,
-    /// The leader's log as it last said.
-    tail: (u64, u64),
-    /// The own log when it last grew, and the beats since.
-    grown: (u64, u64),
-    still: u32,
-    out: Vec<(usize, Kind, Wire)>,
+    storage: VoterStorage,
+    bootstrap: Bootstrap,
+    paxos: Option<OmniPaxos<LogEntry, VoterStorage>>,
+    channels: Vec<Channel>,
+    last_number: u64,
+    hello_sent_at: Option<Duration>,
+    /// The leader's accepted and decided indexes, as last announced.
+    leader_log: (u64, u64),
+    /// This voter's accepted and decided indexes when they last changed, and the ticks since.
+    last_progress: (u64, u64),
+    idle_ticks: u32,
+    outgoing: Vec<(usize, Kind, WireMessage)>,
     pub dropped: u64,
 }
 
 impl Voter {
-    /// A voter with what its store holds; without a standing it is at its first start, or its disk was lost.
-    pub fn open(me: usize, voters: usize, votes: Votes, identity: u64) -> Self {
-        let known = votes.standing.clone();
-        let disk = Disk::new(votes);
-        let own = known.unwrap_or_else(|| {
-            let own = Standing { identity, stage: Stage::Fresh, set: Vec::new() };
-            disk.lock().make(Op::Standing(own.clone()));
+    /// Opens a voter with its stored state. Without a stored bootstrap state this is its first start, or its
+    /// disk was lost.
+    pub fn open(me: usize, voters: usize, state: VoterState, identity: u64) -> Self {
+        let stored = state.bootstrap.clone();
+        let storage = VoterStorage::new(state);
+        let own = stored.unwrap_or_else(|| {
+            let own = BootstrapState { identity, stage: BootstrapStage::New, set: Vec::new() };
+            storage.lock().record(VoterOp::Bootstrap(own.clone()));
             own
         });
         let mut voter = Self {
             me,
             voters,
-            disk,
-            founding: Founding::new(me, voters, own),
-            omni: None,
-            lanes: vec![Lane::default(); voters],
-            sent: 0,
-            said_at: None,
-            tail: (0, 0),
-            grown: (0, 0),
-            still: 0,
-            out: Vec::new(),
+            storage,
+            bootstrap: Bootstrap::new(me, voters, own),
+            paxos: None,
+            channels: vec![Channel::default(); voters],
+            last_number: 0,
+            hello_sent_at: None,
+            leader_log: (0, 0),
+            last_progress: (0, 0),
+            idle_ticks: 0,
+            outgoing: Vec::new(),
             dropped: 0,
         };
-        voter.build();
+        voter.start_paxos();
         voter
     }
 
-    fn build(&mut self) {
-        if self.founding.own.stage != Stage::Founded {
+    fn start_paxos(&mut self) {
+        if self.bootstrap.own.stage != BootstrapStage::Complete {
             return;
         }
         let config = OmniPaxosConfig {
@@ -98,219 +103,233 @@
             },
             server_config: ServerConfig {
                 pid: self.me as NodeId + 1,
-                election_tick_timeout: ROUND,
-                resend_message_tick_timeout: RESEND,
+                election_tick_timeout: HEARTBEAT_ROUND_TICKS,
+                resend_message_tick_timeout: RESEND_TICKS,
                 ..ServerConfig::default()
             },
         };
-        // The settings are checked before; the library has no other ground to refuse them.
-        self.omni = config.build(self.disk.clone()).ok();
-        self.collect();
+        // The settings are validated beforehand, and the library has no other reason to reject them.
+        self.paxos = config.build(self.storage.clone()).ok();
+        self.collect_outgoing();
     }
 
-    pub fn disk(&self) -> &Disk {
-        &self.disk
+    pub fn storage(&self) -> &VoterStorage {
+        &self.storage
     }
 
-    pub fn why_not(&self) -> Option<NoVoteReason> {
-        if self.disk.lock().broken.is_some() {
+    pub fn no_vote_reason(&self) -> Option<NoVoteReason> {
+        if self.storage.lock().error.is_some() {
             return Some(NoVoteReason::Broken);
         }
-        self.founding.why_not()
+        self.bootstrap.no_vote_reason()
     }
 
-    /// The voter that leads as far as this one knows.
+    /// The current leader, as far as this voter knows.
     pub fn leader(&self) -> Option<usize> {
-        let (pid, _) = self.omni.as_ref()?.get_current_leader()?;
+        let (pid, _) = self.paxos.as_ref()?.get_current_leader()?;
         usize::try_from(pid).ok()?.checked_sub(1).filter(|i| *i < self.voters)
     }
 
-    /// The number of the election that made it so.
+    /// The round of the election in which that leader was elected.
     pub fn round(&self) -> u32 {
-        self.omni.as_ref().map_or(0, |o| o.get_promise().n)
+        self.paxos.as_ref().map_or(0, |o| o.get_promise().n)
     }
 
-    /// Whether this voter leads and may append.
-    pub fn leads(&self) -> bool {
+    /// Returns whether this voter is the leader and may append.
+    pub fn is_leader(&self) -> bool {
         let me = self.me as NodeId + 1;
-        self.why_not().is_none()
-            && self.omni.as_ref().is_some_and(|o| o.get_current_leader() == Some((me, true)))
+        self.no_vote_reason().is_none()
+            && self.paxos.as_ref().is_some_and(|o| o.get_current_leader() == Some((me, true)))
     }
 
     pub fn decided(&self) -> u64 {
-        self.disk.lock().votes.decided
+        self.storage.lock().state.decided
     }
 
-    /// Whether the leader takes more.
-    pub fn has_room(&self) -> bool {
-        let inner = self.disk.lock();
-        let open = inner.votes.items(inner.votes.decided.max(inner.votes.compacted), inner.votes.accepted());
-        inner.votes.bytes < LOG_BYTES
-            && (open.len() as u64) < OPEN_ENTRIES
-            && open.iter().map(Item::size).sum::<usize>() < OPEN_BYTES
+    /// Returns whether the leader accepts more entries.
+    pub fn has_capacity(&self) -> bool {
+        let storage = self.storage.lock();
+        let undecided = storage
+            .state
+            .entries(storage.state.decided.max(storage.state.compacted), storage.state.accepted());
+        storage.state.bytes < LOG_BYTES_MAX
+            && (undecided.len() as u64) < UNDECIDED_ENTRIES_MAX
+            && undecided.iter().map(LogEntry::size).sum::<usize>() < UNDECIDED_BYTES_MAX
     }
 
-    /// Appends an item, where this voter leads; gives it back where not.
-    pub fn append(&mut self, item: Item) -> Result<(), Item> {
-        if !self.leads() || !self.has_room() {
-            return Err(item);
+    /// Appends an entry if this voter leads and has capacity; otherwise returns it.
+    pub fn append(&mut self, entry: LogEntry) -> Result<(), LogEntry> {
+        if !self.is_leader() || !self.has_capacity() {
+            return Err(entry);
         }
-        if let Some(omni) = &mut self.omni {
-            // It refuses only behind a stop sign, which is never proposed.
-            let _ = omni.append(item);
+        if let Some(paxos) = &mut self.paxos {
+            // Fails only after a stop sign, which is never proposed.
+            let _ = paxos.append(entry);
         }
         Ok(())
     }
 
-    /// The decided items behind `from`, at most 256.
-    pub fn decided_after(&self, from: u64) -> Vec<Item> {
-        let inner = self.disk.lock();
-        let to = inner.votes.decided.min(inner.votes.accepted()).min(from + 256);
-        inner.votes.items(from, to).to_vec()
+    /// The decided entries after index `from`, at most 256.
+    pub fn decided_after(&self, from: u64) -> Vec<LogEntry> {
+        let storage = self.storage.lock();
+        let to = storage.state.decided.min(storage.state.accepted()).min(from + 256);
+        storage.state.entries(from, to).to_vec()
     }
 
-    /// One beat; whether the log has to be replaced by what this node has learnt, `learnt` being its end.
-    pub fn tick(&mut self, now: Duration, learnt: u64, every: Duration) -> bool {
-        if self.why_not() == Some(NoVoteReason::Broken) {
+    /// Advances the clock by one tick; `learned` is the end of the log this node has learned. Returns whether
+    /// the voter's log has to be replaced by the learned one.
+    pub fn tick(&mut self, now: Duration, learned: u64, hello_interval: Duration) -> bool {
+        if self.no_vote_reason() == Some(NoVoteReason::Broken) {
             return false;
         }
-        if self.said_at.is_none_or(|at| now >= at + every) && self.founding.own.stage != Stage::Founded {
-            self.said_at = Some(now);
+        if self.hello_sent_at.is_none_or(|at| now >= at + hello_interval)
+            && self.bootstrap.own.stage != BootstrapStage::Complete
+        {
+            self.hello_sent_at = Some(now);
             let me = self.me;
             for to in (0..self.voters).filter(|to| *to != me) {
-                self.hello(to, true);
+                self.send_hello(to, true);
             }
         }
-        let Some(omni) = &mut self.omni else { return false };
-        omni.tick();
+        let Some(paxos) = &mut self.paxos else { return false };
+        paxos.tick();
         let (accepted, decided) = {
-            let inner = self.disk.lock();
-            (inner.votes.accepted(), inner.votes.decided)
+            let storage = self.storage.lock();
+            (storage.state.accepted(), storage.state.decided)
         };
-        self.still = if (accepted, decided) == self.grown { self.still.saturating_add(1) } else { 0 };
-        self.grown = (accepted, decided);
+        self.idle_ticks =
+            if (accepted, decided) == self.last_progress { self.idle_ticks.saturating_add(1) } else { 0 };
+        self.last_progress = (accepted, decided);
         let leader = self.leader();
-        if self.leads() {
+        if self.is_leader() {
             let me = self.me;
             for to in (0..self.voters).filter(|to| *to != me) {
-                let tail = Wire::Tail { fleet: self.founding.fleet(), accepted, decided };
-                if self.still % ROUND as u32 == 1 {
-                    self.out.push((to, Kind::Datagram, tail));
+                let status = WireMessage::LogStatus { fleet: self.bootstrap.fleet_id(), accepted, decided };
+                if self.idle_ticks % HEARTBEAT_ROUND_TICKS as u32 == 1 {
+                    self.outgoing.push((to, Kind::Datagram, status));
                 }
             }
         } else if let Some(leader) = leader.filter(|l| *l != self.me) {
-            let behind = self.tail.0 > accepted || self.tail.1 > decided || accepted > decided;
-            if behind && self.still > 0 && self.still.is_multiple_of(NUDGE) {
-                if let Some(omni) = &mut self.omni {
-                    omni.reconnected(leader as NodeId + 1);
+            let behind = self.leader_log.0 > accepted || self.leader_log.1 > decided || accepted > decided;
+            if behind && self.idle_ticks > 0 && self.idle_ticks.is_multiple_of(RESYNC_TICKS) {
+                if let Some(paxos) = &mut self.paxos {
+                    paxos.reconnected(leader as NodeId + 1);
                 }
             }
         }
-        self.collect();
-        learnt > decided && self.still >= JUMP
+        self.collect_outgoing();
+        learned > decided && self.idle_ticks >= REPLACE_LOG_TICKS
     }
 
-    /// Puts what was learnt up to `learnt` in the place of the log up to there; a checkpoint holds it.
-    pub fn jump(&mut self, learnt: u64) {
-        self.disk.lock().make(Op::Trim(learnt));
-        self.still = 0;
-        self.omni = None;
-        self.build();
+    /// Replaces the log up to `learned` by the learned entries, which a checkpoint covers.
+    pub fn replace_log(&mut self, learned: u64) {
+        self.storage.lock().record(VoterOp::Trim(learned));
+        self.idle_ticks = 0;
+        self.paxos = None;
+        self.start_paxos();
     }
 
-    /// Drops what a checkpoint at `covered` holds, but for a tail.
+    /// Trims the entries that a checkpoint at `covered` holds, except for a tail.
     pub fn trim(&mut self, covered: u64) {
-        let to = self.disk.lock().votes.trim_point(covered);
+        let to = self.storage.lock().state.trim_point(covered);
         let me = self.me as NodeId + 1;
-        if let (Some(omni), Ok(to)) = (&mut self.omni, usize::try_from(to)) {
-            // The library's own call refuses while any voter is away, which would let the log grow without bound.
+        if let (Some(paxos), Ok(to)) = (&mut self.paxos, usize::try_from(to)) {
+            // The library's own trim call fails while any voter is unreachable, which would let the log grow
+            // without bound.
             let msg = PaxosMsg::Compaction(Compaction::Trim(to));
-            omni.handle_incoming(Message::SequencePaxos(PaxosMessage { from: me, to: me, msg }));
+            paxos.handle_incoming(Message::SequencePaxos(PaxosMessage { from: me, to: me, msg }));
         }
     }
 
-    fn hello(&mut self, to: usize, answer: bool) {
-        let own = &self.founding.own;
-        let hello = Wire::Hello { identity: own.identity, stage: own.stage, set: own.set.clone(), answer };
-        self.out.push((to, Kind::Datagram, hello));
+    fn send_hello(&mut self, to: usize, answer: bool) {
+        let own = &self.bootstrap.own;
+        let hello =
+            WireMessage::Hello { identity: own.identity, stage: own.stage, set: own.set.clone(), answer };
+        self.outgoing.push((to, Kind::Datagram, hello));
     }
 
-    pub fn hear(&mut self, from: usize, said: Said, answer: bool) {
-        if self.founding.hear(from, said) {
-            self.disk.lock().make(Op::Standing(self.founding.own.clone()));
-            self.build();
+    pub fn on_hello(&mut self, from: usize, status: PeerStatus, answer: bool) {
+        if self.bootstrap.receive(from, status) {
+            self.storage.lock().record(VoterOp::Bootstrap(self.bootstrap.own.clone()));
+            self.start_paxos();
         }
         if answer {
-            self.hello(from, false);
+            self.send_hello(from, false);
         }
     }
 
-    pub fn on_tail(&mut self, from: usize, fleet: u64, accepted: u64, decided: u64) {
-        if fleet == self.founding.fleet() && self.leader() == Some(from) {
-            self.tail = (accepted, decided);
+    pub fn on_log_status(&mut self, from: usize, fleet: u64, accepted: u64, decided: u64) {
+        if fleet == self.bootstrap.fleet_id() && self.leader() == Some(from) {
+            self.leader_log = (accepted, decided);
         }
     }
 
-    /// A message of another voter, by the library's word.
-    pub fn on_vote(
+    /// Handles a message of the consensus library from another voter.
+    pub fn on_paxos(
         &mut self,
         from: usize,
         session: Session,
         fleet: u64,
         number: u64,
-        message: Message<Item>,
+        message: Message<LogEntry>,
     ) {
         let stream = usize::from(matches!(message, Message::SequencePaxos(_)));
-        let lane = &mut self.lanes[from];
-        if session > lane.session {
-            *lane = Lane { session, came: [0; 2] };
+        let channel = &mut self.channels[from];
+        if session > channel.session {
+            *channel = Channel { session, last_received: [0; 2] };
         }
-        let fresh = session == lane.session && number > lane.came[stream];
-        if !fresh || fleet != self.founding.fleet() || self.why_not().is_some() {
+        let is_new = session == channel.session && number > channel.last_received[stream];
+        if !is_new || fleet != self.bootstrap.fleet_id() || self.no_vote_reason().is_some() {
             self.dropped += 1;
             return;
         }
-        self.lanes[from].came[stream] = number;
+        self.channels[from].last_received[stream] = number;
         let (me, from) = (self.me as NodeId + 1, from as NodeId + 1);
         if message.get_sender() != from || message.get_receiver() != me {
             self.dropped += 1;
             return;
         }
-        let (Some(message), Some(omni)) = (self.sound(message), &mut self.omni) else {
+        let (Some(message), Some(paxos)) = (self.validate(message), &mut self.paxos) else {
             self.dropped += 1;
             return;
         };
-        omni.handle_incoming(message);
-        self.collect();
+        paxos.handle_incoming(message);
+        self.collect_outgoing();
     }
 
-    /// The message, if the library bears it.
-    fn sound(&self, message: Message<Item>) -> Option<Message<Item>> {
-        let plain = |b: &Ballot| b.n < ROUND_MAX && b.config_id <= 1 && b.pid <= self.voters as NodeId;
+    /// Returns the message if the library can handle it safely.
+    fn validate(&self, message: Message<LogEntry>) -> Option<Message<LogEntry>> {
+        let is_valid =
+            |b: &Ballot| b.n < ELECTION_ROUND_MAX && b.config_id <= 1 && b.pid <= self.voters as NodeId;
         match message {
             Message::BLE(b) => match &b.msg {
                 HeartbeatMsg::Request(_) => Some(Message::BLE(b)),
-                HeartbeatMsg::Reply(r) => (plain(&r.ballot) && plain(&r.leader)).then_some(Message::BLE(b)),
+                HeartbeatMsg::Reply(r) => {
+                    (is_valid(&r.ballot) && is_valid(&r.leader)).then_some(Message::BLE(b))
+                }
             },
             Message::SequencePaxos(mut p) => {
                 let (decided, accepted) = {
-                    let inner = self.disk.lock();
-                    (inner.votes.decided, inner.votes.accepted())
+                    let storage = self.storage.lock();
+                    (storage.state.decided, storage.state.accepted())
                 };
                 let ok = match &mut p.msg {
-                    PaxosMsg::PrepareReq(m) => plain(&m.n),
-                    PaxosMsg::Prepare(m) => plain(&m.n) && plain(&m.n_accepted),
+                    PaxosMsg::PrepareReq(m) => is_valid(&m.n),
+                    PaxosMsg::Prepare(m) => is_valid(&m.n) && is_valid(&m.n_accepted),
                     PaxosMsg::Promise(m) => {
-                        plain(&m.n)
-                            && plain(&m.n_accepted)
-                            && m.log_sync.as_mut().is_none_or(|s| fits(s, decided, accepted))
+                        is_valid(&m.n)
+                            && is_valid(&m.n_accepted)
+                            && m.log_sync.as_mut().is_none_or(|s| trim_log_sync(s, decided, accepted))
+                    }
+                    PaxosMsg::AcceptSync(m) => {
+                        is_valid(&m.n) && trim_log_sync(&mut m.log_sync, decided, accepted)
                     }
-                    PaxosMsg::AcceptSync(m) => plain(&m.n) && fits(&mut m.log_sync, decided, accepted),
-                    PaxosMsg::AcceptDecide(m) => plain(&m.n),
-                    PaxosMsg::Accepted(m) => plain(&m.n),
-                    PaxosMsg::NotAccepted(m) => plain(&m.n),
-                    PaxosMsg::Decide(m) => plain(&m.n),
-                    // Not used here: proposals come by the node's own messages, and each voter trims for itself.
+                    PaxosMsg::AcceptDecide(m) => is_valid(&m.n),
+                    PaxosMsg::Accepted(m) => is_valid(&m.n),
+                    PaxosMsg::NotAccepted(m) => is_valid(&m.n),
+                    PaxosMsg::Decide(m) => is_valid(&m.n),
+                    // Unused here: proposals travel in the node's own messages, and each voter trims its own
+                    // log.
                     PaxosMsg::ProposalForward(_)
                     | PaxosMsg::Compaction(_)
                     | PaxosMsg::AcceptStopSign(_)
@@ -321,13 +340,14 @@
         }
     }
 
-    /// Takes what the library wants sent. Without the part of the log that was trimmed it would send an empty one in its
-    /// place, and the receiver would go on at a wrong index: such a message is dropped, the receiver learns from its peers.
-    fn collect(&mut self) {
-        let Some(omni) = &mut self.omni else { return };
+    /// Collects the library's outgoing messages. For a log part that was trimmed the library would send an
+    /// empty one, and the receiver would continue at a wrong index. Such a message is dropped; the receiver
+    /// learns the entries from its peers.
+    fn collect_outgoing(&mut self) {
+        let Some(paxos) = &mut self.paxos else { return };
         let mut messages = Vec::new();
-        omni.take_outgoing_messages(&mut messages);
-        let compacted = self.disk.lock().votes.compacted;
+        paxos.take_outgoing_messages(&mut messages);
+        let compacted = self.storage.lock().state.compacted;
         for message in messages {
             let kind = match &message {
                 Message::BLE(_) => Kind::Datagram,
@@ -347,27 +367,30 @@
             let Some(to) = usize::try_from(message.get_receiver()).ok().and_then(|p| p.checked_sub(1)) else {
                 continue;
             };
-            self.sent += 1;
-            let vote = Wire::Vote { fleet: self.founding.fleet(), number: self.sent, message };
-            self.out.push((to, kind, vote));
+            self.last_number += 1;
+            let wire =
+                WireMessage::Paxos { fleet: self.bootstrap.fleet_id(), number: self.last_number, message };
+            self.outgoing.push((to, kind, wire));
         }
     }
 
-    /// What is to be sent once the changes of [`Disk::take_ops`] are durable. To be taken after each call.
-    pub fn take_out(&mut self) -> Vec<(usize, Kind, Wire)> {
-        self.collect();
-        std::mem::take(&mut self.out)
+    /// Messages to send once the changes of [`VoterStorage::take_ops`] are durable. Must be called after
+    /// every other call.
+    pub fn take_outgoing(&mut self) -> Vec<(usize, Kind, WireMessage)> {
+        self.collect_outgoing();
+        std::mem::take(&mut self.outgoing)
     }
 }
 
-/// Whether a part of a log can be put behind this voter's own; what this voter has decided already is cut off its front.
-fn fits(sync: &mut LogSync<Item>, decided: u64, accepted: u64) -> bool {
+/// Returns whether a log part can be appended to this voter's log. Removes the entries from its front that
+/// this voter has already decided.
+fn trim_log_sync(sync: &mut LogSync<LogEntry>, decided: u64, accepted: u64) -> bool {
     let at = sync.sync_idx as u64;
     if sync.decided_snapshot.is_some() || sync.stopsign.is_some() || at > accepted {
         return false;
     }
     if at < decided {
-        // All that is decided is the same everywhere.
+        // Decided entries are the same on every voter.
         let Ok(cut) = usize::try_from(decided - at) else { return false };
         if cut > sync.suffix.len() {
             return false;
