--- a/crates/consensus/src/head.rs
+++ b/crates/consensus/src/head.rs
@@ -61,15 +61,18 @@
         self.index.0 += 1;
         self.timestamp = self.timestamp.max(Timestamp(entry.wall_ms));
         self.hash = chain_hash(&self.hash, entry);
-        let (by, id) = (&entry.proposal.proposer, entry.proposal.id);
-        let is_new = self.proposers.get(&by.name).is_none_or(|l| (by.session, id) > (l.session, l.id));
+        let (proposer, id) = (&entry.proposal.proposer, entry.proposal.id);
+        let is_new =
+            self.proposers.get(&proposer.name).is_none_or(|l| (proposer.session, id) > (l.session, l.id));
         let proposal = if is_new && id > 0 {
-            if self.proposers.len() >= PROPOSERS_MAX && !self.proposers.contains_key(&by.name) {
+            if self.proposers.len() >= PROPOSERS_MAX && !self.proposers.contains_key(&proposer.name) {
                 let oldest = self.proposers.iter().min_by_key(|(_, l)| l.index).map(|(n, _)| n.clone());
                 oldest.map(|n| self.proposers.remove(&n));
             }
-            self.proposers
-                .insert(by.name.clone(), LastProposal { session: by.session, id, index: self.index });
+            self.proposers.insert(
+                proposer.name.clone(),
+                LastProposal { session: proposer.session, id, index: self.index },
+            );
             entry.proposal.clone()
         } else {
             Proposal { topic: Topic::Voters, proposer: Peer::no_peer(), id: 0, body: Vec::new() }
@@ -78,8 +81,8 @@
     }
 
     /// The last decided id of this proposer's session, or 0 if there is none.
-    pub fn last_id(&self, by: &Peer) -> u64 {
-        self.proposers.get(&by.name).filter(|l| l.session == by.session).map_or(0, |l| l.id)
+    pub fn last_id(&self, proposer: &Peer) -> u64 {
+        self.proposers.get(&proposer.name).filter(|l| l.session == proposer.session).map_or(0, |l| l.id)
     }
 }
 
--- a/crates/consensus/src/sim/scenarios.rs
+++ b/crates/consensus/src/sim/scenarios.rs
@@ -58,7 +58,7 @@
 #[test]
 fn sending_before_a_promise_is_durable_violates_agreement_and_waiting_does_not() {
     let rules = ["no two nodes decide different entries at one index", "decided is never undone"];
-    let caught = |why: String| rules.iter().any(|rule| why.contains(rule));
+    let caught = |error: String| rules.iter().any(|rule| error.contains(rule));
     let mut caught_runs = 0;
     for seed in 0..30 {
         caught_runs += usize::from(lose_power_repeatedly(seed, true).is_err_and(caught));
@@ -85,7 +85,7 @@
             let at = fleet.index(voters);
             assert!(
                 fleet.world.run_until(2000 * MS, |w| w.room(other).is_some_and(|r| r.index >= at)).is_some(),
-                "the voter behind the cut link learns from the others"
+                "the voter with the failed link learns from other nodes"
             );
             assert_eq!(fleet.converge_and_check(), Ok(()));
         }
