--- a/crates/consensus/src/learned_log.rs
+++ b/crates/consensus/src/learned_log.rs
@@ -74,7 +74,8 @@
         self.end() - self.retained.len() as u64
     }
 
-    /// Applies the next entry. `limits` bounds the number and the total size in bytes of the retained entries.
+    /// Applies the next entry. `limits` bounds the number and the total size in bytes of the retained
+    /// entries.
     pub fn apply(&mut self, entry: LogEntry, limits: (usize, usize)) -> DecidedEntry {
         let decided = self.head.apply(&entry);
         let size = entry.size();
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -73,8 +73,8 @@
     /// The known leader and the round of its election.
     pub leader: Option<(u32, Name)>,
     gossip_at: Duration,
-    /// Remaining comparisons at the short interval. Set but not evaluated: only the first comparison after new
-    /// entries comes early.
+    /// Remaining comparisons at the short interval. Set but not evaluated: only the first comparison after
+    /// new entries comes early.
     fast_gossip_left: u8,
     /// The peer whose response is pending, and the deadline.
     pending_request: Option<(Name, Duration)>,
