--- a/crates/http/src/request_scanner.rs
+++ b/crates/http/src/request_scanner.rs
@@ -1,166 +1,174 @@
-//! Where requests begin and end in what a client sends, as it comes. hyper reads ahead and tells neither whether anything
-//! stands behind a request nor every header that it saw; this looks at the same bytes, and passes nothing on.
+//! Finds where requests begin and end in the bytes that a client sends, as they arrive. hyper reads ahead,
+//! and reports neither whether anything follows a request nor every header that it saw. The scanner inspects
+//! the same bytes and changes nothing.
 
 use std::collections::VecDeque;
 
-/// The longest line that is looked at; hyper takes no larger head.
-const LINE_MOST: usize = 64 * 1024;
+/// Longest line that is inspected; hyper accepts no larger head.
+const LINE_MAX_BYTES: usize = 64 * 1024;
 
-/// What the scan is in the middle of.
+/// What the scanner expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum At {
-    /// The lines of a head, blank ones ahead of it included.
+enum State {
+    /// A line of a head, or a blank line before it.
     #[default]
     Head,
-    /// So many bytes of a body.
+    /// Bytes of a body: how many are missing.
     Body(u64),
-    /// The line that says how long the next chunk is.
-    Size,
-    /// So many bytes of a chunk.
+    /// The line with the size of the next chunk.
+    ChunkSize,
+    /// Bytes of a chunk: how many are missing.
     Chunk(u64),
-    /// The line's end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// The lines behind the last chunk.
+    /// A trailer line after the last chunk.
     Trailer,
-    /// What came is no request; nothing more is known.
-    Lost,
+    /// The input is not a valid request; the scan has stopped.
+    Invalid,
 }
 
-/// A scan of one client's connection.
+/// The scanner of one client's connection.
 #[derive(Debug, Default)]
 pub struct RequestScanner {
-    at: At,
-    /// What came of a line that is not whole.
+    state: State,
+    /// The received part of an incomplete line.
     line: Vec<u8>,
-    /// The request's first line has come, or a part of it.
-    begun: bool,
-    lengths: usize,
-    length: u64,
-    codings: usize,
-    /// Of each request whose head is whole and that nobody has asked for: does it say in one way where it ends?
-    framed_once: VecDeque<bool>,
-    /// How many requests have begun to come.
-    requests: u64,
-    /// How many were asked for.
-    asked: u64,
+    /// Whether the request's first line has arrived, at least in part.
+    request_started: bool,
+    /// Number of `Content-Length` headers; an invalid one counts twice.
+    length_headers: usize,
+    content_length: u64,
+    /// Number of `Transfer-Encoding` headers; one other than `chunked` counts twice.
+    transfer_codings: usize,
+    /// For each request with a complete head that was not taken yet: whether it defines its end in only one
+    /// way.
+    unambiguous: VecDeque<bool>,
+    /// Number of requests that have begun to arrive.
+    requests_started: u64,
+    /// Number of requests taken by [`RequestScanner::next_is_unambiguous`].
+    requests_taken: u64,
 }
 
 impl RequestScanner {
-    /// Takes the next bytes.
-    pub fn came(&mut self, mut bytes: &[u8]) {
+    /// Scans the next bytes from the client.
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            bytes = match self.at {
-                At::Body(left) | At::Chunk(left) => {
-                    let here = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    let left = left - here as u64;
-                    self.at = match self.at {
-                        At::Body(_) if left == 0 => self.next_request(),
-                        At::Body(_) => At::Body(left),
-                        _ if left == 0 => At::ChunkEnd,
-                        _ => At::Chunk(left),
+            bytes = match self.state {
+                State::Body(left) | State::Chunk(left) => {
+                    let count = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    let left = left - count as u64;
+                    self.state = match self.state {
+                        State::Body(_) if left == 0 => self.start_next_request(),
+                        State::Body(_) => State::Body(left),
+                        _ if left == 0 => State::ChunkEnd,
+                        _ => State::Chunk(left),
                     };
-                    &bytes[here..]
+                    &bytes[count..]
                 }
-                At::Lost => return,
-                _ => self.by_line(bytes),
+                State::Invalid => return,
+                _ => self.scan_line(bytes),
             };
         }
     }
 
-    /// The next request's head is whole. Does that say in one way where the request ends? Where that is not known it does
-    /// not.
-    pub fn next(&mut self) -> bool {
-        self.asked += 1;
-        self.framed_once.pop_front().unwrap_or(false)
+    /// Takes the next request, whose head is complete. Returns whether it defines its end in only one way;
+    /// false if that is not known.
+    pub fn next_is_unambiguous(&mut self) -> bool {
+        self.requests_taken += 1;
+        self.unambiguous.pop_front().unwrap_or(false)
     }
 
-    /// Has anything come behind the last request that was asked for?
-    pub fn ahead(&self) -> bool {
-        self.requests > self.asked
+    /// Returns whether any part of a request after the last taken one has arrived.
+    pub fn has_next_request(&self) -> bool {
+        self.requests_started > self.requests_taken
     }
 
-    /// Has the last request that was asked for come to its last byte?
-    pub fn whole(&self) -> bool {
-        self.ahead() || (self.at == At::Head && !self.begun)
+    /// Returns whether the last byte of the last taken request has arrived.
+    pub fn is_request_complete(&self) -> bool {
+        self.has_next_request() || (self.state == State::Head && !self.request_started)
     }
 
-    /// Takes one line, or the part of one that has come; gives what stands behind it.
-    fn by_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+    /// Scans one line, or the part of it that has arrived, and returns the bytes after it.
+    fn scan_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-            if self.line.len() + bytes.len() > LINE_MOST {
-                self.at = At::Lost;
+            if self.line.len() + bytes.len() > LINE_MAX_BYTES {
+                self.state = State::Invalid;
                 return &[];
             }
-            self.begin_with(bytes);
+            self.detect_request_start(bytes);
             self.line.extend_from_slice(bytes);
             return &[];
         };
-        let (here, rest) = bytes.split_at(end + 1);
+        let (line_part, rest) = bytes.split_at(end + 1);
         if self.line.is_empty() {
-            self.whole_line(here.trim_ascii());
+            self.process_line(line_part.trim_ascii());
         } else {
             let mut line = std::mem::take(&mut self.line);
-            line.extend_from_slice(here);
-            self.whole_line(line.trim_ascii());
+            line.extend_from_slice(line_part);
+            self.process_line(line.trim_ascii());
         }
         rest
     }
 
-    /// A request begins with the first byte that is no blank line's.
-    fn begin_with(&mut self, line: &[u8]) {
-        if self.at == At::Head && !self.begun && line.iter().any(|b| !matches!(b, b'\r' | b'\n')) {
-            self.begun = true;
-            self.requests += 1;
+    /// Notes the start of a request: its first byte that is not part of a blank line.
+    fn detect_request_start(&mut self, line: &[u8]) {
+        if self.state == State::Head
+            && !self.request_started
+            && line.iter().any(|b| !matches!(b, b'\r' | b'\n'))
+        {
+            self.request_started = true;
+            self.requests_started += 1;
         }
     }
 
-    fn whole_line(&mut self, line: &[u8]) {
-        match self.at {
-            At::Head if !self.begun => self.begin_with(line),
-            At::Head if line.is_empty() => {
-                let once = self.lengths + self.codings <= 1;
-                self.framed_once.push_back(once);
-                self.at = match (once, self.codings) {
-                    (false, _) => At::Lost,
-                    (true, 0) if self.length == 0 => self.next_request(),
-                    (true, 0) => At::Body(self.length),
-                    _ => At::Size,
+    fn process_line(&mut self, line: &[u8]) {
+        match self.state {
+            State::Head if !self.request_started => self.detect_request_start(line),
+            State::Head if line.is_empty() => {
+                let unambiguous = self.length_headers + self.transfer_codings <= 1;
+                self.unambiguous.push_back(unambiguous);
+                self.state = match (unambiguous, self.transfer_codings) {
+                    (false, _) => State::Invalid,
+                    (true, 0) if self.content_length == 0 => self.start_next_request(),
+                    (true, 0) => State::Body(self.content_length),
+                    _ => State::ChunkSize,
                 };
             }
-            At::Head => self.header(line),
-            At::Size => {
+            State::Head => self.process_header(line),
+            State::ChunkSize => {
                 let digits = line.split(|b| matches!(b, b';' | b' ' | b'\t')).next().unwrap_or_default();
                 let size = std::str::from_utf8(digits).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
-                self.at = match size {
-                    None => At::Lost,
-                    Some(0) => At::Trailer,
-                    Some(size) => At::Chunk(size),
+                self.state = match size {
+                    None => State::Invalid,
+                    Some(0) => State::Trailer,
+                    Some(size) => State::Chunk(size),
                 };
             }
-            At::ChunkEnd => self.at = if line.is_empty() { At::Size } else { At::Lost },
-            At::Trailer if line.is_empty() => self.at = self.next_request(),
+            State::ChunkEnd => self.state = if line.is_empty() { State::ChunkSize } else { State::Invalid },
+            State::Trailer if line.is_empty() => self.state = self.start_next_request(),
             _ => {}
         }
     }
 
-    fn header(&mut self, line: &[u8]) {
+    fn process_header(&mut self, line: &[u8]) {
         let Some(colon) = line.iter().position(|b| *b == b':') else { return };
         let (name, value) = (line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
-            self.lengths += 1;
+            self.length_headers += 1;
             match std::str::from_utf8(value).ok().and_then(|v| v.parse().ok()) {
-                Some(length) => self.length = length,
-                // Two ways at once: nobody knows where it ends.
-                None => self.lengths += 1,
+                Some(length) => self.content_length = length,
+                // An invalid length is ambiguous: it counts as two.
+                None => self.length_headers += 1,
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            self.codings += if value.eq_ignore_ascii_case(b"chunked") { 1 } else { 2 };
+            self.transfer_codings += if value.eq_ignore_ascii_case(b"chunked") { 1 } else { 2 };
         }
     }
 
-    fn next_request(&mut self) -> At {
-        (self.begun, self.lengths, self.length, self.codings) = (false, 0, 0, 0);
-        At::Head
+    fn start_next_request(&mut self) -> State {
+        (self.request_started, self.length_headers, self.content_length, self.transfer_codings) =
+            (false, 0, 0, 0);
+        State::Head
     }
 }
 
--- a/crates/http/src/request_scanner/tests.rs
+++ b/crates/http/src/request_scanner/tests.rs
@@ -1,46 +1,54 @@
 use super::*;
 
 const GET: &str = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
-const LONG: &str = "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /";
-const CHUNKS: &str = "\r\n\nPOST /a HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n\
+const WITH_LENGTH: &str = "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /";
+const CHUNKED: &str = "\r\n\nPOST /a HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n\
     5;name=\"v\"\r\nGET /\r\nA \r\n0\r\n\r\nPOST \r\n0;x\r\nX-Sum: 1\r\nContent-Length: 7\r\n\r\n";
 
-/// Feeds the text in pieces of each length; gives each time how many requests were seen, and what is known of the last.
-fn in_pieces(text: &str, check: impl Fn(&mut RequestScanner)) {
+/// Scans the text in pieces of every length, and runs the check on each scanner.
+fn for_all_piece_lengths(text: &str, check: impl Fn(&mut RequestScanner)) {
     for piece in 1..=text.len() {
-        let mut scan = RequestScanner::default();
-        text.as_bytes().chunks(piece).for_each(|bytes| scan.came(bytes));
-        check(&mut scan);
+        let mut scanner = RequestScanner::default();
+        text.as_bytes().chunks(piece).for_each(|bytes| scanner.scan(bytes));
+        check(&mut scanner);
     }
 }
 
 #[test]
-fn requests_end_where_their_framing_says_however_they_come() {
-    for one in [GET, LONG, CHUNKS] {
-        in_pieces(one, |scan| {
-            assert!(scan.ahead(), "one has come that nobody asked for");
-            assert!(scan.next() && !scan.ahead(), "{one:?}: nothing is behind it");
+fn requests_end_where_their_framing_says_however_they_are_split() {
+    for one in [GET, WITH_LENGTH, CHUNKED] {
+        for_all_piece_lengths(one, |scanner| {
+            assert!(scanner.has_next_request(), "a request has arrived and was not taken");
+            assert!(
+                scanner.next_is_unambiguous() && !scanner.has_next_request(),
+                "{one:?}: nothing follows it"
+            );
         });
-        for next in ["\r\n", "G", GET, CHUNKS] {
-            in_pieces(&format!("{one}{next}"), |scan| {
-                assert!(scan.next());
-                assert_eq!(scan.ahead(), next != "\r\n", "{one:?} {next:?}");
+        for next in ["\r\n", "G", GET, CHUNKED] {
+            for_all_piece_lengths(&format!("{one}{next}"), |scanner| {
+                assert!(scanner.next_is_unambiguous());
+                assert_eq!(scanner.has_next_request(), next != "\r\n", "{one:?} {next:?}");
             });
         }
-        // One that is not whole yet is not behind itself; nor is one whose head is not.
-        in_pieces(&one[..one.len() - 1], |scan| {
-            assert_eq!(scan.next(), one != GET);
-            assert!(!scan.ahead() && !scan.whole());
+        // An incomplete request does not count as a next one, whether its head is complete or not.
+        for_all_piece_lengths(&one[..one.len() - 1], |scanner| {
+            assert_eq!(scanner.next_is_unambiguous(), one != GET);
+            assert!(!scanner.has_next_request() && !scanner.is_request_complete());
+        });
+        for_all_piece_lengths(one, |scanner| {
+            assert!(scanner.next_is_unambiguous() && scanner.is_request_complete())
         });
-        in_pieces(one, |scan| assert!(scan.next() && scan.whole()));
     }
-    in_pieces(&format!("{CHUNKS}{LONG}{GET}"), |scan| {
-        assert!((0..3).all(|_| scan.ahead() && scan.next()) && !scan.ahead());
+    for_all_piece_lengths(&format!("{CHUNKED}{WITH_LENGTH}{GET}"), |scanner| {
+        assert!(
+            (0..3).all(|_| scanner.has_next_request() && scanner.next_is_unambiguous())
+                && !scanner.has_next_request()
+        );
     });
 }
 
 #[test]
-fn what_ends_in_two_ways_is_seen_whichever_comes_first() {
+fn ambiguous_framing_is_detected_in_any_header_order() {
     for lines in [
         "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
         "content-length : 5\r\nTRANSFER-ENCODING: chunked\r\n",
@@ -49,11 +57,14 @@
         "Content-Length: -1\r\n",
         "Transfer-Encoding: gzip, chunked\r\n",
     ] {
-        in_pieces(&format!("POST / HTTP/1.1\r\n{lines}\r\n0\r\n\r\n{GET}"), |scan| {
-            assert!(!scan.next(), "{lines:?}");
+        for_all_piece_lengths(&format!("POST / HTTP/1.1\r\n{lines}\r\n0\r\n\r\n{GET}"), |scanner| {
+            assert!(!scanner.next_is_unambiguous(), "{lines:?}");
         });
     }
-    let mut scan = RequestScanner::default();
-    scan.came(&vec![b'x'; LINE_MOST + 1]);
-    assert!(scan.line.len() <= LINE_MOST && !scan.next(), "a line without an end is bounded");
+    let mut scanner = RequestScanner::default();
+    scanner.scan(&vec![b'x'; LINE_MAX_BYTES + 1]);
+    assert!(
+        scanner.line.len() <= LINE_MAX_BYTES && !scanner.next_is_unambiguous(),
+        "the buffer for a line is bounded"
+    );
 }
--- a/crates/http/src/watched_stream.rs
+++ b/crates/http/src/watched_stream.rs
@@ -1,5 +1,5 @@
-//! A TCP socket that hyper drives and that we can watch: what the kernel took of a message, and whether the
-//! other side has closed.
+//! A TCP stream that hyper drives and that the node observes: how much of a message the kernel has accepted,
+//! what has been received, and whether the peer has closed the connection.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,361 +16,371 @@
 
 use crate::message::BUFFERED_BODY_MAX_BYTES;
 use crate::request_scanner::RequestScanner;
-use progress::{Back, Progress, LAST_CHUNK};
+use progress::{MessageProgress, ResponseProgress, LAST_CHUNK};
 
 mod progress;
 
-/// How much is read at once of what nobody wants.
-const SINK: usize = 16 * 1024;
+/// Size of the buffer that discarded input is read into.
+const LINGER_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How long a request's head may take to come whole, from its first byte on; that of a new connection from the
-/// connection's start. Slow clients take 2 s; who sends no proper request is owed an end within 3 s.
-const HEAD_WITHIN: Duration = Duration::from_millis(2700);
-/// How long a body may then keep the node waiting in all ...
-const BODY_WAIT: Duration = Duration::from_millis(600);
-/// ... and how much longer for each byte of it: slow clients send 64 kB a second.
-const BODY_BYTE: Duration = Duration::from_nanos(1_000_000_000 / 48_000);
-/// How long it may keep the node waiting at a time, however fast it came before.
-const BODY_PAUSE: Duration = Duration::from_millis(1500);
+/// Time limit for a request's head, from its first byte, or from the start of the connection for the first
+/// request. Slow clients take 2 s; a client that sends no valid request must be disconnected within 3 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2700);
+/// How long the node may wait for a request's body in total, before the allowance for its bytes.
+const BODY_WAIT_BASE: Duration = Duration::from_millis(600);
+/// Additional waiting time for each byte of the body: slow clients send 64 kB/s.
+const BODY_WAIT_PER_BYTE: Duration = Duration::from_nanos(1_000_000_000 / 48_000);
+/// Longest single pause in a body, however fast it arrived before.
+const BODY_PAUSE_MAX: Duration = Duration::from_millis(1500);
 
-/// What a client's connection is in the middle of.
+/// The state of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
     /// Between requests.
     Idle,
-    /// A request has begun to come.
+    /// A request is being received.
     Reading,
-    /// A request is being served.
+    /// A request is being processed.
     Busy,
-    /// Its answer is on its way out.
+    /// Its response is being written.
     Answering,
 }
 
-/// A watched socket.
+/// A TCP stream with a record of what was sent and received on it.
 pub struct WatchedStream {
-    stream: Stream,
-    out: RefCell<Progress>,
-    /// Where it is counted when the message's last byte is written.
-    counted: RefCell<Option<Figures>>,
-    /// When the kernel last took any of it, or it was begun.
-    took_at: Cell<tokio::time::Instant>,
-    /// What came back since the message was begun.
-    back: RefCell<Back>,
+    inner: Stream,
+    sent: RefCell<MessageProgress>,
+    /// The metrics that count the attempt once the kernel has accepted its last byte.
+    attempt_metrics: RefCell<Option<Figures>>,
+    /// When the kernel last accepted bytes of the message, or the message was begun.
+    last_write_at: Cell<tokio::time::Instant>,
+    /// What was received since the message was begun.
+    response: RefCell<ResponseProgress>,
     phase: Cell<ConnectionPhase>,
     /// When the phase began.
-    since: Cell<Instant>,
-    /// By when a request that is coming must be whole, but for the time that the bytes of its body may take.
-    due: Cell<Instant>,
-    /// How much had come when the present request's head was whole.
-    head_came: Cell<Option<usize>>,
-    /// What it is told is not whole, and may never be.
-    breaks: Cell<bool>,
-    /// Since when the node has been waiting for more, where nobody keeps it from reading.
-    waits: Cell<Option<Instant>>,
-    /// For how long it has waited for the present request's body, up to the latest bytes.
-    waited: Cell<Duration>,
-    /// When the latest bytes came.
-    heard: Cell<Instant>,
-    /// A client's connection.
-    serves: bool,
-    /// Anything ever came.
-    spoke: Cell<bool>,
-    /// How many requests have been answered, or are being.
-    answers: Cell<usize>,
-    /// How many bytes came.
-    came: Cell<usize>,
-    /// Where a client's requests begin and end.
-    scan: RefCell<RequestScanner>,
-    /// The id of a client's latest request, as it sent it.
-    request: RefCell<Option<HeaderValue>>,
+    phase_since: Cell<Instant>,
+    /// When the request that is being received must be complete, without the allowance for the bytes of its
+    /// body.
+    request_due: Cell<Instant>,
+    /// The value of `bytes_received` when the head of the current request was complete.
+    bytes_at_head_end: Cell<Option<usize>>,
+    /// Whether closing the connection now must reset it, as the message on it is incomplete.
+    reset_on_close: Cell<bool>,
+    /// Since when a read has been waiting for more bytes; `None` while none is.
+    waiting_since: Cell<Option<Instant>>,
+    /// How long the node has waited for the body of the current request, up to the latest bytes.
+    body_wait: Cell<Duration>,
+    /// When the latest bytes arrived.
+    last_received_at: Cell<Instant>,
+    /// Whether the peer is a client whose requests are tracked.
+    is_client: bool,
+    /// Whether any bytes were ever received.
+    received_any: Cell<bool>,
+    /// Number of responses that were begun.
+    responses: Cell<usize>,
+    /// Number of bytes received; wraps around.
+    bytes_received: Cell<usize>,
+    /// Finds where a client's requests begin and end.
+    scanner: RefCell<RequestScanner>,
+    /// The id of the client's latest request, as sent.
+    request_id: RefCell<Option<HeaderValue>>,
 }
 
 impl WatchedStream {
-    /// Takes over a connection.
+    /// Wraps a connection whose incoming requests, if any, are not tracked.
     pub fn new(stream: Stream) -> Rc<Self> {
         Self::open(stream, false)
     }
 
-    /// Takes over the connection of a client, whose requests are watched.
+    /// Wraps a client's connection and tracks the requests on it.
     pub fn for_client(stream: Stream) -> Rc<Self> {
         Self::open(stream, true)
     }
 
-    fn open(stream: Stream, serves: bool) -> Rc<Self> {
+    fn open(inner: Stream, is_client: bool) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Self {
-            stream,
-            out: RefCell::default(),
-            counted: RefCell::default(),
-            took_at: Cell::new(tokio::time::Instant::now()),
-            back: RefCell::default(),
+            inner,
+            sent: RefCell::default(),
+            attempt_metrics: RefCell::default(),
+            last_write_at: Cell::new(tokio::time::Instant::now()),
+            response: RefCell::default(),
             phase: Cell::new(ConnectionPhase::Idle),
-            since: Cell::new(now),
-            due: Cell::new(now + HEAD_WITHIN),
-            head_came: Cell::new(None),
-            breaks: Cell::new(false),
-            waits: Cell::new(None),
-            waited: Cell::new(Duration::ZERO),
-            heard: Cell::new(now),
-            serves,
-            spoke: Cell::new(false),
-            answers: Cell::new(0),
-            came: Cell::new(0),
-            scan: RefCell::default(),
-            request: RefCell::default(),
+            phase_since: Cell::new(now),
+            request_due: Cell::new(now + HEAD_TIMEOUT),
+            bytes_at_head_end: Cell::new(None),
+            reset_on_close: Cell::new(false),
+            waiting_since: Cell::new(None),
+            body_wait: Cell::new(Duration::ZERO),
+            last_received_at: Cell::new(now),
+            is_client,
+            received_any: Cell::new(false),
+            responses: Cell::new(0),
+            bytes_received: Cell::new(0),
+            scanner: RefCell::default(),
+            request_id: RefCell::default(),
         })
     }
 
-    /// A message with so long a body is about to be written; `None`: in chunks, until [`WatchedStream::finish_message`].
-    pub fn begin_message(&self, body: Option<usize>) {
-        let (chunked, body) = (body.is_none(), body.unwrap_or_default());
-        *self.out.borrow_mut() = Progress { body, chunked, ..Progress::default() };
-        *self.back.borrow_mut() = Back::default();
-        self.took_at.set(tokio::time::Instant::now());
+    /// Starts tracking a message that is about to be written. `body_len` is the length of its body in bytes,
+    /// or `None` for a chunked body, which ends with [`WatchedStream::finish_message`].
+    pub fn begin_message(&self, body_len: Option<usize>) {
+        let (chunked, body_len) = (body_len.is_none(), body_len.unwrap_or_default());
+        *self.sent.borrow_mut() = MessageProgress { body_len, chunked, ..MessageProgress::default() };
+        *self.response.borrow_mut() = ResponseProgress::default();
+        self.last_write_at.set(tokio::time::Instant::now());
     }
 
-    /// The same of an attempt, which counts once its last byte is written, whatever becomes of it then.
-    pub fn begin_attempt(&self, body: Option<usize>, figures: Figures) {
-        self.begin_message(body);
-        *self.counted.borrow_mut() = Some(figures);
+    /// Starts tracking the request of an attempt. It is counted in `metrics` once its last byte is written,
+    /// whatever its outcome.
+    pub fn begin_attempt(&self, body_len: Option<usize>, metrics: Figures) {
+        self.begin_message(body_len);
+        *self.attempt_metrics.borrow_mut() = Some(metrics);
     }
 
-    /// The message's body has been handed on to its last byte.
+    /// Notes that the whole chunked body has been handed to hyper.
     pub fn finish_message(&self) {
-        self.out.borrow_mut().ended = true;
+        self.sent.borrow_mut().body_finished = true;
     }
 
-    /// Is the message passed on as it comes?
+    /// Returns whether the message is streamed instead of buffered.
     pub fn is_streaming(&self) -> bool {
-        let out = self.out.borrow();
-        out.chunked || out.body > BUFFERED_BODY_MAX_BYTES
+        let sent = self.sent.borrow();
+        sent.chunked || sent.body_len > BUFFERED_BODY_MAX_BYTES
     }
 
-    /// Nothing but the connection's end tells who reads the message where it ends: until it is whole the connection is to end
-    /// by a reset, whoever ends it.
+    /// Makes every close of the connection reset it until [`Self::clear_reset_on_close`]. Used where only the
+    /// end of the connection delimits the message: an orderly close would make a truncated message look
+    /// complete.
     pub fn set_reset_on_close(&self) {
-        self.breaks.set(true);
+        self.reset_on_close.set(true);
     }
 
-    /// It is whole, and may end in order.
+    /// Allows an orderly close again, as the message is complete.
     pub fn clear_reset_on_close(&self) {
-        self.breaks.set(false);
+        self.reset_on_close.set(false);
     }
 
-    /// Is it to end by a reset? Then that is seen to.
+    /// Returns whether the connection must end with a reset, and sets the socket option for it.
     pub fn apply_reset_on_close(&self) -> bool {
-        // Where the socket is broken already, it is broken.
-        self.breaks.get() && self.stream.reset_on_close()
+        // Setting the option fails only on a socket that is already broken, which needs no reset.
+        self.reset_on_close.get() && self.inner.reset_on_close()
     }
 
-    /// Has the kernel taken any byte of the message?
+    /// Returns whether the kernel has accepted any byte of the message.
     pub fn has_sent_any(&self) -> bool {
-        self.out.borrow().any
+        self.sent.borrow().started
     }
 
-    /// Waits until the kernel has taken nothing of the message for so long.
+    /// Waits until the kernel has accepted no bytes of the message for `span`.
     pub async fn write_stalled_for(&self, span: Duration) {
         loop {
-            let end = self.took_at.get() + span;
+            let end = self.last_write_at.get() + span;
             tokio::time::sleep_until(end).await;
-            if end == self.took_at.get() + span {
+            if end == self.last_write_at.get() + span {
                 return;
             }
         }
     }
 
-    /// Has any byte come back?
+    /// Returns whether any byte was received since the message was begun.
     pub fn has_response_started(&self) -> bool {
-        self.back.borrow().head.any
+        self.response.borrow().message.started
     }
 
-    /// Has the kernel taken the message's last byte?
+    /// Returns whether the kernel has accepted the last byte of the message.
     pub fn is_message_sent(&self) -> bool {
-        self.out.borrow().whole()
+        self.sent.borrow().is_complete()
     }
 
-    /// What a client's connection is in the middle of, and since when.
+    /// The state of a client's connection, and when it was entered.
     pub fn phase(&self) -> (ConnectionPhase, Instant) {
-        (self.phase.get(), self.since.get())
+        (self.phase.get(), self.phase_since.get())
     }
 
-    /// Enters a phase.
     pub fn enter_phase(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
-        self.since.set(Instant::now());
+        self.phase_since.set(Instant::now());
         if phase == ConnectionPhase::Answering {
-            self.answers.set(self.answers.get() + 1);
-            // What still waits is not of this request.
-            self.stream.caught_up();
+            self.responses.set(self.responses.get() + 1);
+            // Bytes that are still unread do not belong to this request.
+            self.inner.caught_up();
         }
     }
 
-    /// The head of the next request is whole; what still comes is its body. Is it clear where the request ends? One with a
-    /// length and a transfer coding may hide another in its body: what is the body by the one is the next request by the
-    /// other. hyper drops a length that stands behind a transfer coding before anyone can see it.
+    /// Notes that the head of the next request is complete, and returns whether the request's end is
+    /// unambiguous. A request with both a length and a transfer coding allows request smuggling: what is body
+    /// by one of them is the next request by the other. hyper drops a length that follows a transfer coding
+    /// before the service sees it.
     pub fn finish_request_head(&self) -> bool {
-        self.head_came.set(Some(self.came.get()));
-        self.due.set(self.due.get().max(Instant::now() + BODY_WAIT));
-        self.waited.set(Duration::ZERO);
-        self.scan.borrow_mut().next()
+        self.bytes_at_head_end.set(Some(self.bytes_received.get()));
+        self.request_due.set(self.request_due.get().max(Instant::now() + BODY_WAIT_BASE));
+        self.body_wait.set(Duration::ZERO);
+        self.scanner.borrow_mut().next_is_unambiguous()
     }
 
-    /// Notes the id of the request whose head is whole.
+    /// Stores the id of the request whose head is complete.
     pub fn set_request_id(&self, id: Option<HeaderValue>) {
-        *self.request.borrow_mut() = id;
+        *self.request_id.borrow_mut() = id;
     }
 
     /// The id of the latest request.
     pub fn request_id(&self) -> Option<HeaderValue> {
-        self.request.borrow().clone()
+        self.request_id.borrow().clone()
     }
 
-    /// The last byte of a request that is passed on while it comes has come.
+    /// Notes that the last byte of a streamed request was received.
     pub fn finish_request_body(&self) {
         if self.phase.get() == ConnectionPhase::Reading {
             self.enter_phase(ConnectionPhase::Busy);
         }
     }
 
-    /// Has the request that is coming taken too long?
+    /// Returns whether the request that is being received has exceeded its time limits.
     pub fn is_request_overdue(&self) -> bool {
         let now = Instant::now();
         if self.phase.get() != ConnectionPhase::Reading {
             return false;
         }
-        let Some(head) = self.head_came.get() else { return now >= self.due.get() };
-        // One that is passed on may have come whole before anyone takes its last bytes: it waits for a server.
-        if self.scan.borrow().whole() {
+        let Some(head_end) = self.bytes_at_head_end.get() else { return now >= self.request_due.get() };
+        // A streamed request may be complete before its last bytes are consumed, while it waits for a server.
+        if self.scanner.borrow().is_request_complete() {
             return false;
         }
-        // A server that takes an upload slowly holds its client back: only the node's own waits count.
-        let wait = self.waits.get().map_or(Duration::ZERO, |since| now - since);
-        let bytes = u32::try_from(self.came.get().wrapping_sub(head)).unwrap_or(u32::MAX);
-        let slow = self.waited.get() + wait > BODY_WAIT + BODY_BYTE.saturating_mul(bytes);
-        wait >= BODY_PAUSE || (slow && now >= self.due.get())
+        // A server that reads an upload slowly throttles the client, so only the node's own waits for the
+        // client count.
+        let wait = self.waiting_since.get().map_or(Duration::ZERO, |since| now - since);
+        let body_bytes = u32::try_from(self.bytes_received.get().wrapping_sub(head_end)).unwrap_or(u32::MAX);
+        let slow =
+            self.body_wait.get() + wait > BODY_WAIT_BASE + BODY_WAIT_PER_BYTE.saturating_mul(body_bytes);
+        wait >= BODY_PAUSE_MAX || (slow && now >= self.request_due.get())
     }
 
-    /// Has anything ever come?
+    /// Returns whether any bytes were ever received on the connection.
     pub fn has_received_any(&self) -> bool {
-        self.spoke.get()
+        self.received_any.get()
     }
 
-    /// How many requests have been answered, or are being.
+    /// Number of responses that were begun on the connection.
     pub fn responses_started(&self) -> usize {
-        self.answers.get()
+        self.responses.get()
     }
 
-    /// When the last bytes of the present request came: that is when its time begins, however slowly it was sent. Where a call
-    /// that failed kept them from being read, that is when they may have come at the earliest. One that came right behind
-    /// another was read with it; its time counts from now.
+    /// When the last bytes of the current request arrived, which is when its time begins, however slowly it
+    /// was sent. Where a failed system call delayed reading them, this is the earliest time at which they may
+    /// have arrived. A pipelined request was read together with the one before it, so its time counts from
+    /// now.
     pub fn request_arrived_at(&self) -> Instant {
         if self.phase.get() == ConnectionPhase::Reading {
-            self.heard.get().max(self.since.get())
+            self.last_received_at.get().max(self.phase_since.get())
         } else {
             Instant::now()
         }
     }
 
-    /// When the bytes that were read last may have come, at the earliest.
+    /// The earliest time at which the bytes that were read last may have arrived.
     pub fn last_read_arrived_at(&self) -> Instant {
-        self.stream.unread_since().unwrap_or_else(Instant::now)
+        self.inner.unread_since().unwrap_or_else(Instant::now)
     }
 
-    /// Nothing to read, and not closed by the other side. Asks the kernel, as what the runtime knows may be
-    /// a turn of its loop old.
+    /// Returns whether there is nothing to read and the peer has not closed the connection. Asks the kernel,
+    /// as the runtime's readiness may be one iteration of its event loop old.
     pub fn is_quiet(&self) -> bool {
-        self.stream.is_quiet()
+        self.inner.is_quiet()
     }
 
-    /// The same by what the runtime knows, which costs no call to the kernel and may be a turn of its loop old.
+    /// Like [`Self::is_quiet`], but by the runtime's readiness, which costs no system call and may be one
+    /// iteration of the event loop old.
     pub fn is_quiet_cached(&self) -> bool {
-        self.stream.seems_quiet()
+        self.inner.seems_quiet()
     }
 
-    /// Nothing behind what was read last: the last read found nothing, or the kernel is asked.
+    /// Returns whether nothing follows what was read last: the last read found nothing, or the kernel says
+    /// so.
     pub fn has_no_unread_bytes(&self) -> bool {
-        self.stream.is_drained() || self.is_quiet()
+        self.inner.is_drained() || self.is_quiet()
     }
 
-    /// Says that nothing more will be written, and reads what still comes until the other side closes.
-    /// Closing a socket with unread bytes resets it, and the reset can overtake the answer.
+    /// Lingering close: shuts down the write side, then reads and discards until the peer closes. Closing a
+    /// socket with unread bytes resets it, and the reset can overtake the response.
     pub async fn linger(&self) {
-        // Where that can't be said, what comes is read all the same.
-        let _ = self.stream.shutdown_write();
-        // Not part of the task, which would be as much larger all its life.
-        let mut sink = vec![0; SINK];
+        // Input is discarded even if the shutdown fails.
+        let _ = self.inner.shutdown_write();
+        // On the heap: inside the future it would enlarge the task for its whole lifetime.
+        let mut buffer = vec![0; LINGER_BUFFER_BYTES];
         let mut read = |cx: &mut Context<'_>| {
-            let mut buf = ReadBuf::new(&mut sink);
-            let came = ready!(self.stream.poll_recv(cx, &mut buf));
-            Poll::Ready(came.map(|()| buf.filled().len()))
+            let mut buf = ReadBuf::new(&mut buffer);
+            let received = ready!(self.inner.poll_recv(cx, &mut buf));
+            Poll::Ready(received.map(|()| buf.filled().len()))
         };
-        while std::future::poll_fn(&mut read).await.is_ok_and(|came| came > 0) {}
+        while std::future::poll_fn(&mut read).await.is_ok_and(|received| received > 0) {}
     }
 
-    /// Waits until a client has closed its connection or broken it off, whatever it left unread: whoever reads a message
-    /// may have stopped, and would not see the end behind more bytes. Reads nothing, and looks at nothing until the
-    /// runtime has word of it.
+    /// Waits until the peer has closed or reset the connection, also with unread bytes ahead of the end: a
+    /// reader that has stopped would not see an end behind them. Reads nothing, and makes no system call
+    /// until the runtime reports the event.
     pub async fn closed_by_peer(&self) {
-        self.stream.closed_by_peer().await;
+        self.inner.closed_by_peer().await;
     }
 
-    /// Was what came back one head and a body of this length as it stands, or else chunks up to the last? More
-    /// than that would be taken for the answer to the next request.
-    pub fn received_exactly(&self, body: usize, chunked: bool) -> bool {
-        let back = self.back.borrow();
-        let came = back.head.left.map(|left| usize::MAX - left);
+    /// Returns whether exactly one response was received: a head with a body of `body_len` bytes, or with
+    /// chunks up to the last one if `chunked`. Surplus bytes would be taken for the response to the next
+    /// request.
+    pub fn received_exactly(&self, body_len: usize, chunked: bool) -> bool {
+        let response = self.response.borrow();
+        let received = response.message.body_left.map(|left| usize::MAX - left);
         if chunked {
-            came.is_some() && back.last == LAST_CHUNK
+            received.is_some() && response.last_bytes == LAST_CHUNK
         } else {
-            came == Some(body)
+            received == Some(body_len)
         }
     }
 
-    fn read(&self, came: &[u8]) {
-        self.back.borrow_mut().came(came);
-        if came.is_empty() || !self.serves {
+    fn on_read(&self, bytes: &[u8]) {
+        self.response.borrow_mut().on_received(bytes);
+        if bytes.is_empty() || !self.is_client {
             return;
         }
         let now = Instant::now();
-        let heard = self.last_read_arrived_at();
-        self.heard.set(heard);
-        if let Some(since) = self.waits.take() {
-            self.waited.set(self.waited.get() + (now - since));
+        let received_at = self.last_read_arrived_at();
+        self.last_received_at.set(received_at);
+        if let Some(since) = self.waiting_since.take() {
+            self.body_wait.set(self.body_wait.get() + (now - since));
         }
         if self.phase.get() == ConnectionPhase::Idle {
-            self.coming(self.spoke.replace(true));
-            self.since.set(heard);
+            self.begin_request(self.received_any.replace(true));
+            self.phase_since.set(received_at);
         }
-        self.came.set(self.came.get().wrapping_add(came.len()));
-        self.scan.borrow_mut().came(came);
+        self.bytes_received.set(self.bytes_received.get().wrapping_add(bytes.len()));
+        self.scanner.borrow_mut().scan(bytes);
     }
 
-    /// A request begins to come, the first of its connection or a later one.
-    fn coming(&self, later: bool) {
+    /// Notes that a request begins to arrive. `later` tells whether it follows another on the connection.
+    fn begin_request(&self, later: bool) {
         self.enter_phase(ConnectionPhase::Reading);
-        self.head_came.set(None);
+        self.bytes_at_head_end.set(None);
         if later {
-            self.due.set(self.since.get() + HEAD_WITHIN);
+            self.request_due.set(self.phase_since.get() + HEAD_TIMEOUT);
         }
     }
 
-    fn took(&self, bytes: &[u8]) {
-        self.out.borrow_mut().took(bytes);
-        self.took_at.set(tokio::time::Instant::now());
+    fn on_written(&self, bytes: &[u8]) {
+        self.sent.borrow_mut().on_sent(bytes);
+        self.last_write_at.set(tokio::time::Instant::now());
         if self.is_message_sent() {
-            if let Some(figures) = self.counted.take() {
-                figures.tried();
+            if let Some(metrics) = self.attempt_metrics.take() {
+                metrics.tried();
             }
         }
         if self.phase.get() != ConnectionPhase::Answering {
             return;
         }
-        // A reader that is slow is one that still reads.
-        self.since.set(Instant::now());
+        // Every write restarts the timeout: a client that reads slowly still reads.
+        self.phase_since.set(Instant::now());
         if self.is_message_sent() {
-            // What came ahead is the next request: half of one must not pass for an idle connection.
-            if self.scan.borrow().ahead() {
-                self.coming(true);
+            // A pipelined request may be incomplete; the connection is not idle then.
+            if self.scanner.borrow().has_next_request() {
+                self.begin_request(true);
             } else {
                 self.enter_phase(ConnectionPhase::Idle);
             }
@@ -384,40 +394,41 @@
     }
 }
 
-/// hyper's side of a watched socket.
+/// A watched stream as hyper's I/O type.
 pub type HyperIo = TokioIo<HyperStream>;
 
-/// What hyper reads and writes, with a look at it.
+/// The adapter through which hyper reads and writes; it records both.
 pub struct HyperStream(Rc<WatchedStream>);
 
-/// A socket as hyper takes it.
-pub fn hyper_io(sock: Rc<WatchedStream>) -> HyperIo {
-    TokioIo::new(HyperStream(sock))
+/// Wraps a watched stream for hyper.
+pub fn hyper_io(stream: Rc<WatchedStream>) -> HyperIo {
+    TokioIo::new(HyperStream(stream))
 }
 
 impl AsyncRead for HyperStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let sock = &self.0;
+        let stream = &self.0;
         let before = buf.filled().len();
-        let polled = sock.stream.poll_recv(cx, buf);
-        if polled.is_pending() && sock.serves && sock.waits.get().is_none() {
-            sock.waits.set(Some(Instant::now()));
+        let polled = stream.inner.poll_recv(cx, buf);
+        if polled.is_pending() && stream.is_client && stream.waiting_since.get().is_none() {
+            stream.waiting_since.set(Some(Instant::now()));
         }
         ready!(polled)?;
-        sock.read(&buf.filled()[before..]);
+        stream.on_read(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for HyperStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let sock = &self.0;
-        let taken = ready!(sock.stream.poll_send(cx, buf))?;
-        sock.took(&buf[..taken]);
-        Poll::Ready(Ok(taken))
+        let stream = &self.0;
+        let written = ready!(stream.inner.poll_send(cx, buf))?;
+        stream.on_written(&buf[..written]);
+        Poll::Ready(Ok(written))
     }
 
-    // hyper then queues what it is given in place of copying it into a buffer that each connection would keep.
+    // With vectored writes, hyper queues buffers instead of copying them into one that every connection would
+    // keep.
     fn is_write_vectored(&self) -> bool {
         true
     }
@@ -427,17 +438,17 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let sock = &self.0;
-        let taken = ready!(sock.stream.poll_send_pieces(cx, bufs))?;
-        let mut left = taken;
+        let stream = &self.0;
+        let written = ready!(stream.inner.poll_send_pieces(cx, bufs))?;
+        let mut left = written;
         for buf in bufs {
-            let here = left.min(buf.len());
-            if here > 0 {
-                sock.took(&buf[..here]);
+            let part = left.min(buf.len());
+            if part > 0 {
+                stream.on_written(&buf[..part]);
             }
-            left -= here;
+            left -= part;
         }
-        Poll::Ready(Ok(taken))
+        Poll::Ready(Ok(written))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -445,6 +456,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.stream.shutdown_write())
+        Poll::Ready(self.0.inner.shutdown_write())
     }
 }
