--- a/crates/http/src/http_transport.rs
+++ b/crates/http/src/http_transport.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol as the core's carrier.
+//! HTTP as the transport of the core.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,22 +16,23 @@
 use crate::pool::Pool;
 use crate::upstream::exchange;
 
-/// What carries HTTP for a core: its configuration, its pool, and where discovery is.
+/// What the core needs to send requests over HTTP: configuration, connection pool and the source of the
+/// server list.
 pub struct HttpTransport {
     /// The node's configuration.
     pub config: Config,
-    /// Where discovery is now; a reload moves it.
+    /// The address of discovery; a reload changes it.
     pub discovery_addr: Cell<SocketAddr>,
-    /// Its connections to servers.
+    /// The connections to servers.
     pub pool: Rc<Pool>,
-    /// What may be held of large messages.
+    /// The memory budget for large messages.
     pub memory_budget: MemoryBudget,
-    /// The file that the list comes from, in place of discovery.
+    /// The file with the server list, if it replaces discovery.
     pub list_file: Option<ListFile>,
 }
 
 impl HttpTransport {
-    /// A carrier with no connections yet.
+    /// A transport without connections.
     pub fn new(config: Config, list_file: Option<ListFile>, figures: Figures) -> Self {
         let connect = config.told.settings.limits.connect_timeout;
         let pool = Rc::new(Pool::new(config.servers_most(), config.told.keepalive, connect, figures));
@@ -50,18 +51,27 @@
         to: Target,
         request: Rc<UpstreamRequest>,
     ) -> Ended<UpstreamResponse> {
-        let (may, at) = (core.clone(), core.clone());
+        let (dispatch_core, lookup_core) = (core.clone(), core.clone());
         let server = to.server;
-        let may = move || may.place_for(&to);
-        exchange(&core.carrier().pool, may, move || at.place(server), (server, to.end), &request, false).await
+        let dispatch_place = move || dispatch_core.place_for(&to);
+        exchange(
+            &core.carrier().pool,
+            dispatch_place,
+            move || lookup_core.place(server),
+            (server, to.end),
+            &request,
+            false,
+        )
+        .await
     }
 
     async fn probe(core: Rc<Core<Self>>, server: ServerId) -> Outcome {
         let pool = &core.carrier().pool;
-        // As long as a connection may take, and as long again for the answer.
+        // The time limit of a connect, and as long again for the response.
         let end = Instant::now() + 2 * pool.connect;
-        let (at, probe) = (core.clone(), UpstreamRequest::probe(core.carrier().memory_budget.reservation()));
-        let place = move || at.place(server);
+        let (lookup_core, probe) =
+            (core.clone(), UpstreamRequest::probe(core.carrier().memory_budget.reservation()));
+        let place = move || lookup_core.place(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
     }
 
@@ -69,8 +79,8 @@
         if let Some(file) = core.carrier().list_file.clone() {
             return follow_file(core, file).await;
         }
-        let to = core.carrier().discovery_addr.get();
-        discovery::follow(core, to).await
+        let address = core.carrier().discovery_addr.get();
+        discovery::follow(core, address).await
     }
 
     fn forget(&self, server: ServerId) {
@@ -82,7 +92,8 @@
     }
 }
 
-/// Hands each list of a file on, whole: the policy sees what is not in it any more as gone.
+/// Passes each list in a file to the core as complete: the policy treats servers that are no longer listed as
+/// gone.
 async fn follow_file(core: Rc<Core<HttpTransport>>, mut file: ListFile) -> Unfollowed {
     while let Some(applied) = file.next().await {
         let member = |b: &magpietally_config::AppBox| Member {
@@ -101,6 +112,6 @@
         let members = applied.list.boxes.iter().map(member).collect();
         core.listed(Listing { version: applied.version, whole: true, members });
     }
-    let words = "nobody looks at the list's file any more".to_string();
+    let words = "the server list file is no longer watched".to_string();
     Unfollowed { failure: ListFailure::Broken, words }
 }
--- a/crates/http/src/inherited_listener.rs
+++ b/crates/http/src/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform holds it and every process inherits it.
+//! The listening socket for clients when the platform owns it and passes it to each process.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -9,20 +9,20 @@
 use crate::service::address_of;
 
 /// The first descriptor that is not one of the standard streams.
-const FIRST: u32 = 3;
+const FIRST_FD: u32 = 3;
 
-/// The listener that was inherited as this descriptor. It must listen at the address that the configuration names: a
-/// node that took another's socket for its own would serve another's clients.
+/// Takes over the listener that was inherited as descriptor `fd`. It must listen at the configured address,
+/// as a node with another node's socket would serve that node's clients.
 ///
 /// # Errors
 /// One line that says what is wrong with the descriptor.
-pub(crate) fn from_fd(fd: u32, at: SocketAddr) -> Result<TcpListener, String> {
-    let fail = |words: String| Err(format!("BALANCER_FD: {words}"));
-    if fd < FIRST {
-        return fail(format!("{fd} is a standard stream, {FIRST} or more is expected"));
+pub(crate) fn from_fd(fd: u32, expected: SocketAddr) -> Result<TcpListener, String> {
+    let fail = |message: String| Err(format!("BALANCER_FD: {message}"));
+    if fd < FIRST_FD {
+        return fail(format!("{fd} is a standard stream, {FIRST_FD} or more is expected"));
     }
-    // The crate checks that the descriptor is open and a stream socket, takes it without unsafe code of ours, and knows
-    // it only by these names. No other thread of this process reads the environment yet.
+    // listenfd checks that the descriptor is an open stream socket and takes it without unsafe code here, but
+    // finds it only by these variables. No other thread of this process reads the environment yet.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
     std::env::remove_var("LISTEN_PID");
@@ -33,17 +33,18 @@
         Ok(None) => return fail(format!("{fd} can't be taken")),
         Err(error) => return fail(error.to_string()),
     };
-    let listens = || SockRef::from(&listener).is_listener();
-    if !retry::at_start(Call::Create, "BALANCER_FD", listens).is_ok_and(|listens| listens) {
+    let is_listener = || SockRef::from(&listener).is_listener();
+    if !retry::at_start(Call::Create, "BALANCER_FD", is_listener).is_ok_and(|listens| listens) {
         return fail(format!("{fd} does not listen"));
     }
     match address_of(&listener) {
-        // Port 0 asks for any.
-        Ok(is) if is == at || (at.port() == 0 && is.ip() == at.ip()) => {}
-        Ok(is) => return fail(format!("{fd} listens at {is}, {at} is expected")),
+        // Port 0 means any port.
+        Ok(actual) if actual == expected || (expected.port() == 0 && actual.ip() == expected.ip()) => {}
+        Ok(actual) => return fail(format!("{fd} listens at {actual}, {expected} is expected")),
         Err(error) => return fail(format!("{fd}: {error}")),
     }
-    let unblock = || listener.set_nonblocking(true);
-    retry::at_start(Call::Create, "BALANCER_FD", unblock).map_err(|e| format!("BALANCER_FD: {fd}: {e}"))?;
+    let set_nonblocking = || listener.set_nonblocking(true);
+    retry::at_start(Call::Create, "BALANCER_FD", set_nonblocking)
+        .map_err(|e| format!("BALANCER_FD: {fd}: {e}"))?;
     Ok(listener)
 }
--- a/crates/http/src/memory_budget.rs
+++ b/crates/http/src/memory_budget.rs
@@ -1,69 +1,71 @@
-//! The bytes that a node may hold of large messages: one budget for all of them, so that its memory stays in its limit however
-//! many there are. Up to [`BUFFERED_BODY_MAX_BYTES`](crate::message::BUFFERED_BODY_MAX_BYTES) of a message is not counted here: that is what a
-//! connection is taken to cost.
+//! The memory budget for large messages. All of them share it, so that the node stays within its memory limit
+//! however many there are. The first [`BUFFERED_BODY_MAX_BYTES`](crate::message::BUFFERED_BODY_MAX_BYTES) of
+//! a message are not counted here, as they are part of the assumed cost of a connection.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Which part of the memory may be held.
-const PART: usize = 6;
-/// What passing a message on holds while it lasts: what either side of it has read or has not yet written.
+/// Large messages may use the node's memory divided by this number.
+const MEMORY_SHARE_DIVISOR: usize = 6;
+/// Memory reserved for a message while it is streamed: what was read from one side and not yet written to the
+/// other.
 pub const STREAMED_MESSAGE_BYTES: usize = 96 * 1024;
 
-/// What is left of the budget. Clones share it.
+/// A memory budget. Clones share it.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget(Rc<State>);
 
 #[derive(Debug)]
 struct State {
-    whole: usize,
-    left: Cell<usize>,
+    total: usize,
+    free: Cell<usize>,
     freed: Notify,
 }
 
 impl MemoryBudget {
-    /// The budget of a node with so much memory.
+    /// The budget of a node with `memory_mb` MB of memory.
     pub fn new(memory_mb: usize) -> Self {
-        let whole = (memory_mb << 20) / PART;
-        Self(Rc::new(State { whole, left: Cell::new(whole), freed: Notify::new() }))
+        let total = (memory_mb << 20) / MEMORY_SHARE_DIVISOR;
+        Self(Rc::new(State { total, free: Cell::new(total), freed: Notify::new() }))
     }
 
-    /// A reservation of nothing yet.
+    /// An empty reservation.
     pub fn reservation(&self) -> Reservation {
-        Reservation { of: self.clone(), bytes: 0 }
+        Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// Bytes that are held; given back when it is dropped.
+/// Reserved bytes of a budget; released on drop.
 #[derive(Debug)]
 pub struct Reservation {
-    of: MemoryBudget,
+    budget: MemoryBudget,
     bytes: usize,
 }
 
 impl Reservation {
-    /// How many it holds.
+    /// Number of reserved bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes what passing a message on needs; waits while there is no room. Whoever waits holds nothing, so that what is
-    /// held comes back.
+    /// Reserves what streaming a message needs, and waits while the budget lacks it. A waiting reservation
+    /// holds nothing, so that waiters cannot block each other.
     pub async fn reserve_streaming(&mut self) {
         self.set(0);
-        // One thread: nothing is freed between the look and the wait.
-        while self.of.0.left.get() < STREAMED_MESSAGE_BYTES {
-            self.of.0.freed.notified().await;
+        // Single-threaded: nothing can be released between the check and the wait.
+        while self.budget.0.free.get() < STREAMED_MESSAGE_BYTES {
+            self.budget.0.freed.notified().await;
         }
         self.set(STREAMED_MESSAGE_BYTES);
     }
 
-    /// Takes so many in all to hold a message that could also be passed on; false where that would leave less than half of
-    /// the budget, and nothing has changed then.
+    /// Changes the reservation to `bytes` in total, to buffer a message that could also be streamed. Returns
+    /// false and changes nothing if an increase would leave less than half of the budget free.
     pub fn try_reserve(&mut self, bytes: usize) -> bool {
-        let fits = bytes <= self.bytes || self.of.0.left.get() + self.bytes >= bytes + self.of.0.whole / 2;
+        let fits =
+            bytes <= self.bytes || self.budget.0.free.get() + self.bytes >= bytes + self.budget.0.total / 2;
         if fits {
             self.set(bytes);
         }
@@ -71,10 +73,10 @@
     }
 
     fn set(&mut self, bytes: usize) {
-        self.of.0.left.set(self.of.0.left.get() + self.bytes - bytes);
+        self.budget.0.free.set(self.budget.0.free.get() + self.bytes - bytes);
         if bytes < self.bytes {
-            // Each that waits looks again, in the order in which they came.
-            self.of.0.freed.notify_waiters();
+            // All waiters check again, in the order in which they began to wait.
+            self.budget.0.freed.notify_waiters();
         }
         self.bytes = bytes;
     }
--- a/crates/http/tests/stop.rs
+++ b/crates/http/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A process of several workers that is told to end while one of them is down.
+//! A process with several workers receives SIGTERM while one of them is down.
 
 mod common;
 
@@ -10,21 +10,22 @@
 
 use common::PATIENCE;
 
-/// A worker that is started again after a panic registers for signals anew, and one that came before is lost on it.
+/// A worker that is restarted after a panic registers for signals anew and misses those that arrived before.
+/// It must end with the process all the same.
 #[test]
-fn a_worker_that_is_started_again_while_the_process_ends_ends_with_it() {
+fn a_worker_restarted_during_shutdown_ends_with_the_process() {
     common::note_panics();
-    // Discovery that takes connections and says nothing: the end does not wait for it.
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let config = common::config(silent.local_addr().expect("bound"), 500.0);
-    // The first worker asks for the lines once a second; the second time it dies of it.
-    let asked = Arc::new(AtomicUsize::new(0));
-    let (died, dead) = mpsc::channel();
-    let count = asked.clone();
+    // Discovery accepts connections and sends nothing; the shutdown does not wait for it.
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let config = common::config(discovery.local_addr().expect("bound"), 500.0);
+    // The first worker queries the number of lost log lines once a second, and panics at the second query.
+    let calls = Arc::new(AtomicUsize::new(0));
+    let (panicking, panicked) = mpsc::channel();
+    let count = calls.clone();
     let lost_lines = move || {
         if count.fetch_add(1, Ordering::SeqCst) == 1 {
-            died.send(()).expect("the test waits");
-            panic!("the fault that this test causes");
+            panicking.send(()).expect("the test waits");
+            panic!("the panic that this test injects");
         }
         0
     };
@@ -34,11 +35,12 @@
             magpietally_http::run_workers(config, 2, magpietally_http::Extras::default(), lost_lines);
         end.send(result).expect("the test waits");
     });
-    dead.recv_timeout(PATIENCE).expect("the worker dies");
-    // It is down for 100 ms. Should this come later on a busy machine, both workers hear it for themselves.
+    panicked.recv_timeout(PATIENCE).expect("the worker dies");
+    // The worker is down for 100 ms. If the signal comes later than that on a busy machine, both workers
+    // receive it.
     std::thread::sleep(Duration::from_millis(30));
     let pid = std::process::id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill runs").success());
     assert_eq!(ended.recv_timeout(PATIENCE).expect("the process's work ends"), Ok(()));
-    drop(silent);
+    drop(discovery);
 }
