--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies: those that are held whole, and those that are passed on as they come. What is passed on is never held but for what
-//! either side has read or has not yet taken: a side that is slow holds the other back.
+//! Bodies: those that are buffered whole, and those that are streamed. Of a streamed body the node holds only
+//! what one side has sent and the other has not yet accepted, so a slow side throttles the other.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -21,143 +21,145 @@
 use crate::pool::{Link, Pool};
 use crate::watched_stream::WatchedStream;
 
-/// How long a server that has begun an answer may then give nothing of it while its client would take more, and one may take
-/// nothing of a request that is passed on.
-const STALLED: Duration = Duration::from_secs(10);
-/// Nobody knows of an answer without a length whether it is a large one that comes slowly or a small one that never ends, and
-/// a client is owed an end that it can tell soon after its time. Past that time at least so much must come of it ...
-const COMES: usize = 1024;
-/// ... in so long, until it has shown that it is large.
-const COMES_WITHIN: Duration = Duration::from_millis(400);
-
-/// What has come of a body. A single piece is not copied.
+/// How long a server may send nothing of a response that it has begun while the client could accept more, and
+/// how long it may accept nothing of a streamed request.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Least progress of a response without a length in each [`MIN_PROGRESS_INTERVAL`] after the client's
+/// deadline, until it has proved to be large. Such a response may be a large one that is slow or a small one
+/// that never ends, and the client must see a recognizable end soon after its deadline.
+const MIN_PROGRESS_BYTES: usize = 1024;
+/// Interval in which a response without a length must make [`MIN_PROGRESS_BYTES`] of progress after the
+/// client's deadline.
+const MIN_PROGRESS_INTERVAL: Duration = Duration::from_millis(400);
+
+/// The received part of a body. A single piece is not copied.
 #[derive(Default)]
 pub struct BufferedBody {
-    one: Bytes,
-    more: Vec<u8>,
+    first: Bytes,
+    joined: Vec<u8>,
 }
 
 impl BufferedBody {
-    /// How many bytes there are.
+    /// Length in bytes.
     pub fn len(&self) -> usize {
-        self.one.len() + self.more.len()
+        self.first.len() + self.joined.len()
     }
 
-    /// How many bytes of memory they take.
+    /// Allocated memory in bytes.
     pub fn capacity_bytes(&self) -> usize {
-        self.one.len() + self.more.capacity()
+        self.first.len() + self.joined.capacity()
     }
 
-    /// Adds what came. Pieces are copied together: a small one would keep the whole buffer that it was read into.
+    /// Appends a piece. Pieces are copied into one buffer, as a small one would keep alive the whole buffer
+    /// that it was read into.
     pub fn push(&mut self, data: Bytes) {
         if self.len() == 0 {
-            self.one = data;
+            self.first = data;
             return;
         }
-        if self.more.is_empty() {
-            self.more = std::mem::take(&mut self.one).into();
+        if self.joined.is_empty() {
+            self.joined = std::mem::take(&mut self.first).into();
         }
-        // By parts, not by doubling: what is held counts as what it takes.
-        if self.more.capacity() - self.more.len() < data.len() {
-            self.more.reserve_exact(data.len().max(self.more.len() / 4));
+        // Grows by a quarter instead of doubling, as the allocated size counts against the memory budget.
+        if self.joined.capacity() - self.joined.len() < data.len() {
+            self.joined.reserve_exact(data.len().max(self.joined.len() / 4));
         }
-        self.more.extend_from_slice(&data);
+        self.joined.extend_from_slice(&data);
     }
 
-    /// All of it.
     pub fn into_bytes(self) -> Bytes {
-        if self.more.is_empty() {
-            self.one
+        if self.joined.is_empty() {
+            self.first
         } else {
-            self.more.into()
+            self.joined.into()
         }
     }
 }
 
-// ---- What goes to a server ----
+// ---- Requests to a server ----
 
-/// How far the passing on of a request's body has come.
+/// Progress of a streamed request body.
 #[derive(Default)]
 pub struct UploadProgress {
-    over: Cell<Option<Instant>>,
-    broken: Cell<bool>,
-    told: Notify,
+    finished_at: Cell<Option<Instant>>,
+    aborted: Cell<bool>,
+    finish_notify: Notify,
 }
 
 impl UploadProgress {
-    /// Waits until the last byte has been handed on, or it is clear that it never will be.
+    /// Waits until the last byte has been forwarded, or it is certain that it never will be.
     pub async fn finished(&self) {
-        while self.over.get().is_none() {
-            self.told.notified().await;
+        while self.finished_at.get().is_none() {
+            self.finish_notify.notified().await;
         }
     }
 
-    /// When that was.
+    /// When the upload finished or was aborted.
     pub fn finished_at(&self) -> Option<Instant> {
-        self.over.get()
+        self.finished_at.get()
     }
 
-    /// Did the client break off?
+    /// Returns whether the upload ended before its last byte, as when the client aborts it.
     pub fn is_aborted(&self) -> bool {
-        self.broken.get()
+        self.aborted.get()
     }
 
-    fn end(&self, broken: bool) {
-        self.over.set(Some(Instant::now()));
-        self.broken.set(broken);
-        // The attempt waits for it, and who answers the client.
-        self.told.notify_waiters();
+    fn finish(&self, aborted: bool) {
+        self.finished_at.set(Some(Instant::now()));
+        self.aborted.set(aborted);
+        // Both the attempt and the task that answers the client wait for this.
+        self.finish_notify.notify_waiters();
     }
 }
 
-/// A request's body that is passed on while it comes.
+/// A request body that is forwarded while it is received.
 pub struct StreamedRequestBody {
-    /// What had come before it was clear that it is passed on.
-    pub held: Bytes,
-    /// What still comes.
+    /// What was received before the decision to stream.
+    pub buffered: Bytes,
+    /// The part that is still to be received.
     pub rest: Incoming,
-    /// Its whole length, where the client has told it.
+    /// Total length in bytes, if the client declared it.
     pub length: Option<u64>,
-    /// How much has been handed on.
-    pub passed: u64,
-    /// Where it comes from.
-    pub from: Rc<WatchedStream>,
-    /// What it is counted as.
-    pub underway: Rc<RefCell<Option<Underway>>>,
-    /// How far it has come.
-    pub uploading: Rc<UploadProgress>,
-    /// What it holds.
+    /// Number of bytes forwarded so far.
+    pub forwarded_bytes: u64,
+    /// The client's connection.
+    pub source: Rc<WatchedStream>,
+    /// The request's entry in the metrics.
+    pub in_progress: Rc<RefCell<Option<Underway>>>,
+    /// Progress, shared with those that wait for the end of the upload.
+    pub progress: Rc<UploadProgress>,
+    /// Memory reserved for the upload.
     pub reservation: Reservation,
 }
 
 impl StreamedRequestBody {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let data = if self.held.is_empty() {
-            // The held part has gone on.
+        let data = if self.buffered.is_empty() {
+            // The buffered part has been forwarded, so its memory is released.
             self.reservation.try_reserve(crate::memory_budget::STREAMED_MESSAGE_BYTES);
             match ready!(self.poll_rest(cx)) {
                 Some(Ok(data)) => data,
                 Some(Err(error)) => {
-                    self.uploading.end(true);
+                    self.progress.finish(true);
                     return Poll::Ready(Some(Err(io::Error::other(error))));
                 }
                 None => {
-                    self.end();
+                    self.complete();
                     return Poll::Ready(None);
                 }
             }
         } else {
-            std::mem::take(&mut self.held)
+            std::mem::take(&mut self.buffered)
         };
-        self.passed += data.len() as u64;
-        // Whoever writes a body of a known length does not ask for its end.
-        if Some(self.passed) == self.length {
-            self.end();
+        self.forwarded_bytes += data.len() as u64;
+        // hyper does not poll for the end of a body whose length is known.
+        if Some(self.forwarded_bytes) == self.length {
+            self.complete();
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    /// What still comes; what may stand behind the last chunk is not passed on.
+    /// Polls for the next data; trailers are dropped.
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, hyper::Error>>> {
         loop {
             match ready!(Pin::new(&mut self.rest).poll_frame(cx)) {
@@ -172,33 +174,33 @@
         }
     }
 
-    /// Its last byte has come.
-    fn end(&self) {
-        if self.uploading.over.get().is_some() {
+    /// Notes that the last byte was received.
+    fn complete(&self) {
+        if self.progress.finished_at.get().is_some() {
             return;
         }
-        self.from.finish_request_body();
-        if let Some(underway) = &mut *self.underway.borrow_mut() {
-            underway.taken();
+        self.source.finish_request_body();
+        if let Some(in_progress) = &mut *self.in_progress.borrow_mut() {
+            in_progress.taken();
         }
-        self.uploading.end(false);
+        self.progress.finish(false);
     }
 }
 
-/// One that is dropped before its end will have none.
+/// An upload that is dropped before its end counts as aborted.
 impl Drop for StreamedRequestBody {
     fn drop(&mut self) {
-        if self.uploading.over.get().is_none() {
-            self.uploading.end(true);
+        if self.progress.finished_at.get().is_none() {
+            self.progress.finish(true);
         }
     }
 }
 
-/// The body of a request to a server.
+/// The body of a request to a server, as hyper sends it.
 pub enum OutgoingBody {
-    /// Held whole.
+    /// Buffered whole.
     Buffered(Bytes),
-    /// Passed on, over this connection.
+    /// Streamed over the given connection.
     Streamed(Box<StreamedRequestBody>, Rc<WatchedStream>),
 }
 
@@ -235,29 +237,29 @@
     }
 }
 
-// ---- What goes to a client ----
+// ---- Responses to a client ----
 
-/// What a server still gives of an answer that is passed on.
+/// The part of a streamed response that is still to be received.
 pub struct RemainingBody {
-    /// What still comes.
+    /// The rest of the body.
     pub incoming: Incoming,
-    /// The connection that it comes by; gone when it is over.
+    /// The connection to the server; `None` once the response is complete.
     pub link: Option<Link>,
-    /// Where the connection goes back to.
+    /// The pool that the connection is returned to.
     pub pool: Rc<Pool>,
-    /// Whom it leads to.
+    /// The server that sends the response.
     pub server: ServerId,
-    /// Where the server is now.
+    /// Returns the server's current endpoint, if it takes new requests.
     pub current_endpoint: Box<dyn Fn() -> Option<Place>>,
-    /// May the connection be used again?
+    /// Whether the connection may be used for another request.
     pub reusable: bool,
-    /// Does the answer come in chunks?
+    /// Whether the response is chunked.
     pub chunked: bool,
-    /// How many bytes have come.
+    /// Number of body bytes received so far.
     pub received_bytes: usize,
-    /// The connection has come to its end; what it brought is still to be read.
+    /// Whether the connection has ended; what it delivered may still be unread.
     pub connection_closed: bool,
-    /// Ends a wait for a server that gives nothing.
+    /// Limits the wait for a server that sends nothing.
     pub stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
@@ -265,7 +267,7 @@
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
         loop {
             if let Some(link) = self.link.as_mut().filter(|_| !self.connection_closed) {
-                // What breaks it is told by the body.
+                // A failure of the connection also surfaces as an error of the body.
                 self.connection_closed = Pin::new(&mut link.conn).poll(cx).is_ready();
             }
             match Pin::new(&mut self.incoming).poll_frame(cx) {
@@ -279,7 +281,7 @@
                 Poll::Ready(Some(Err(error))) => return Poll::Ready(Some(Err(io::Error::other(error)))),
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Pending => {
-                    let stall = self.stall_timer.get_or_insert_with(|| Box::pin(sleep(STALLED)));
+                    let stall = self.stall_timer.get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
                     ready!(stall.as_mut().poll(cx));
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
@@ -287,11 +289,11 @@
         }
     }
 
-    /// The answer is whole: its connection may be used again, if nothing came behind.
-    fn give_back(&mut self, cx: &mut Context<'_>) {
+    /// Returns the connection of a complete response to the pool, if it can be used again.
+    fn return_connection(&mut self, cx: &mut Context<'_>) {
         let Some(mut link) = self.link.take() else { return };
-        let over = self.connection_closed || Pin::new(&mut link.conn).poll(cx).is_ready();
-        if self.reusable && !over {
+        let closed = self.connection_closed || Pin::new(&mut link.conn).poll(cx).is_ready();
+        if self.reusable && !closed {
             self.pool.give_back(
                 self.server,
                 link,
@@ -303,94 +305,97 @@
     }
 }
 
-/// An answer that is passed on.
+/// A response that is forwarded while it is received.
 pub struct StreamedResponse {
-    /// What had come before it was clear that it is passed on.
-    pub held: Bytes,
-    /// What still comes.
+    /// What was received before the decision to stream.
+    pub buffered: Bytes,
+    /// The part that is still to be received.
     pub rest: RemainingBody,
-    /// How long it is in all, where the server has told it.
+    /// Total length in bytes, if the server declared it.
     pub length: Option<u64>,
-    /// When its client's time is over.
-    pub due: Instant,
-    /// The end of the time in which some more of it must come, and how much had come before; unknown until its client's time
-    /// is over.
-    pub late: Option<(Pin<Box<Sleep>>, Option<usize>)>,
-    /// Where it goes.
-    pub to: Rc<WatchedStream>,
-    /// What it is counted as.
-    pub underway: Option<Underway>,
-    /// It will not be whole.
-    pub broken: bool,
+    /// The client's deadline.
+    pub client_deadline: Instant,
+    /// The end of the current interval for the least progress, and the number of bytes received before the
+    /// interval; `None` for the latter until the client's deadline.
+    pub progress_check: Option<(Pin<Box<Sleep>>, Option<usize>)>,
+    /// The client's connection.
+    pub destination: Rc<WatchedStream>,
+    /// The request's entry in the metrics.
+    pub in_progress: Option<Underway>,
+    /// Whether the response failed, so that it will never be complete.
+    pub failed: bool,
 }
 
 impl StreamedResponse {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if !self.held.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.held)))));
+        if !self.buffered.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.buffered)))));
         }
-        if self.broken {
+        if self.failed {
             return Poll::Ready(Some(Err(io::ErrorKind::BrokenPipe.into())));
         }
         let next = match self.rest.poll(cx) {
             Poll::Ready(next) => next,
             Poll::Pending => {
-                ready!(self.ceases(cx));
+                ready!(self.poll_stall(cx));
                 Some(Err(io::ErrorKind::TimedOut.into()))
             }
         };
         match &next {
-            // Whoever writes a body of a known length does not ask for its end.
-            Some(Ok(_)) if self.length == Some(self.rest.received_bytes as u64) => self.end(cx),
+            // hyper does not poll for the end of a body whose length is known.
+            Some(Ok(_)) if self.length == Some(self.rest.received_bytes as u64) => self.complete(cx),
             Some(Ok(_)) => {}
             Some(Err(_)) => {
-                if let Some(underway) = self.underway.take() {
-                    underway.end(End::BadGateway);
+                if let Some(in_progress) = self.in_progress.take() {
+                    in_progress.end(End::BadGateway);
                 }
-                // hyper drops what it has not written when a body breaks: it writes the head and what came before it is
-                // told, or else its client would have nothing at all.
-                self.broken = true;
+                // hyper drops what it has not yet written when a body fails. The error is returned by the
+                // next poll, so that the head and the data before it are written; the client would otherwise
+                // receive nothing at all.
+                self.failed = true;
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
             None => {
-                self.to.finish_message();
-                self.to.clear_reset_on_close();
-                self.end(cx);
+                self.destination.finish_message();
+                self.destination.clear_reset_on_close();
+                self.complete(cx);
             }
         }
         Poll::Ready(next.map(|data| data.map(Frame::data)))
     }
 
-    /// Waits until its client's time is over and next to nothing more comes, where nobody knows how long it will be.
-    fn ceases(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Ready when a response of unknown length makes less than the least progress after the client's
+    /// deadline; never ready for one of known length or one that has proved to be large.
+    fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.length.is_none() && self.rest.received_bytes <= BUFFERED_BODY_MAX_BYTES {
-            let due = self.due;
-            let (end, before) = self.late.get_or_insert_with(|| (Box::pin(sleep_until(due)), None));
-            ready!(end.as_mut().poll(cx));
-            let came = self.rest.received_bytes;
-            if before.replace(came).is_some_and(|before| came - before < COMES) {
+            let client_deadline = self.client_deadline;
+            let (interval_end, before) =
+                self.progress_check.get_or_insert_with(|| (Box::pin(sleep_until(client_deadline)), None));
+            ready!(interval_end.as_mut().poll(cx));
+            let received = self.rest.received_bytes;
+            if before.replace(received).is_some_and(|before| received - before < MIN_PROGRESS_BYTES) {
                 return Poll::Ready(());
             }
-            end.as_mut().reset(Instant::now() + COMES_WITHIN);
+            interval_end.as_mut().reset(Instant::now() + MIN_PROGRESS_INTERVAL);
         }
         Poll::Pending
     }
 
-    /// Its last byte has come.
-    fn end(&mut self, cx: &mut Context<'_>) {
-        self.rest.give_back(cx);
-        if let Some(underway) = self.underway.take() {
-            underway.end(End::Passed);
+    /// Notes that the last byte was received.
+    fn complete(&mut self, cx: &mut Context<'_>) {
+        self.rest.return_connection(cx);
+        if let Some(in_progress) = self.in_progress.take() {
+            in_progress.end(End::Passed);
         }
     }
 }
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 pub enum ResponseBody {
-    /// Held whole.
+    /// Buffered whole.
     Buffered(Bytes),
-    /// Passed on.
+    /// Forwarded while it is received.
     Streamed(Box<StreamedResponse>),
 }
 
@@ -405,7 +410,7 @@
         match self.get_mut() {
             Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Streamed(passing) => passing.poll(cx),
+            Self::Streamed(response) => response.poll(cx),
         }
     }
 
@@ -416,30 +421,31 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Streamed(passing) => passing.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Streamed(response) => response.length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
 
-/// When an attempt of a request that is passed on is given up: its time begins with its last byte. Until then its server has
-/// to take some of it now and then: one that hangs would else keep its client without an answer for good, and one that the
-/// network cut off until the kernel gives up.
+/// Runs an attempt until its deadline; `None` if it was given up. The time of a streamed request begins with
+/// its last byte. Until then its server must accept some of it at least every [`STALL_TIMEOUT`]: otherwise a
+/// server that hangs would leave the client without a response forever, and one that the network cut off
+/// would until the kernel gives up.
 pub async fn run_until_deadline<T>(
     end: Instant,
     upload: Option<&UploadProgress>,
-    to: &WatchedStream,
-    talk: impl Future<Output = T>,
+    connection: &WatchedStream,
+    exchange: impl Future<Output = T>,
 ) -> Option<T> {
-    let Some(upload) = upload else { return tokio::time::timeout_at(end, talk).await.ok() };
+    let Some(upload) = upload else { return tokio::time::timeout_at(end, exchange).await.ok() };
     let span = end.saturating_duration_since(Instant::now());
-    let mut talk = std::pin::pin!(talk);
+    let mut exchange = std::pin::pin!(exchange);
     tokio::select! {
         biased;
-        done = &mut talk => return Some(done),
+        result = &mut exchange => return Some(result),
         () = upload.finished() => {}
-        () = to.write_stalled_for(STALLED) => return None,
+        () = connection.write_stalled_for(STALL_TIMEOUT) => return None,
     }
-    tokio::time::timeout(span, talk).await.ok()
+    tokio::time::timeout(span, exchange).await.ok()
 }
 
 #[cfg(test)]
--- a/crates/http/src/body/tests.rs
+++ b/crates/http/src/body/tests.rs
@@ -7,52 +7,63 @@
 
 use super::*;
 
-/// A connection to a server, and the listener that it is made to.
-async fn sock() -> (Rc<WatchedStream>, TcpListener) {
+/// A connection to a listener, and the listener.
+async fn connection() -> (Rc<WatchedStream>, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("it listens");
     let stream = Stream::new(stream.into_std().expect("a socket")).expect("a runtime");
     (WatchedStream::new(stream), listener)
 }
 
-/// Both orders of an attempt's answer and the end of its time, in one turn of the loop: an answer that is there counts, one that
-/// comes next finds nobody.
+/// A response and the deadline of its attempt in the same iteration of the event loop, in both orders: a
+/// response that is already there counts, and one that comes later finds the receiver closed.
 #[tokio::test(start_paused = true)]
-async fn an_answer_in_the_turn_in_which_its_attempt_ends_counts() {
-    let (sock, _listener) = sock().await;
-    let over = Instant::now();
+async fn a_response_at_the_deadline_of_its_attempt_counts() {
+    let (connection, _listener) = connection().await;
+    let deadline = Instant::now();
     advance(Duration::from_millis(5)).await;
-    let whole = UploadProgress::default();
-    whole.end(false);
-    for upload in [None, Some(&whole)] {
-        assert_eq!(run_until_deadline(over, upload, &sock, ready("answer")).await, Some("answer"));
-        let (server, answer) = oneshot::channel();
-        assert_eq!(run_until_deadline(over, upload, &sock, answer).await, None);
-        assert!(server.send("late").is_err());
+    let finished = UploadProgress::default();
+    finished.finish(false);
+    for upload in [None, Some(&finished)] {
+        assert_eq!(
+            run_until_deadline(deadline, upload, &connection, ready("response")).await,
+            Some("response")
+        );
+        let (sender, response) = oneshot::channel();
+        assert_eq!(run_until_deadline(deadline, upload, &connection, response).await, None);
+        assert!(sender.send("late").is_err());
     }
-    // The answer and the body's last byte come in one turn: it counts, whatever is left of its time.
-    let last = UploadProgress::default();
-    let both = poll_fn(|_| {
-        last.end(false);
+    // The response and the last byte of the upload in the same poll: the response counts, whatever time is
+    // left.
+    let upload = UploadProgress::default();
+    let finishing_response = poll_fn(|_| {
+        upload.finish(false);
         Poll::Ready("early")
     });
-    assert_eq!(run_until_deadline(over, Some(&last), &sock, both).await, Some("early"));
+    assert_eq!(
+        run_until_deadline(deadline, Some(&upload), &connection, finishing_response).await,
+        Some("early")
+    );
 }
 
-/// A request that is passed on: as long as its server takes some of it now and then it goes on, past its time; one that takes
-/// nothing for long ends it.
+/// A streamed request continues past its deadline as long as its server accepts some of it now and then; it
+/// is given up once the server accepts nothing for [`STALL_TIMEOUT`].
 #[tokio::test(start_paused = true)]
-async fn an_upload_that_its_server_does_not_take_is_given_up() {
-    let (sock, _listener) = sock().await;
+async fn an_upload_that_its_server_does_not_read_is_given_up() {
+    let (connection, _listener) = connection().await;
     let upload = UploadProgress::default();
-    let mut attempt =
-        Box::pin(run_until_deadline(Instant::now(), Some(&upload), &sock, std::future::pending::<()>()));
+    let mut attempt = Box::pin(run_until_deadline(
+        Instant::now(),
+        Some(&upload),
+        &connection,
+        std::future::pending::<()>(),
+    ));
     for _ in 0..4 {
-        sock.begin_message(None);
-        assert!(timeout(STALLED * 9 / 10, &mut attempt).await.is_err(), "it goes on");
+        connection.begin_message(None);
+        assert!(timeout(STALL_TIMEOUT * 9 / 10, &mut attempt).await.is_err(), "the upload continues");
     }
-    sock.begin_message(None);
-    let began = Instant::now();
+    connection.begin_message(None);
+    let start = Instant::now();
     assert_eq!(attempt.await, None);
-    assert!((STALLED..STALLED * 11 / 10).contains(&began.elapsed()), "{:?}", began.elapsed());
+    assert!((STALL_TIMEOUT..STALL_TIMEOUT * 11 / 10).contains(&start.elapsed()), "{:?}", start.elapsed());
 }
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the listener, reading requests, and the one final answer of each.
+//! The client side: accepts connections, reads requests, and writes a single final response to each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,344 +22,364 @@
 use crate::message::{RequestBody, UpstreamRequest};
 use crate::watched_stream::{hyper_io, ConnectionPhase, WatchedStream};
 use accept::Reduction;
-use answer::{body_length, end_of, log_refused, plain, refusal, settle};
-use closing::CloseReason;
-use request::{read, Bad};
+use close_reason::CloseReason;
+use request::{read_request, RequestError};
+use response::{
+    body_len, empty_response, end_for_status, log_refusal, process_request, unavailable_response,
+};
 
 mod accept;
-mod answer;
-mod closing;
+mod close_reason;
 mod request;
+mod response;
 
 type Node = Core<HttpTransport>;
 type Asked = magpietally_core::Asked<UpstreamRequest>;
 
-/// How long a client may take nothing of its answer.
-const ANSWERING: Duration = Duration::from_secs(5);
-/// The same of one that is passed on, of which a server may give nothing for a while.
-const PASSING_ON: Duration = Duration::from_secs(12);
-/// How long a new connection may say nothing. Bad clients connect by hundreds and do just that.
-const SILENT: Duration = Duration::from_millis(2400);
+/// How long a client may accept nothing of a buffered response.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client may accept nothing of a streamed response, whose server may pause for a while.
+const STREAMED_WRITE_TIMEOUT: Duration = Duration::from_secs(12);
+/// How long a new connection may send nothing. Misbehaving clients open hundreds of such connections.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2400);
 /// How long a connection may be idle between requests.
-const IDLE: Duration = Duration::from_secs(20);
-/// The same for one that has brought a single request: many clients ask once and never let go.
-const IDLE_ONCE: Duration = Duration::from_secs(2);
-/// How many turns of the loop what has come of a late request may take to be read: the runtime hears of it in the first, and the
-/// connection is read in the second.
-const READS_ON: usize = 3;
-/// How long a connection is read after its last answer, so that a reset does not overtake it.
-const LINGER: Duration = Duration::from_millis(500);
-/// The largest head of a request.
-const HEAD_MOST: usize = 32 * 1024;
-/// Which part of all connections may be idle before new ones are not kept.
-const IDLE_PART: usize = 8;
-/// How many connections a stopping node keeps free, within a quarter of them: those that come together find one each.
-const SPARE: usize = 8;
-/// For how long a stopping node may still count on new connections.
-const STILL_DEALT: Duration = Duration::from_millis(200);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a connection may be idle after a single request: many clients send one request and never close.
+const IDLE_TIMEOUT_AFTER_ONE_REQUEST: Duration = Duration::from_secs(2);
+/// Iterations of the event loop that the received part of a late request may take to be read: the runtime
+/// polls for it in the first, and the connection's task reads it in the second.
+const LATE_READ_ITERATIONS: usize = 3;
+/// How long a connection is read after its last response, so that a reset does not overtake the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest request head.
+const HEAD_MAX_BYTES: usize = 32 * 1024;
+/// New connections are closed after their first response once the maximum divided by this number are idle.
+const IDLE_LIMIT_DIVISOR: usize = 8;
+/// Idle connections that a stopping node keeps, but no more than a quarter of all: each request of a burst
+/// finds one.
+const STOPPING_IDLE_MIN: usize = 8;
+/// How long after the start of its shutdown a node may still expect new connections.
+const NEW_CONNECTIONS_EXPECTED_FOR: Duration = Duration::from_millis(200);
 
-const TXN: HeaderName = HeaderName::from_static("x-txn");
+const X_TXN: HeaderName = HeaderName::from_static("x-txn");
 
-struct Client {
-    number: u64,
-    sock: Rc<WatchedStream>,
-    close: Notify,
-    /// Why it is to be closed.
-    reason: Cell<Option<CloseReason>>,
-    /// It is to make room, and has not closed yet.
+struct ClientConnection {
+    id: u64,
+    stream: Rc<WatchedStream>,
+    close_notify: Notify,
+    /// Why the node requested its close.
+    close_reason: Cell<Option<CloseReason>>,
+    /// Whether it was chosen for eviction and has not closed yet.
     evicted: Cell<bool>,
-    /// It has ended, and is read a little longer.
-    lingers: Cell<bool>,
+    /// Whether it has ended and is in its lingering close.
+    lingering: Cell<bool>,
 }
 
-impl Client {
-    /// Ends when the connection is to be closed. That is decided elsewhere, some turns ago: where bytes have come since, it
-    /// stays, as one that is closed over unread bytes is reset, and the request is lost that they may be.
-    async fn told_to_close(&self, freed: &Notify) {
+impl ClientConnection {
+    /// Waits until the connection is to be closed. That was decided elsewhere, some iterations of the event
+    /// loop ago. If bytes have arrived since, the connection stays open: closing a socket with unread bytes
+    /// resets it, and a request in those bytes would be lost.
+    async fn close_requested(&self, freed: &Notify) {
         loop {
-            self.close.notified().await;
+            self.close_notify.notified().await;
             let evicted = self.evicted.take();
-            let stays = match self.sock.phase().0 {
-                ConnectionPhase::Reading if !evicted => self.reads_on().await,
+            let stays = match self.stream.phase().0 {
+                ConnectionPhase::Reading if !evicted => self.completes_late_request().await,
                 ConnectionPhase::Busy | ConnectionPhase::Answering if !evicted => false,
-                _ => !self.sock.is_quiet(),
+                _ => !self.stream.is_quiet(),
             };
             if !stays {
                 return;
             }
-            // Another has to make room.
+            // Another connection must be evicted instead.
             freed.notify_one();
         }
     }
 
-    /// Has the rest of a late request come since it was found late? What stands in the socket is read first.
-    async fn reads_on(&self) -> bool {
-        for _ in 0..READS_ON {
-            if !self.sock.is_request_overdue() || self.sock.is_quiet() {
+    /// Returns whether a request that was found late is no longer overdue, once the bytes in the socket have
+    /// been read.
+    async fn completes_late_request(&self) -> bool {
+        for _ in 0..LATE_READ_ITERATIONS {
+            if !self.stream.is_request_overdue() || self.stream.is_quiet() {
                 break;
             }
             yield_now().await;
         }
-        !self.sock.is_request_overdue()
+        !self.stream.is_request_overdue()
     }
 }
 
-/// The connections of clients.
+/// The open connections of clients.
 pub struct ClientConnections {
     node: Rc<Node>,
-    open: RefCell<HashMap<u64, Rc<Client>>>,
-    last: Cell<u64>,
-    most: usize,
-    /// By how many fewer are held for now, as descriptors have run out.
-    fewer: Reduction,
-    /// How many were accepted that the poll has no room for yet.
+    open: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    last_id: Cell<u64>,
+    max: usize,
+    /// Temporary reduction of `max` after descriptors have run out.
+    reduction: Reduction,
+    /// Number of accepted connections that could not be registered with the poller yet.
     registering: Cell<usize>,
     freed: Notify,
 }
 
 impl ClientConnections {
-    /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        let most = node.carrier().config.clients_most();
+        let max = node.carrier().config.clients_most();
         Rc::new(Self {
             node,
             open: RefCell::default(),
-            last: Cell::new(0),
-            most,
-            fewer: Reduction::default(),
+            last_id: Cell::new(0),
+            max,
+            reduction: Reduction::default(),
             registering: Cell::new(0),
             freed: Notify::new(),
         })
     }
 
-    /// How many connections there are.
+    /// Number of connections, including those that are not registered yet.
     pub fn count(&self) -> usize {
         self.open.borrow().len() + self.registering.get()
     }
 
-    /// Closes connections that say nothing, on which a request takes too long to come, or whose answer is not read.
+    /// Closes connections that have been silent or idle for too long, whose request is too slow, or whose
+    /// response is not read.
     pub fn close_overdue(&self) {
-        self.fewer.ease();
+        self.reduction.ease();
         for client in self.open.borrow().values() {
-            if let Some(reason) = self.overdue(client) {
+            if let Some(reason) = self.overdue_reason(client) {
                 client.close_for(reason);
             }
         }
     }
 
-    /// Why a connection has been open for too long, if it has.
-    fn overdue(&self, client: &Client) -> Option<CloseReason> {
-        let (phase, since) = client.sock.phase();
+    /// The reason to close a connection that has exceeded a time limit; `None` if it has not.
+    fn overdue_reason(&self, client: &ClientConnection) -> Option<CloseReason> {
+        let (phase, since) = client.stream.phase();
         let age = since.elapsed();
         match phase {
-            ConnectionPhase::Idle if !client.sock.has_received_any() => {
-                (age >= SILENT).then_some(CloseReason::Silent)
+            ConnectionPhase::Idle if !client.stream.has_received_any() => {
+                (age >= FIRST_BYTE_TIMEOUT).then_some(CloseReason::Silent)
             }
             ConnectionPhase::Idle => {
                 let once =
-                    client.sock.responses_started() == 1 && self.node.process().life().stopping().is_none();
-                let most = if once { IDLE_ONCE } else { IDLE };
-                (age >= most && client.sock.is_quiet()).then_some(CloseReason::Idle)
+                    client.stream.responses_started() == 1 && self.node.process().life().stopping().is_none();
+                let timeout = if once { IDLE_TIMEOUT_AFTER_ONE_REQUEST } else { IDLE_TIMEOUT };
+                (age >= timeout && client.stream.is_quiet()).then_some(CloseReason::Idle)
+            }
+            ConnectionPhase::Reading => {
+                client.stream.is_request_overdue().then_some(CloseReason::SlowRequest)
             }
-            ConnectionPhase::Reading => client.sock.is_request_overdue().then_some(CloseReason::SlowRequest),
             ConnectionPhase::Busy => None,
             ConnectionPhase::Answering => {
-                let most = if client.sock.is_streaming() { PASSING_ON } else { ANSWERING };
-                (age >= most).then_some(CloseReason::SlowReader)
+                let timeout = if client.stream.is_streaming() {
+                    STREAMED_WRITE_TIMEOUT
+                } else {
+                    RESPONSE_WRITE_TIMEOUT
+                };
+                (age >= timeout).then_some(CloseReason::SlowReader)
             }
         }
     }
 
-    /// Closes connections that are between requests and have nothing to read, where the node sends its clients away.
+    /// Closes connections that are between requests and have nothing to read, if the node is draining or
+    /// stopping.
     pub fn close_idle(&self) {
-        let Some(least) = self.node.process().life().closes_idle(Instant::now()) else { return };
+        let Some(min_idle) = self.node.process().life().closes_idle(Instant::now()) else { return };
         for client in self.open.borrow().values() {
-            let (phase, since) = client.sock.phase();
-            if phase == ConnectionPhase::Idle && since.elapsed() >= least && client.sock.is_quiet() {
+            let (phase, since) = client.stream.phase();
+            if phase == ConnectionPhase::Idle && since.elapsed() >= min_idle && client.stream.is_quiet() {
                 client.close_for(CloseReason::Leaving);
             }
         }
     }
 
-    /// Does any client still wait for an answer that is held whole, or for its bytes to be written?
+    /// Returns whether any client still waits for a buffered response or for its bytes to be written.
     pub fn has_pending_responses(&self) -> bool {
-        let owes = |c: &Rc<Client>| match c.sock.phase().0 {
+        let is_pending = |c: &Rc<ClientConnection>| match c.stream.phase().0 {
             ConnectionPhase::Busy => true,
-            ConnectionPhase::Answering => !c.sock.is_streaming(),
+            ConnectionPhase::Answering => !c.stream.is_streaming(),
             ConnectionPhase::Idle | ConnectionPhase::Reading => false,
         };
-        self.open.borrow().values().any(owes)
+        self.open.borrow().values().any(is_pending)
     }
 
-    /// Does the node stop, and have clients few connections left that are not busy? New ones are dealt to other nodes by
-    /// then, if there are any. Where there are none, a front that finds no free connection takes the node for gone, with
-    /// all that are open, and what comes is lost until another is up: seen on days of two nodes restarted in turn. To
-    /// refuse some requests of a burst at once keeps the way open for all that follow. It guards as well against slow
-    /// servers that would tie up all connections of a stopping node. It does harm where another node would have served
-    /// those few, so it holds only while this one stops.
-    fn all_in_use(&self) -> bool {
+    /// Returns whether the node is stopping and few of its connections are idle. New connections go to other
+    /// nodes by then, if there are any. If there are none, a front end that finds no free connection
+    /// considers the node gone, with all open connections, and requests are lost until another node is up:
+    /// seen on days of two nodes restarted in turn. Refusing some requests of a burst at once keeps
+    /// connections free for all later ones. It also guards against slow servers that would occupy all
+    /// connections of a stopping node. It does harm where another node would have served those few requests,
+    /// so it applies only while this node stops.
+    fn lacks_idle_connections(&self) -> bool {
         let life = self.node.process().life();
-        // Where the next process accepts, those that are sent away have where to go.
-        if life.shared() || life.stopping().is_none_or(|since| since.elapsed() < STILL_DEALT) {
+        // With a shared listening socket, the next process accepts the clients that this one closes.
+        if life.shared() || life.stopping().is_none_or(|since| since.elapsed() < NEW_CONNECTIONS_EXPECTED_FOR)
+        {
             return false;
         }
-        self.idle() < SPARE.min(self.count() / 4)
+        self.used_idle_count() < STOPPING_IDLE_MIN.min(self.count() / 4)
     }
 
-    /// How many connections have been used and are idle.
-    fn idle(&self) -> usize {
-        let idle = |c: &&Rc<Client>| c.sock.phase().0 == ConnectionPhase::Idle && c.sock.has_received_any();
-        self.open.borrow().values().filter(idle).count()
+    /// Number of idle connections that have been used.
+    fn used_idle_count(&self) -> usize {
+        let is_idle = |c: &&Rc<ClientConnection>| {
+            c.stream.phase().0 == ConnectionPhase::Idle && c.stream.has_received_any()
+        };
+        self.open.borrow().values().filter(is_idle).count()
     }
 
-    /// Are so many idle that one more would better close with its first answer? Who uses connections again opens one
-    /// only where none is free; one that comes while many are idle is likely from a client that asks once and lets it
-    /// stand. Hundreds of those take up all the connections that clients and node may have, and whoever comes next
-    /// finds none. It guards as well against crowds that ask for /ready over ever new ones. It does harm where many
-    /// clients come for the first time at a quiet moment: each has to connect a second time; and while the node stops, when
-    /// they get no new one.
-    fn many_idle(&self) -> bool {
-        self.node.process().life().stopping().is_none() && self.idle() >= self.most / IDLE_PART
+    /// Returns whether so many connections are idle that a new one should close with its first response. A
+    /// client that reuses connections opens another only if none is free, so one that connects while many are
+    /// idle probably sends one request and leaves the connection open. Hundreds of those use up all the
+    /// connections that clients and node may have, and the next client finds none. It also guards against
+    /// bursts of clients that request /ready over ever new connections. It does harm if many clients connect
+    /// for the first time at a quiet moment, as each must connect a second time, and while the node stops, as
+    /// clients then get no new connection; it therefore does not apply while the node stops.
+    fn has_many_idle(&self) -> bool {
+        self.node.process().life().stopping().is_none()
+            && self.used_idle_count() >= self.max / IDLE_LIMIT_DIVISOR
     }
 
-    async fn converse(self: &Rc<Self>, client: Rc<Client>) {
+    async fn serve_connection(self: &Rc<Self>, client: Rc<ClientConnection>) {
         let service = service_fn(|request| {
-            let (clients, sock) = (self.clone(), client.sock.clone());
+            let (clients, stream) = (self.clone(), client.stream.clone());
             async move {
-                let gone = sock.clone();
+                let peer = stream.clone();
                 tokio::select! {
                     biased;
-                    // hyper stops looking for the end where anything stands unread behind the request.
-                    () = gone.closed_by_peer() => Err(Gone),
-                    answer = respond(clients, sock, request) => Ok(answer),
+                    // hyper does not detect the end of the connection while unread bytes follow the request.
+                    () = peer.closed_by_peer() => Err(ClientGone),
+                    response = respond(clients, stream, request) => Ok(response),
                 }
             }
         });
         let conn = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(HEAD_MAX_BYTES)
             .auto_date_header(false)
-            .serve_connection(hyper_io(client.sock.clone()), service);
+            .serve_connection(hyper_io(client.stream.clone()), service);
         tokio::select! {
-            // Before the connection is read: a request that it takes in this very turn would be dropped with it.
+            // Polled before the connection: a request that the connection reads in the same poll would be
+            // dropped with it.
             biased;
-            () = client.told_to_close(&self.freed) => self.log_closed(&client),
-            ended = conn => {
-                if let Err(error) = &ended {
+            () = client.close_requested(&self.freed) => self.log_closed(&client),
+            result = conn => {
+                if let Err(error) = &result {
                     self.log_broken(&client, error);
                 }
-                if !client.sock.apply_reset_on_close() {
-                    client.lingers.set(true);
-                    let _ = timeout(LINGER, client.sock.linger()).await;
+                if !client.stream.apply_reset_on_close() {
+                    client.lingering.set(true);
+                    let _ = timeout(LINGER_TIMEOUT, client.stream.linger()).await;
                 }
             }
         }
     }
 }
 
-/// The client closed its connection before its answer.
+/// The client closed its connection before the response.
 #[derive(Debug)]
-struct Gone;
+struct ClientGone;
 
-impl fmt::Display for Gone {
+impl fmt::Display for ClientGone {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str("the client has gone")
+        to.write_str("the client closed its connection")
     }
 }
 
-impl Error for Gone {}
+impl Error for ClientGone {}
 
-/// Answers one request.
+/// Produces the response to one request.
 async fn respond(
     clients: Rc<ClientConnections>,
-    sock: Rc<WatchedStream>,
+    stream: Rc<WatchedStream>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let node = &clients.node;
-    let framed_once = sock.finish_request_head();
-    sock.set_request_id(request.headers().get(TXN).cloned());
-    let head = *request.method() == Method::HEAD;
-    let old = request.version() < Version::HTTP_11;
-    let asks_ready = request.uri().path() == "/ready";
-    let mut answer = if asks_ready {
+    let is_unambiguous = stream.finish_request_head();
+    stream.set_request_id(request.headers().get(X_TXN).cloned());
+    let is_head = *request.method() == Method::HEAD;
+    let is_http_10 = request.version() < Version::HTTP_11;
+    let is_readiness_check = request.uri().path() == "/ready";
+    let mut response = if is_readiness_check {
         let status = if node.process().life().ready() && node.has_list() && node.fleet_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        plain(status)
+        empty_response(status)
     } else {
-        match read(node, &sock, request, framed_once).await {
+        match read_request(node, &stream, request, is_unambiguous).await {
             Ok((asked, remaining)) => {
-                // One that is passed on while it comes is taken with its last byte.
-                let underway = match &asked.request.body {
+                // A streamed request counts as received with its last byte.
+                let in_progress = match &asked.request.body {
                     RequestBody::Buffered { .. } => {
-                        let mut underway = node.process().figures.request(asked.class);
-                        underway.taken();
-                        Rc::new(RefCell::new(Some(underway)))
+                        let mut in_progress = node.process().figures.request(asked.class);
+                        in_progress.taken();
+                        Rc::new(RefCell::new(Some(in_progress)))
                     }
                     RequestBody::Streamed { upload, .. } => {
-                        upload.borrow().as_ref().map(|u| u.underway.clone()).unwrap_or_default()
+                        upload.borrow().as_ref().map(|u| u.in_progress.clone()).unwrap_or_default()
                     }
                 };
-                let uploading = asked.request.body.upload_progress().cloned();
-                let mut answer = if clients.all_in_use() {
-                    log_refused(node, &sock, "the node stops, and few connections are free");
-                    refusal(node.stay_away(asked.class))
+                let upload = asked.request.body.upload_progress().cloned();
+                let mut response = if clients.lacks_idle_connections() {
+                    log_refusal(node, &stream, "the node is stopping and few connections are idle");
+                    unavailable_response(node.stay_away(asked.class))
                 } else {
-                    let arrived = sock.request_arrived_at();
-                    if uploading.is_none() {
-                        sock.enter_phase(ConnectionPhase::Busy);
+                    let arrived_at = stream.request_arrived_at();
+                    if upload.is_none() {
+                        stream.enter_phase(ConnectionPhase::Busy);
                     }
-                    settle(node, asked, &sock, arrived, remaining).await
+                    process_request(node, asked, &stream, arrived_at, remaining).await
                 };
-                if uploading.is_some_and(|u| u.finished_at().is_none()) {
-                    // What its client still sends is read by nobody.
-                    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                if upload.is_some_and(|u| u.finished_at().is_none()) {
+                    // The rest of the upload is not read.
+                    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                let (end, underway) = (end_of(answer.status()), underway.take());
-                match answer.body_mut() {
-                    ResponseBody::Streamed(passing) => {
-                        passing.underway = underway;
-                        if old && passing.length.is_none() {
-                            // Until it is whole: the node's own end may cut it off.
-                            sock.set_reset_on_close();
+                let (end, in_progress) = (end_for_status(response.status()), in_progress.take());
+                match response.body_mut() {
+                    ResponseBody::Streamed(body) => {
+                        body.in_progress = in_progress;
+                        if is_http_10 && body.length.is_none() {
+                            // Until the response is complete, as the end of the node may truncate it.
+                            stream.set_reset_on_close();
                         }
                     }
                     ResponseBody::Buffered(_) => {
-                        if let Some(underway) = underway {
-                            underway.end(end);
+                        if let Some(in_progress) = in_progress {
+                            in_progress.end(end);
                         }
                     }
                 }
-                answer
+                response
             }
-            Err(Bad { refused: Some(class), .. }) => {
-                log_refused(node, &sock, "no room for its body");
+            Err(RequestError { shed_class: Some(class), .. }) => {
+                log_refusal(node, &stream, "no memory for its body");
                 node.process().figures.request(class).end(End::Dropped);
-                let mut answer = refusal(node.stay_away(class));
-                answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-                answer
+                let mut response = unavailable_response(node.stay_away(class));
+                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                response
             }
-            Err(bad) => bad.answer(),
+            Err(error) => error.response(),
         }
     };
-    let first = sock.responses_started() == 0;
+    let first = stream.responses_started() == 0;
     let life = node.process().life();
-    // While the node sends its clients away, what only asks how it is must not push out those that can be served.
-    let of_no_use = asks_ready && (life.stopping().is_some() || life.draining().is_some());
-    if life.closes_answers(Instant::now()) || of_no_use || (first && clients.many_idle()) {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    // While the node is draining or stopping, readiness checks must not evict clients that can be served.
+    let closes_readiness_check =
+        is_readiness_check && (life.stopping().is_some() || life.draining().is_some());
+    if life.closes_answers(Instant::now()) || closes_readiness_check || (first && clients.has_many_idle()) {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    sock.begin_message(if head { Some(0) } else { body_length(&answer) });
-    sock.enter_phase(ConnectionPhase::Answering);
-    answer
+    stream.begin_message(if is_head { Some(0) } else { body_len(&response) });
+    stream.enter_phase(ConnectionPhase::Answering);
+    response
 }
 
 #[cfg(test)]
-mod closes;
+mod close_races;
 #[cfg(test)]
-mod crossing;
+mod eviction_races;
 #[cfg(test)]
-mod ends;
+mod shutdown_races;
 #[cfg(test)]
-mod harness;
+mod test_node;
--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and making room for them.
+//! Accepts connections, and evicts others to make room for them.
 
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -10,76 +10,76 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use super::closing::CloseReason;
-use super::{Client, ClientConnections};
+use super::close_reason::CloseReason;
+use super::{ClientConnection, ClientConnections};
 use crate::watched_stream::{ConnectionPhase, WatchedStream};
 
-/// From this age on a request that is still coming makes room for others where there is none.
-const STALE: Duration = Duration::from_millis(250);
-/// A connection that has just come gets this long to bring its request, before it is closed as idle.
-const FRESH: Duration = Duration::from_millis(200);
-/// How long the log keeps quiet of the same trouble.
-const QUIET: Duration = Duration::from_secs(5);
-/// How long the backlog is emptied at the end.
-const BACKLOG_WITHIN: Duration = Duration::from_millis(100);
-/// How long accepting waits for a connection to be closed, where no more may be held; and for how long a lack of descriptors
-/// must last before fewer connections are held.
-const EXHAUSTED: Duration = Duration::from_millis(20);
-/// So many descriptors are left to others when they have run out: the call to discovery, and attempts.
-const LEFT: usize = 8;
-/// How long descriptors must have sufficed before more connections are held again than when they ran out.
-const EASE_AFTER: Duration = Duration::from_secs(1);
-
-/// Something that accepting lacks, from its first failure to its first success.
+/// Age from which a connection with an incomplete request may be evicted.
+const SLOW_REQUEST_EVICTABLE_AFTER: Duration = Duration::from_millis(250);
+/// How long a new connection has to send its first bytes before it is evicted ahead of those that were used.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
+/// Minimum interval between log lines on the same shortage.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// How long the backlog is drained at shutdown.
+const BACKLOG_DRAIN_MAX: Duration = Duration::from_millis(100);
+/// How long the accept loop waits for a connection to close when the limit is reached, and how long a
+/// shortage of descriptors must last before the limit is reduced.
+const SHORTAGE_WAIT: Duration = Duration::from_millis(20);
+/// Descriptors that are left for the call to discovery and for attempts after descriptors have run out.
+const RESERVED_DESCRIPTORS: usize = 8;
+/// How long descriptors must have sufficed before the reduction of the limit is eased.
+const REDUCTION_HOLD: Duration = Duration::from_secs(1);
+
+/// A shortage that keeps the node from accepting, from the first failure to the next success.
 #[derive(Default)]
-struct Lack {
+struct ShortageState {
     since: Option<Instant>,
     pauses: Pauses,
     logged: Option<Instant>,
 }
 
-impl Lack {
-    fn is_over(&mut self) {
+impl ShortageState {
+    fn clear(&mut self) {
         if self.since.take().is_some() {
             self.pauses = Pauses::default();
         }
     }
 
-    /// Has it lasted for longer than a moment?
-    fn lasts(&mut self) -> bool {
-        self.since.get_or_insert_with(Instant::now).elapsed() >= EXHAUSTED
+    /// Returns whether the shortage has lasted for [`SHORTAGE_WAIT`]; starts the time at the first call.
+    fn is_lasting(&mut self) -> bool {
+        self.since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_WAIT
     }
 
     fn log(&mut self, shortage: &Shortage) {
-        if self.logged.is_none_or(|at| at.elapsed() >= QUIET) {
+        if self.logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             self.logged = Some(Instant::now());
             tracing::warn!(target: "accept", "{}", shortage.error);
         }
     }
 }
 
-/// How many connections fewer than usual are held, as descriptors have run out.
+/// Reduction of the limit on connections after descriptors have run out.
 #[derive(Default)]
 pub(super) struct Reduction {
-    by: Cell<usize>,
+    connections: Cell<usize>,
     since: Cell<Option<Instant>>,
 }
 
 impl Reduction {
-    /// By how many.
+    /// Number of connections by which the limit is reduced.
     pub(super) fn get(&self) -> usize {
-        self.by.get()
+        self.connections.get()
     }
 
-    fn set(&self, by: usize) {
-        self.by.set(by);
+    fn set(&self, connections: usize) {
+        self.connections.set(connections);
         self.since.set(Some(Instant::now()));
     }
 
-    /// Takes half of it back, where descriptors have not run out again for a while.
+    /// Halves the reduction if descriptors have sufficed for [`REDUCTION_HOLD`].
     pub(super) fn ease(&self) {
-        if self.since.get().is_none_or(|since| since.elapsed() >= EASE_AFTER) {
-            self.by.set(self.by.get() / 2);
+        if self.since.get().is_none_or(|since| since.elapsed() >= REDUCTION_HOLD) {
+            self.connections.set(self.connections.get() / 2);
         }
     }
 }
@@ -87,97 +87,100 @@
 impl ClientConnections {
     /// Accepts connections; never ends.
     pub async fn accept(self: &Rc<Self>, listener: &Listener) {
-        let mut lack = Lack::default();
+        let mut state = ShortageState::default();
         loop {
-            self.room().await;
+            self.wait_for_capacity().await;
             match listener.accept().await {
                 Ok(accepted) => {
-                    lack.is_over();
-                    self.serve(accepted);
+                    state.clear();
+                    self.add_accepted(accepted);
                 }
-                Err(shortage) => self.wait_for_room(listener, &shortage, &mut lack).await,
+                Err(shortage) => self.handle_shortage(listener, &shortage, &mut state).await,
             }
         }
     }
 
-    /// Makes room for what accepting lacks, and pauses.
-    async fn wait_for_room(&self, listener: &Listener, shortage: &Shortage, lack: &mut Lack) {
-        lack.log(shortage);
-        self.make_room(listener, shortage, lack.lasts());
-        sleep(lack.pauses.next_pause().min(EXHAUSTED)).await;
+    /// Logs a shortage, releases resources for it, and pauses.
+    async fn handle_shortage(&self, listener: &Listener, shortage: &Shortage, state: &mut ShortageState) {
+        state.log(shortage);
+        self.release_resources(listener, shortage, state.is_lasting());
+        sleep(state.pauses.next_pause().min(SHORTAGE_WAIT)).await;
     }
 
-    /// Lets go of what is idle, so that accepting has what it lacks. Fewer connections are held only where the process's own
-    /// descriptors stay short: whatever became free would else be taken by the next of the backlog.
-    fn make_room(&self, listener: &Listener, shortage: &Shortage, lasts: bool) {
-        if shortage.is_of_own_descriptors() || lasts {
+    /// Closes idle connections to release the resource that is short. The limit on connections is reduced
+    /// only while the process's own descriptors stay short: the next connection of the backlog would
+    /// otherwise take whatever becomes free.
+    fn release_resources(&self, listener: &Listener, shortage: &Shortage, lasting: bool) {
+        if shortage.is_of_own_descriptors() || lasting {
             self.node.carrier().pool.evict();
         }
-        if shortage.is_of_own_descriptors() && lasts && !listener.has_spare_descriptor() {
-            let held = self.count().saturating_sub(LEFT);
-            self.fewer.set(self.most.saturating_sub(held.max(1)));
+        if shortage.is_of_own_descriptors() && lasting && !listener.has_spare_descriptor() {
+            let limit = self.count().saturating_sub(RESERVED_DESCRIPTORS);
+            self.reduction.set(self.max.saturating_sub(limit.max(1)));
         }
     }
 
-    /// Waits until one connection more may be held. The descriptor of one that makes room is free when its task has ended, and
-    /// no sooner: a crowd that waits in the backlog would else be let in all at once.
-    async fn room(&self) {
-        while self.count() >= self.most.saturating_sub(self.fewer.get()).max(1) {
+    /// Waits until another connection may be accepted. The descriptor of an evicted connection is free only
+    /// when its task has ended; accepting earlier would admit a burst that waits in the backlog all at once.
+    async fn wait_for_capacity(&self) {
+        while self.count() >= self.max.saturating_sub(self.reduction.get()).max(1) {
             if !self.open.borrow().values().any(|c| c.evicted.get()) {
                 self.evict();
             }
-            // One that is busy may be idle by then.
-            let _ = timeout(EXHAUSTED, self.freed.notified()).await;
+            // Times out as well, as a busy connection may have become idle.
+            let _ = timeout(SHORTAGE_WAIT, self.freed.notified()).await;
         }
     }
 
-    /// Accepts what the backlog still holds, but not without end what a crowd goes on adding to it.
+    /// Accepts what is left in the backlog, for a bounded time, as a burst of clients may keep adding to it.
     pub async fn drain_backlog(self: &Rc<Self>, listener: &Listener) {
         let began = Instant::now();
-        let mut lack = Lack::default();
-        while began.elapsed() < BACKLOG_WITHIN {
-            if timeout(EXHAUSTED, self.room()).await.is_err() {
+        let mut state = ShortageState::default();
+        while began.elapsed() < BACKLOG_DRAIN_MAX {
+            if timeout(SHORTAGE_WAIT, self.wait_for_capacity()).await.is_err() {
                 continue;
             }
-            match timeout(EXHAUSTED, listener.accept()).await {
+            match timeout(SHORTAGE_WAIT, listener.accept()).await {
                 Ok(Ok(accepted)) => {
-                    lack.is_over();
-                    self.serve(accepted);
+                    state.clear();
+                    self.add_accepted(accepted);
                 }
-                Ok(Err(shortage)) => self.wait_for_room(listener, &shortage, &mut lack).await,
-                // Nothing waits any more.
+                Ok(Err(shortage)) => self.handle_shortage(listener, &shortage, &mut state).await,
+                // The backlog is empty.
                 Err(_) => return,
             }
         }
     }
 
-    /// Has one connection closed, those first that never said a word, then the one that has been idle for longest, then
-    /// the one whose request has been coming for longest; none where all are busy.
+    /// Requests that one connection be closed: first one that never sent anything, then the one that has been
+    /// idle for longest, then the one whose request has been arriving for longest; none if all are busy.
     pub(super) fn evict(&self) {
         let open = self.open.borrow();
-        let rank = |c: &Client| match c.sock.phase() {
-            _ if c.lingers.get() => None,
+        let rank = |c: &ClientConnection| match c.stream.phase() {
+            _ if c.lingering.get() => None,
             (ConnectionPhase::Idle, since) => {
-                // A crowd that says nothing must not push out those that are used.
-                let crowd = !c.sock.has_received_any() && since.elapsed() >= FRESH;
-                Some((if crowd { 0 } else { 1 }, since))
+                // A burst of silent connections must not evict those that are used.
+                let silent = !c.stream.has_received_any() && since.elapsed() >= NEW_CONNECTION_GRACE;
+                Some((if silent { 0 } else { 1 }, since))
+            }
+            (ConnectionPhase::Reading, since) if since.elapsed() >= SLOW_REQUEST_EVICTABLE_AFTER => {
+                Some((2, since))
             }
-            (ConnectionPhase::Reading, since) if since.elapsed() >= STALE => Some((2, since)),
             _ => None,
         };
-        let mut all: Vec<_> = open.iter().filter_map(|(n, c)| Some((rank(c)?, *n, c))).collect();
-        all.sort_unstable_by_key(|(rank, number, _)| (*rank, *number));
-        // The kernel is asked of no more than it takes.
-        if let Some((.., client)) = all.into_iter().find(|(.., client)| client.sock.is_quiet()) {
+        let mut all: Vec<_> = open.iter().filter_map(|(id, c)| Some((rank(c)?, *id, c))).collect();
+        all.sort_unstable_by_key(|(rank, id, _)| (*rank, *id));
+        // Sorted first, so that the kernel is queried for as few connections as possible.
+        if let Some((.., client)) = all.into_iter().find(|(.., client)| client.stream.is_quiet()) {
             client.evicted.set(true);
             client.close_for(CloseReason::Evicted);
         }
     }
 
-    /// Takes over a connection. One that the poll has no room for yet is held until it has.
-    pub(super) fn serve(self: &Rc<Self>, accepted: Accepted) {
+    /// Adds an accepted connection. One that cannot be registered with the poller yet is kept until it can.
+    pub(super) fn add_accepted(self: &Rc<Self>, accepted: Accepted) {
         match Stream::new(accepted.socket) {
-            Ok(stream) => self.begin(stream, accepted.unread_since),
+            Ok(stream) => self.start_serving(stream, accepted.unread_since),
             Err(unregistered) => {
                 let unread_since = accepted.unread_since.unwrap_or_else(Instant::now);
                 self.registering.set(self.registering.get() + 1);
@@ -186,7 +189,7 @@
                     let registered = clients.register(unregistered).await;
                     clients.registering.set(clients.registering.get() - 1);
                     if let Some(stream) = registered {
-                        clients.begin(stream, Some(unread_since));
+                        clients.start_serving(stream, Some(unread_since));
                     }
                 });
             }
@@ -194,37 +197,37 @@
     }
 
     async fn register(&self, unregistered: Unregistered<TcpStream>) -> Option<Stream> {
-        self.log(|| tracing::warn!(target: "accept", "not registered yet: {}", unregistered.error));
+        self.log(|| tracing::warn!(target: "accept", "poller registration delayed: {}", unregistered.error));
         match unregistered.retry().await {
             Ok(registered) => Some(Stream::from(registered)),
             Err(error) => {
-                self.log(|| tracing::error!(target: "accept", "a connection is closed unread: {error}"));
+                self.log(|| tracing::error!(target: "accept", "closes an unregistered connection: {error}"));
                 self.freed.notify_one();
                 None
             }
         }
     }
 
-    /// Serves a connection whose first bytes may have waited for a while.
-    fn begin(self: &Rc<Self>, stream: Stream, unread_since: Option<Instant>) {
+    /// Starts the task of a connection, whose first bytes may have waited unread since `unread_since`.
+    fn start_serving(self: &Rc<Self>, stream: Stream, unread_since: Option<Instant>) {
         if let Some(since) = unread_since {
             stream.delayed_since(since);
         }
-        let number = self.last.get() + 1;
-        self.last.set(number);
-        let client = Rc::new(Client {
-            number,
-            sock: WatchedStream::for_client(stream),
-            close: Notify::new(),
-            reason: Cell::default(),
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        let client = Rc::new(ClientConnection {
+            id,
+            stream: WatchedStream::for_client(stream),
+            close_notify: Notify::new(),
+            close_reason: Cell::default(),
             evicted: Cell::default(),
-            lingers: Cell::default(),
+            lingering: Cell::default(),
         });
-        self.open.borrow_mut().insert(number, client.clone());
+        self.open.borrow_mut().insert(id, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            clients.converse(client).await;
-            clients.open.borrow_mut().remove(&number);
+            clients.serve_connection(client).await;
+            clients.open.borrow_mut().remove(&id);
             clients.freed.notify_one();
         });
     }
--- a/crates/http/src/clients/close_reason.rs
+++ b/crates/http/src/clients/close_reason.rs
@@ -1,71 +1,71 @@
-//! Why connections of clients are closed, for the log.
+//! The reasons for which the node closes connections of clients, and their log lines.
 
 use std::fmt;
 
-use super::{Client, ClientConnections};
+use super::{ClientConnection, ClientConnections};
 use crate::watched_stream::ConnectionPhase;
 
 /// Why the node closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// It said nothing from its start.
+    /// No bytes were ever received on it.
     Silent,
     /// It was idle for too long.
     Idle,
-    /// Its request took too long to come.
+    /// Its request took too long to arrive.
     SlowRequest,
-    /// Its answer was not read.
+    /// The client did not read its response.
     SlowReader,
-    /// It made room for another.
+    /// It made room for a new connection.
     Evicted,
-    /// The node is drained or stops.
+    /// The node is draining or stopping.
     Leaving,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Silent => "said nothing",
-            Self::Idle => "idle for too long",
-            Self::SlowRequest => "its request took too long to come",
-            Self::SlowReader => "its answer is not read",
-            Self::Evicted => "makes room for another",
-            Self::Leaving => "the node sends its clients away",
+            Self::Silent => "no bytes received",
+            Self::Idle => "idle timeout",
+            Self::SlowRequest => "request timeout",
+            Self::SlowReader => "the client does not read its response",
+            Self::Evicted => "evicted for a new connection",
+            Self::Leaving => "the node is draining or stopping",
         })
     }
 }
 
-impl Client {
-    /// Has the connection closed, unless something has come on it meanwhile.
+impl ClientConnection {
+    /// Requests that the connection be closed; it stays open if bytes arrive first.
     pub(super) fn close_for(&self, reason: CloseReason) {
-        self.reason.set(Some(reason));
-        self.close.notify_one();
+        self.close_reason.set(Some(reason));
+        self.close_notify.notify_one();
     }
 
-    /// The connection with the request that it was last about.
-    fn name(&self) -> String {
-        let request = self.sock.request_id();
+    /// The connection's id and phase and the id of its latest request, for log lines.
+    fn description(&self) -> String {
+        let request = self.stream.request_id();
         let request = request.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("none");
-        format!("connection {}, {:?}, request {request}", self.number, self.sock.phase().0)
+        format!("connection {}, {:?}, request {request}", self.id, self.stream.phase().0)
     }
 }
 
 impl ClientConnections {
-    /// Logs a line, if this second has room for one.
+    /// Logs a line, within the limit on log lines per second.
     pub(super) fn log(&self, line: impl FnOnce()) {
         self.node.carrier().pool.sample.line(line);
     }
 
-    /// A connection is closed by the node.
-    pub(super) fn log_closed(&self, client: &Client) {
-        let Some(reason) = client.reason.get() else { return };
-        self.log(|| tracing::info!(target: "close", "{}: {reason}", client.name()));
+    /// Logs that the node closes a connection.
+    pub(super) fn log_closed(&self, client: &ClientConnection) {
+        let Some(reason) = client.close_reason.get() else { return };
+        self.log(|| tracing::info!(target: "close", "{}: {reason}", client.description()));
     }
 
-    /// A connection broke; told where a request was on it.
-    pub(super) fn log_broken(&self, client: &Client, error: &hyper::Error) {
-        if client.sock.phase().0 != ConnectionPhase::Idle {
-            self.log(|| tracing::info!(target: "close", "{}: {error}", client.name()));
+    /// Logs the failure of a connection, unless it was idle.
+    pub(super) fn log_broken(&self, client: &ClientConnection, error: &hyper::Error) {
+        if client.stream.phase().0 != ConnectionPhase::Idle {
+            self.log(|| tracing::info!(target: "close", "{}: {error}", client.description()));
         }
     }
 }
--- a/crates/http/src/clients/eviction_races.rs
+++ b/crates/http/src/clients/eviction_races.rs
@@ -1,144 +1,150 @@
-//! A connection is to be closed, and bytes come in that very moment: on real sockets, written between the decision and the
-//! turn in which the connection's task hears of it.
+//! Races between evictions or other closes and bytes that arrive at the same time: on real sockets, written
+//! between the decision to close and the poll in which the connection's task learns of it.
 
 use std::future::{poll_fn, Future};
 use std::pin::pin;
 
 use tokio::net::TcpStream;
 
-use super::harness::*;
+use super::test_node::*;
 use super::*;
 
-/// The status of what is answered next; `None` where the connection ends instead.
-async fn heard(far: &TcpStream) -> Option<u16> {
-    let mut came = Vec::new();
-    while !came.ends_with(b"\r\n\r\n") {
-        far.readable().await.expect("a socket");
-        let mut some = [0; 512];
-        match far.try_read(&mut some) {
+/// The status of the next response; `None` if the connection ends instead.
+async fn next_status(peer: &TcpStream) -> Option<u16> {
+    let mut received = Vec::new();
+    while !received.ends_with(b"\r\n\r\n") {
+        peer.readable().await.expect("a socket");
+        let mut buffer = [0; 512];
+        match peer.try_read(&mut buffer) {
             Ok(0) => return None,
-            Ok(n) => came.extend_from_slice(&some[..n]),
+            Ok(n) => received.extend_from_slice(&buffer[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
             Err(_) => return None,
         }
     }
-    String::from_utf8_lossy(&came).split(' ').nth(1).and_then(|s| s.parse().ok())
+    String::from_utf8_lossy(&received).split(' ').nth(1).and_then(|s| s.parse().ok())
 }
 
-/// Written in this turn: nothing else runs meanwhile.
-fn write(far: &TcpStream, bytes: &[u8]) {
-    assert_eq!(far.try_write(bytes).expect("room for it"), bytes.len());
+/// Writes without yielding, so that nothing else runs meanwhile.
+fn write(peer: &TcpStream, bytes: &[u8]) {
+    assert_eq!(peer.try_write(bytes).expect("room for it"), bytes.len());
 }
 
-fn only(clients: &ClientConnections) -> Rc<Client> {
+fn only_connection(clients: &ClientConnections) -> Rc<ClientConnection> {
     clients.open.borrow().values().next().cloned().expect("one is open")
 }
 
 #[test]
-fn a_request_that_crosses_the_closing_of_its_connection_is_answered() {
-    // What makes room, what has been idle for too long, and what a node that ends closes.
+fn a_request_that_crosses_the_close_of_its_connection_is_answered() {
+    // A connection closed by eviction, and one closed for any other reason, as an idle timeout or shutdown.
     let evict = |clients: &ClientConnections| clients.evict();
-    let notify = |clients: &ClientConnections| only(clients).close.notify_one();
-    for decide in [&evict as &dyn Fn(&ClientConnections), &notify] {
-        for (spoke, crossing) in [(true, true), (false, true), (true, false), (false, false)] {
-            play(async {
-                let (clients, listener) = (clients(64, 1000.0), listener().await);
-                let far = connected(&clients, &listener).await;
-                if spoke {
-                    write(&far, READY);
-                    assert_eq!(heard(&far).await, Some(503));
-                    until("it is idle", || only(&clients).sock.phase().0 == ConnectionPhase::Idle).await;
+    let request_close = |clients: &ClientConnections| only_connection(clients).close_notify.notify_one();
+    for decide in [&evict as &dyn Fn(&ClientConnections), &request_close] {
+        for (used, crosses) in [(true, true), (false, true), (true, false), (false, false)] {
+            run_test(async {
+                let (clients, listener) = (new_clients(64, 1000.0), new_listener().await);
+                let peer = connected(&clients, &listener).await;
+                if used {
+                    write(&peer, READY);
+                    assert_eq!(next_status(&peer).await, Some(503));
+                    until("it is idle", || {
+                        only_connection(&clients).stream.phase().0 == ConnectionPhase::Idle
+                    })
+                    .await;
                 }
                 decide(&clients);
-                if crossing {
-                    write(&far, READY);
-                    assert_eq!(heard(&far).await, Some(503), "spoke {spoke}");
-                    assert!(!only(&clients).evicted.get(), "it may be evicted another time");
-                    // The other order: what has come is seen when it is decided.
-                    write(&far, READY);
+                if crosses {
+                    write(&peer, READY);
+                    assert_eq!(next_status(&peer).await, Some(503), "used {used}");
+                    assert!(!only_connection(&clients).evicted.get(), "it may be evicted another time");
+                    // The other order: the bytes have arrived before the decision.
+                    write(&peer, READY);
                     clients.evict();
-                    assert_eq!(heard(&far).await, Some(503), "spoke {spoke}");
-                    until("it is idle", || only(&clients).sock.phase().0 == ConnectionPhase::Idle).await;
+                    assert_eq!(next_status(&peer).await, Some(503), "used {used}");
+                    until("it is idle", || {
+                        only_connection(&clients).stream.phase().0 == ConnectionPhase::Idle
+                    })
+                    .await;
                     decide(&clients);
                 }
-                assert_eq!(heard(&far).await, None, "spoke {spoke}");
+                assert_eq!(next_status(&peer).await, None, "used {used}");
                 until("it is closed", || clients.count() == 0).await;
             });
         }
     }
 }
 
-/// The rest of a request that was coming for too long comes as it has to make room.
+/// The rest of a slow request arrives just when its connection is chosen for eviction.
 #[test]
-fn half_a_request_that_makes_room_is_answered_if_the_rest_crosses_that() {
-    for crossing in [true, false] {
-        play(async {
-            let (clients, listener) = (clients(64, 1000.0), listener().await);
-            let far = connected(&clients, &listener).await;
-            write(&far, &READY[..20]);
+fn a_partial_request_chosen_for_eviction_is_answered_if_its_rest_crosses_the_decision() {
+    for crosses in [true, false] {
+        run_test(async {
+            let (clients, listener) = (new_clients(64, 1000.0), new_listener().await);
+            let peer = connected(&clients, &listener).await;
+            write(&peer, &READY[..20]);
             until("it is chosen", || {
                 clients.evict();
-                only(&clients).evicted.get()
+                only_connection(&clients).evicted.get()
             })
             .await;
-            if crossing {
-                write(&far, &READY[20..]);
+            if crosses {
+                write(&peer, &READY[20..]);
             }
-            assert_eq!(heard(&far).await, crossing.then_some(503));
+            assert_eq!(next_status(&peer).await, crosses.then_some(503));
         });
     }
 }
 
-/// A crowd waits in the backlog: as many are let in as have been closed, and not one more.
+/// A burst of connections waits in the backlog: a new one is accepted only when another has been closed.
 #[test]
-fn a_crowd_is_let_in_one_by_one() {
-    play(async {
-        let (clients, listener) = (clients(64, 1000.0), listener().await);
-        let most = clients.most;
-        let mut crowd = Vec::new();
-        for _ in 0..4 * most {
-            crowd.push(TcpStream::connect(address(&listener)).await.expect("it listens"));
+fn a_burst_is_accepted_within_the_limit() {
+    run_test(async {
+        let (clients, listener) = (new_clients(64, 1000.0), new_listener().await);
+        let max = clients.max;
+        let mut burst = Vec::new();
+        for _ in 0..4 * max {
+            burst.push(TcpStream::connect(address(&listener)).await.expect("it listens"));
         }
-        // Looked at whenever those that accept have come to rest, so that no moment is missed. Those that have not closed yet
-        // hold their descriptors.
-        let held = Rc::new(Cell::new(0));
-        let (watched, seen) = (clients.clone(), held.clone());
+        // The count is observed after each poll of the accept loop, so that no maximum is missed. It includes
+        // connections that have not closed yet, as they hold their descriptors.
+        let max_count = Rc::new(Cell::new(0));
+        let (accepting_clients, observed) = (clients.clone(), max_count.clone());
         tokio::task::spawn_local(async move {
-            let mut accepting = pin!(watched.accept(&listener));
+            let mut accepting = pin!(accepting_clients.accept(&listener));
             poll_fn(|cx| {
                 let polled = accepting.as_mut().poll(cx);
-                seen.set(seen.get().max(watched.count()));
+                observed.set(observed.get().max(accepting_clients.count()));
                 polled
             })
             .await;
         });
-        until("the last has come", || clients.last.get() == 4 * most as u64).await;
-        assert_eq!(held.get(), most);
+        until("the last has come", || clients.last_id.get() == 4 * max as u64).await;
+        assert_eq!(max_count.get(), max);
     });
 }
 
-/// All that may be held are busy or have just spoken; one that becomes idle makes room, though it does not close.
+/// All permitted connections are busy; one that becomes idle without closing must make room for a new one.
 #[test]
-fn one_that_becomes_idle_makes_room_for_who_waits() {
-    play(async {
-        let (clients, listener) = (clients(64, 1000.0), listener().await);
-        let at = address(&listener);
-        let mut held = Vec::new();
-        for _ in 0..clients.most {
-            held.push(connected(&clients, &listener).await);
+fn a_connection_that_becomes_idle_makes_room_for_a_waiting_one() {
+    run_test(async {
+        let (clients, listener) = (new_clients(64, 1000.0), new_listener().await);
+        let listener_address = address(&listener);
+        let mut open_streams = Vec::new();
+        for _ in 0..clients.max {
+            open_streams.push(connected(&clients, &listener).await);
         }
-        let all: Vec<Rc<Client>> = clients.open.borrow().values().cloned().collect();
-        all.iter().for_each(|c| c.sock.enter_phase(ConnectionPhase::Busy));
-        let watched = clients.clone();
-        tokio::task::spawn_local(async move { watched.accept(&listener).await });
-        let newcomer = TcpStream::connect(at).await.expect("it listens");
+        let all: Vec<Rc<ClientConnection>> = clients.open.borrow().values().cloned().collect();
+        all.iter().for_each(|c| c.stream.enter_phase(ConnectionPhase::Busy));
+        let accepting_clients = clients.clone();
+        tokio::task::spawn_local(async move { accepting_clients.accept(&listener).await });
+        let newcomer = TcpStream::connect(listener_address).await.expect("it listens");
         write(&newcomer, READY);
-        // A turn of those that accept has found nobody who could go.
+        // The accept loop has run and found no connection to evict.
         for _ in 0..3 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(clients.last.get(), all.len() as u64);
-        all[0].sock.enter_phase(ConnectionPhase::Idle);
-        assert_eq!(heard(&newcomer).await, Some(503));
+        assert_eq!(clients.last_id.get(), all.len() as u64);
+        all[0].stream.enter_phase(ConnectionPhase::Idle);
+        assert_eq!(next_status(&newcomer).await, Some(503));
     });
 }
--- a/crates/http/src/clients/request.rs
+++ b/crates/http/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! Reading a request: what it must bring, and its body as far as it is held.
+//! Reads a request: validates its head, and buffers its body or prepares to stream it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 use magpietally_policy::{Effect, Millis};
 use tokio::time::timeout;
 
-use super::answer::plain;
-use super::{Asked, Node, TXN};
+use super::response::empty_response;
+use super::{Asked, Node, X_TXN};
 use crate::body::{BufferedBody, ResponseBody, StreamedRequestBody, UploadProgress};
 use crate::memory_budget::STREAMED_MESSAGE_BYTES;
 use crate::message::{
@@ -21,40 +21,43 @@
 };
 use crate::watched_stream::WatchedStream;
 
-/// The longest time that is believed, whatever its class has.
-const LONGEST: u64 = 600_000;
-/// How long a large request may wait for room before it is refused; its client is held back meanwhile.
-const ROOM: Duration = Duration::from_millis(1000);
-/// The largest body of a request that is held where there is room.
-const HELD_MOST: usize = 512 * 1024;
-const ORG: HeaderName = HeaderName::from_static("x-org");
+/// Upper bound for the time that a client may claim, whatever the deadline of its class.
+const REMAINING_MAX_MS: u64 = 600_000;
+/// How long a large request may wait for memory before it is refused; its client is throttled meanwhile.
+const MEMORY_WAIT_MAX: Duration = Duration::from_millis(1000);
+/// Largest request body that is buffered if the memory budget permits.
+const BUFFERED_REQUEST_MAX_BYTES: usize = 512 * 1024;
+const X_ORG: HeaderName = HeaderName::from_static("x-org");
 
-/// What is wrong with a request, and whether its connection is of further use.
-pub(super) struct Bad {
+/// Why a request is answered without being admitted, and whether its connection can be used further.
+pub(super) struct RequestError {
     pub(super) status: StatusCode,
-    pub(super) closes: bool,
-    /// Nothing is wrong with it, but there is no room for one of this class.
-    pub(super) refused: Option<usize>,
+    pub(super) close: bool,
+    /// The class of a valid request for which there is no memory.
+    pub(super) shed_class: Option<usize>,
 }
 
-impl Bad {
-    pub(super) fn answer(&self) -> Response<ResponseBody> {
-        let mut answer = plain(self.status);
-        if self.closes {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+impl RequestError {
+    pub(super) fn response(&self) -> Response<ResponseBody> {
+        let mut response = empty_response(self.status);
+        if self.close {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        answer
+        response
     }
 }
 
-impl From<StatusCode> for Bad {
+impl From<StatusCode> for RequestError {
     fn from(status: StatusCode) -> Self {
-        Self { status, closes: false, refused: None }
+        Self { status, close: false, shed_class: None }
     }
 }
 
-/// The one value of a header, if it has one that can be read.
-fn header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Bad> {
+/// The value of a header that may appear once, if present.
+///
+/// # Errors
+/// Bad request if it appears more than once or its value is not visible ASCII.
+fn header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -63,49 +66,56 @@
     }
 }
 
-/// Ids and keys: some visible characters.
-fn token(value: Option<&str>) -> Result<&str, Bad> {
-    let fits = |v: &&str| (1..=256).contains(&v.len()) && v.bytes().all(|b| b.is_ascii_graphic());
-    value.filter(fits).ok_or(StatusCode::BAD_REQUEST.into())
+/// Validates an id or a key: 1 to 256 visible ASCII characters.
+fn valid_token(value: Option<&str>) -> Result<&str, RequestError> {
+    let is_valid = |v: &&str| (1..=256).contains(&v.len()) && v.bytes().all(|b| b.is_ascii_graphic());
+    value.filter(is_valid).ok_or(StatusCode::BAD_REQUEST.into())
 }
 
-pub(super) async fn read(
+/// Reads a request up to the end of its body, or up to the point from which the body is streamed. Returns it
+/// with the time that its client gives it.
+pub(super) async fn read_request(
     node: &Node,
-    sock: &Rc<WatchedStream>,
+    stream: &Rc<WatchedStream>,
     request: Request<Incoming>,
-    framed_once: bool,
-) -> Result<(Asked, Duration), Bad> {
-    let told = &node.carrier().config.told;
+    is_unambiguous: bool,
+) -> Result<(Asked, Duration), RequestError> {
+    let received = &node.carrier().config.told;
     let (parts, body) = request.into_parts();
-    let bodied = !hyper::body::Body::is_end_stream(&body);
-    // Nothing more is read of one whose end is in doubt, or that has a body where none may be.
-    if !framed_once || (parts.method != Method::POST && bodied) {
-        return Err(Bad { status: StatusCode::BAD_REQUEST, closes: true, refused: None });
+    let has_body = !hyper::body::Body::is_end_stream(&body);
+    // Nothing more is read of a request whose end is ambiguous, or that has a body although its method allows
+    // none.
+    if !is_unambiguous || (parts.method != Method::POST && has_body) {
+        return Err(RequestError { status: StatusCode::BAD_REQUEST, close: true, shed_class: None });
     }
-    let declared = parts.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    // What has not been read when the answer goes out makes the connection useless.
-    let unread = |status| Bad {
+    let content_length = parts.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+    // A connection with an unread body cannot be reused after the response.
+    let error_before_body = |status| RequestError {
         status,
-        closes: declared != Some(0) && !hyper::body::Body::is_end_stream(&body),
-        refused: None,
+        close: content_length != Some(0) && !hyper::body::Body::is_end_stream(&body),
+        shed_class: None,
     };
     let name = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let class = told.classes.iter().position(|c| c == name).ok_or_else(|| unread(StatusCode::NOT_FOUND))?;
-    let (effect, deadline) = (told.settings.classes[class].effect, told.deadlines[class]);
-    let checked = check(&parts.method, &parts.headers, effect, deadline);
-    let (txn, remaining) = checked.map_err(|bad| unread(bad.status))?;
-    let tenant = header(&parts.headers, &ORG).ok().flatten();
-    let tenant = tenant.and_then(|org| told.tenants.iter().position(|t| t == org));
+    let class = received
+        .classes
+        .iter()
+        .position(|c| c == name)
+        .ok_or_else(|| error_before_body(StatusCode::NOT_FOUND))?;
+    let (effect, deadline) = (received.settings.classes[class].effect, received.deadlines[class]);
+    let checked = check_headers(&parts.method, &parts.headers, effect, deadline);
+    let (txn, remaining) = checked.map_err(|error| error_before_body(error.status))?;
+    let tenant = header(&parts.headers, &X_ORG).ok().flatten();
+    let tenant = tenant.and_then(|org| received.tenants.iter().position(|t| t == org));
     let mut uri = Uri::builder();
     if let Some(path) = parts.uri.path_and_query() {
         uri = uri.path_and_query(path.clone());
     }
-    let uri = uri.build().map_err(|_| unread(StatusCode::BAD_REQUEST))?;
-    let body = match body_of(node, sock, class, declared, body).await {
+    let uri = uri.build().map_err(|_| error_before_body(StatusCode::BAD_REQUEST))?;
+    let body = match read_body(node, stream, class, content_length, body).await {
         Ok(body) => body,
         Err(status) => {
-            let refused = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(class);
-            return Err(Bad { status, closes: true, refused });
+            let shed_class = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(class);
+            return Err(RequestError { status, close: true, shed_class });
         }
     };
     let mut headers = parts.headers;
@@ -118,74 +128,81 @@
     Ok((Asked { id: txn, class, tenant, request }, remaining))
 }
 
-/// Reads a request's body: whole, so that it may be sent again, while there is room for that; what is larger is passed on as
-/// it comes. To hold each until its last byte would take memory that the node does not have; to pass each on from its first
-/// would take a server's connection, and its turn, for as long as a slow client sends.
-async fn body_of(
+/// Reads a request's body: whole while memory permits, so that it can be sent again; a larger one is
+/// streamed. Buffering every body would take memory that the node does not have, and streaming every body
+/// would occupy a server's connection, and one of its slots, for as long as a slow client sends.
+async fn read_body(
     node: &Node,
-    sock: &Rc<WatchedStream>,
+    stream: &Rc<WatchedStream>,
     class: usize,
     length: Option<u64>,
     mut body: Incoming,
 ) -> Result<RequestBody, StatusCode> {
-    let (mut held, mut reservation) = (BufferedBody::default(), node.carrier().memory_budget.reservation());
+    let (mut buffered, mut reservation) =
+        (BufferedBody::default(), node.carrier().memory_budget.reservation());
     while let Some(frame) = body.frame().await {
-        held.push(frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data().unwrap_or_default());
-        if held.len() <= BUFFERED_BODY_MAX_BYTES {
+        buffered.push(frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data().unwrap_or_default());
+        if buffered.len() <= BUFFERED_BODY_MAX_BYTES {
             continue;
         }
-        if reservation.bytes() == 0 && timeout(ROOM, reservation.reserve_streaming()).await.is_err() {
+        if reservation.bytes() == 0
+            && timeout(MEMORY_WAIT_MAX, reservation.reserve_streaming()).await.is_err()
+        {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let above = held.capacity_bytes().saturating_sub(BUFFERED_BODY_MAX_BYTES);
-        if held.len() <= HELD_MOST && reservation.try_reserve(above.max(STREAMED_MESSAGE_BYTES)) {
+        let excess = buffered.capacity_bytes().saturating_sub(BUFFERED_BODY_MAX_BYTES);
+        if buffered.len() <= BUFFERED_REQUEST_MAX_BYTES
+            && reservation.try_reserve(excess.max(STREAMED_MESSAGE_BYTES))
+        {
             continue;
         }
-        let underway = Rc::new(RefCell::new(Some(node.process().figures.request(class))));
-        let (uploading, held, from) = (Rc::new(UploadProgress::default()), held.into_bytes(), sock.clone());
+        let in_progress = Rc::new(RefCell::new(Some(node.process().figures.request(class))));
+        let (progress, buffered, source) =
+            (Rc::new(UploadProgress::default()), buffered.into_bytes(), stream.clone());
         let upload = StreamedRequestBody {
-            held,
+            buffered,
             rest: body,
             length,
-            passed: 0,
-            from,
-            underway,
-            uploading: uploading.clone(),
+            forwarded_bytes: 0,
+            source,
+            in_progress,
+            progress: progress.clone(),
             reservation,
         };
-        return Ok(RequestBody::Streamed { upload: RefCell::new(Some(upload)), uploading, length });
+        return Ok(RequestBody::Streamed { upload: RefCell::new(Some(upload)), progress, length });
     }
-    Ok(RequestBody::Buffered { bytes: held.into_bytes(), _reservation: reservation })
+    Ok(RequestBody::Buffered { bytes: buffered.into_bytes(), _reservation: reservation })
 }
 
-/// How much of the time that a client claims is believed, of a class whose clients wait for so long.
-fn believed(claimed: u64, deadline: Millis) -> Duration {
-    let most = Duration::from_millis(LONGEST);
-    // A deadline beyond what a span can hold bounds nothing.
-    let most = Duration::try_from_secs_f64(deadline / 1000.0).map_or(most, |deadline| deadline.min(most));
-    Duration::from_millis(claimed).min(most)
+/// Bounds the time in ms that a client claims by the deadline of its class and by [`REMAINING_MAX_MS`].
+fn bounded_remaining(claimed: u64, deadline: Millis) -> Duration {
+    let max = Duration::from_millis(REMAINING_MAX_MS);
+    // A deadline that a `Duration` cannot represent is no bound.
+    let max = Duration::try_from_secs_f64(deadline / 1000.0).map_or(max, |deadline| deadline.min(max));
+    Duration::from_millis(claimed).min(max)
 }
 
-/// Checks what a request must bring, and gives its id and its time. No client waits for longer than its class does in all: who
-/// says so else sets the measure by which others are taken for repeats, and may fill the node with what is held for it.
-fn check(
+/// Validates the method and the headers of a request, and returns its id and its time. The time is bounded by
+/// the deadline of its class: a longer claim would set the span in which other requests count as repeats, and
+/// could fill the node with state that is kept for it.
+fn check_headers(
     method: &Method,
     headers: &HeaderMap,
     effect: Effect,
     deadline: Millis,
-) -> Result<(String, Duration), Bad> {
-    let txn = token(header(headers, &TXN)?)?.to_string();
+) -> Result<(String, Duration), RequestError> {
+    let txn = valid_token(header(headers, &X_TXN)?)?.to_string();
     let remaining = header(headers, &X_REMAINING_MS)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let remaining = remaining.and_then(|v| v.parse::<u64>().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    let fits =
+    let allowed_methods =
         if effect == Effect::Safe { [Method::GET, Method::HEAD] } else { [Method::POST, Method::POST] };
-    if !fits.contains(method) {
+    if !allowed_methods.contains(method) {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     if matches!(effect, Effect::Keyed { .. }) {
-        token(header(headers, &IDEMPOTENCY_KEY)?)?;
+        valid_token(header(headers, &IDEMPOTENCY_KEY)?)?;
     }
-    Ok((txn, believed(remaining, deadline)))
+    Ok((txn, bounded_remaining(remaining, deadline)))
 }
 
 #[cfg(test)]
--- a/crates/http/src/clients/request/tests.rs
+++ b/crates/http/src/clients/request/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Settings may name any deadline above 0, also one that no clock can hold.
+/// Settings may contain any deadline above 0, including one that a `Duration` cannot represent.
 #[test]
-fn no_claim_is_believed_beyond_its_classs_time() {
-    for (claimed, deadline, believed_ms) in [
+fn a_claimed_time_is_bounded_by_the_deadline_of_its_class() {
+    for (claimed, deadline, expected_ms) in [
         (500, 800.0, 500.0),
         (600_000, 800.0, 800.0),
         (500, 99.5, 99.5),
@@ -12,8 +12,8 @@
         (u64::MAX, f64::MAX, 600_000.0),
     ] {
         assert_eq!(
-            believed(claimed, deadline),
-            Duration::from_secs_f64(believed_ms / 1000.0),
+            bounded_remaining(claimed, deadline),
+            Duration::from_secs_f64(expected_ms / 1000.0),
             "{claimed}, {deadline}"
         );
     }
--- a/crates/http/src/clients/response.rs
+++ b/crates/http/src/clients/response.rs
@@ -1,4 +1,5 @@
-//! The one final answer of a request: waiting for it, and what it looks like to the client.
+//! The single final response to a request: waits for the core's answer and builds the response for the
+//! client.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,34 +16,35 @@
 use crate::message::UpstreamResponse;
 use crate::watched_stream::WatchedStream;
 
-/// How long before the client's deadline the module's ends: the answer still has to be written and to
-/// arrive.
-const MARGIN: Duration = Duration::from_millis(20);
-/// How long before the client's deadline the node answers in the module's place.
-const GUARD: Duration = Duration::from_millis(9);
-/// The most of its time, as one part in so many, that either takes from a request that came with little: an eighth of
-/// 75 ms is still many times what an answer takes to the client, and a fixed 20 ms were a quarter of what could serve it.
-const MARGIN_PART: u32 = 8;
-const GUARD_PART: u32 = 16;
-/// How often a request that waits for the fleet's change of policy looks whether that is over: a change takes tens of
-/// milliseconds, and a look costs a microsecond.
-const HELD_LOOK: Duration = Duration::from_millis(2);
-/// Why a request was answered as failed without an attempt.
-const BECAUSE: HeaderName = HeaderName::from_static("x-failed-because");
-
-/// How long an answer's body is; `None` where it goes out in chunks.
-pub(super) fn body_length(answer: &Response<ResponseBody>) -> Option<usize> {
-    hyper::body::Body::size_hint(answer.body()).exact().and_then(|n| usize::try_from(n).ok())
+/// How long before the client's deadline the deadline of the core's policy ends: the response must still be
+/// written and reach the client.
+const POLICY_MARGIN: Duration = Duration::from_millis(20);
+/// How long before the client's deadline the node answers by itself if the core has not.
+const RESPONSE_GUARD: Duration = Duration::from_millis(9);
+/// Upper bounds for the two margins, as divisors of the request's time, for requests that arrive with little
+/// time. An eighth of 75 ms is still many times what a response takes to reach the client, while a fixed 20
+/// ms was a quarter of the time in which such a request could be served.
+const POLICY_MARGIN_DIVISOR: u32 = 8;
+const RESPONSE_GUARD_DIVISOR: u32 = 16;
+/// Poll interval of a request that waits while the fleet changes its policy: a change takes tens of
+/// milliseconds, and a poll costs a microsecond.
+const POLICY_CHANGE_POLL: Duration = Duration::from_millis(2);
+/// Header with the reason why a request failed without an attempt.
+const X_FAILED_BECAUSE: HeaderName = HeaderName::from_static("x-failed-because");
+
+/// Length of a response's body in bytes; `None` if it is sent in chunks.
+pub(super) fn body_len(response: &Response<ResponseBody>) -> Option<usize> {
+    hyper::body::Body::size_hint(response.body()).exact().and_then(|n| usize::try_from(n).ok())
 }
 
-pub(super) fn plain(status: StatusCode) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::Buffered(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+pub(super) fn empty_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
-/// What an answer to a proper request means for its client.
-pub(super) fn end_of(status: StatusCode) -> End {
+/// How a valid request ended for its client, by the status of the response.
+pub(super) fn end_for_status(status: StatusCode) -> End {
     match status {
         StatusCode::OK => End::Passed,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Dropped,
@@ -50,14 +52,14 @@
     }
 }
 
-/// Gives up the request when the client's connection ends before its answer.
-struct Owed {
+/// Cancels the request if it is dropped before the answer, as when the client's connection ends.
+struct CancelOnDrop {
     node: Rc<Node>,
     id: RequestId,
     answered: bool,
 }
 
-impl Drop for Owed {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if !self.answered {
             self.node.client_gone(self.id);
@@ -65,131 +67,140 @@
     }
 }
 
-/// How long before the client's deadline the module's ends, and the node answers in its place.
-pub(super) fn kept_back(remaining: Duration) -> (Duration, Duration) {
-    (MARGIN.min(remaining / MARGIN_PART), GUARD.min(remaining / GUARD_PART))
+/// How long before the client's deadline the policy's deadline ends, and how long before it the node answers
+/// by itself.
+pub(super) fn deadline_margins(remaining: Duration) -> (Duration, Duration) {
+    (
+        POLICY_MARGIN.min(remaining / POLICY_MARGIN_DIVISOR),
+        RESPONSE_GUARD.min(remaining / RESPONSE_GUARD_DIVISOR),
+    )
 }
 
-/// Hands a request that has so much time from its arrival to the node, and waits for its final answer.
-pub(super) async fn settle(
+/// Submits a request to the core, with the time `remaining` from its arrival, and waits for its final answer.
+pub(super) async fn process_request(
     node: &Rc<Node>,
     asked: Asked,
-    sock: &Rc<WatchedStream>,
-    arrived: Instant,
+    stream: &Rc<WatchedStream>,
+    arrived_at: Instant,
     remaining: Duration,
 ) -> Response<ResponseBody> {
-    let mut last = arrived + remaining;
-    let uploading = asked.request.body.upload_progress().cloned();
-    let (margin, guard) = kept_back(remaining);
+    let mut deadline = arrived_at + remaining;
+    let upload = asked.request.body.upload_progress().cloned();
+    let (margin, guard) = deadline_margins(remaining);
     let fails_open = || node.process().life().fails_open(Instant::now());
-    while node.fleet_holds() && !fails_open() && Instant::now() + HELD_LOOK < last - margin {
-        tokio::time::sleep(HELD_LOOK).await;
+    while node.fleet_holds() && !fails_open() && Instant::now() + POLICY_CHANGE_POLL < deadline - margin {
+        tokio::time::sleep(POLICY_CHANGE_POLL).await;
     }
-    // What came before is failed by now: this one would be sent, and failed in the same breath.
+    // Earlier requests have been failed by now: this one would be sent and immediately failed as well.
     if !node.has_room() || fails_open() {
-        let why = if fails_open() { "the node ends" } else { "too many are open" };
-        log_refused(node, sock, why);
-        return refusal(node.stay_away(asked.class));
+        let reason = if fails_open() { "the node is shutting down" } else { "too many open requests" };
+        log_refusal(node, stream, reason);
+        return unavailable_response(node.stay_away(asked.class));
     }
-    let (id, answered) = match node.request(asked, last - margin) {
-        Ok(taken) => taken,
+    let (id, answer_receiver) = match node.request(asked, deadline - margin) {
+        Ok(admitted) => admitted,
         Err(Turned::Open) => {
-            log_refused(node, sock, "one with its id is open");
-            return plain(StatusCode::CONFLICT);
+            log_refusal(node, stream, "a request with this id is already open");
+            return empty_response(StatusCode::CONFLICT);
         }
-        Err(Turned::Refused(stay_away)) => {
-            log_refused(node, sock, "turned away at its admission");
-            return refusal(stay_away);
+        Err(Turned::Refused(retry_after)) => {
+            log_refusal(node, stream, "rejected by admission control");
+            return unavailable_response(retry_after);
         }
         Err(Turned::OverQuota(retry_after)) => {
-            log_refused(node, sock, "over its quota");
-            let mut answer = refusal(retry_after);
-            *answer.status_mut() = StatusCode::TOO_MANY_REQUESTS;
-            return answer;
+            log_refusal(node, stream, "quota exceeded");
+            let mut response = unavailable_response(retry_after);
+            *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
+            return response;
         }
-        Err(Turned::Failed(why)) => {
-            log_refused(node, sock, why.word());
-            let mut answer = plain(StatusCode::BAD_GATEWAY);
-            answer.headers_mut().insert(BECAUSE, HeaderValue::from_static(why.word()));
-            return answer;
+        Err(Turned::Failed(reason)) => {
+            log_refusal(node, stream, reason.word());
+            let mut response = empty_response(StatusCode::BAD_GATEWAY);
+            response.headers_mut().insert(X_FAILED_BECAUSE, HeaderValue::from_static(reason.word()));
+            return response;
         }
     };
-    let mut owed = Owed { node: node.clone(), id, answered: false };
-    let answered = match uploading {
-        None => in_time(last - guard, answered).await,
-        Some(uploading) => {
-            // Its time begins with its last byte. One that stops coming ends with its connection.
-            let mut answered = answered;
+    let mut cancel_on_drop = CancelOnDrop { node: node.clone(), id, answered: false };
+    let answer = match upload {
+        None => answer_before(deadline - guard, answer_receiver).await,
+        Some(upload) => {
+            // The time of a streamed request begins with its last byte. An upload that stalls ends with its
+            // connection.
+            let mut answer_receiver = answer_receiver;
             tokio::select! {
                 biased;
-                answer = &mut answered => answer.ok(),
-                () = uploading.finished() => {
-                    last = sock.last_read_arrived_at() + remaining;
-                    in_time(last - guard, answered).await
+                answer = &mut answer_receiver => answer.ok(),
+                () = upload.finished() => {
+                    deadline = stream.last_read_arrived_at() + remaining;
+                    answer_before(deadline - guard, answer_receiver).await
                 }
             }
         }
     };
-    let Some(answer) = answered else {
-        log_refused(node, sock, "no answer in its time");
-        return plain(StatusCode::GATEWAY_TIMEOUT);
+    let Some(answer) = answer else {
+        log_refusal(node, stream, "no answer before the deadline");
+        return empty_response(StatusCode::GATEWAY_TIMEOUT);
     };
-    owed.answered = true;
+    cancel_on_drop.answered = true;
     match answer {
-        Answer::Served(reply) => served(reply, sock, last),
-        Answer::Refused(stay_away) => refusal(stay_away),
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
-        Answer::Rejected => plain(StatusCode::BAD_REQUEST),
+        Answer::Served(reply) => forward_response(reply, stream, deadline),
+        Answer::Refused(retry_after) => unavailable_response(retry_after),
+        Answer::Failed => empty_response(StatusCode::BAD_GATEWAY),
+        Answer::Rejected => empty_response(StatusCode::BAD_REQUEST),
     }
 }
 
-/// The answer, if it comes in time. Whatever becomes of the module's timers and attempts, the client is not
-/// kept waiting past that.
-pub(super) async fn in_time(
-    last: Instant,
-    answered: oneshot::Receiver<Answer<UpstreamResponse>>,
+/// The core's answer, if it arrives before the deadline. Bounds the client's wait whatever happens to the
+/// core's timers and attempts.
+pub(super) async fn answer_before(
+    deadline: Instant,
+    receiver: oneshot::Receiver<Answer<UpstreamResponse>>,
 ) -> Option<Answer<UpstreamResponse>> {
-    tokio::time::timeout_at(last.into(), answered).await.ok()?.ok()
+    tokio::time::timeout_at(deadline.into(), receiver).await.ok()?.ok()
 }
 
-fn served(reply: UpstreamResponse, to: &Rc<WatchedStream>, due: Instant) -> Response<ResponseBody> {
-    let UpstreamResponse { headers, body: held, rest } = reply;
+fn forward_response(
+    upstream: UpstreamResponse,
+    destination: &Rc<WatchedStream>,
+    client_deadline: Instant,
+) -> Response<ResponseBody> {
+    let UpstreamResponse { headers, body: buffered, rest } = upstream;
     let body = match rest {
-        None => ResponseBody::Buffered(held),
+        None => ResponseBody::Buffered(buffered),
         Some((rest, length)) => ResponseBody::Streamed(Box::new(StreamedResponse {
-            held,
+            buffered,
             rest: *rest,
             length,
-            due: due.into(),
-            late: None,
-            to: to.clone(),
-            underway: None,
-            broken: false,
+            client_deadline: client_deadline.into(),
+            progress_check: None,
+            destination: destination.clone(),
+            in_progress: None,
+            failed: false,
         })),
     };
-    let mut answer = Response::new(body);
-    *answer.headers_mut() = headers;
-    answer
+    let mut response = Response::new(body);
+    *response.headers_mut() = headers;
+    response
 }
 
-/// Logs why a request is answered in the module's place, if this second has room for a line.
-pub(super) fn log_refused(node: &Node, sock: &WatchedStream, why: &str) {
+/// Logs why the node answers a request by itself, within the limit on log lines per second.
+pub(super) fn log_refusal(node: &Node, stream: &WatchedStream, reason: &str) {
     node.carrier().pool.sample.line(|| {
-        let id = sock.request_id();
+        let id = stream.request_id();
         let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("none");
-        tracing::info!(target: "refused", "request {id}: {why}");
+        tracing::info!(target: "refused", "request {id}: {reason}");
     });
 }
 
-/// A refusal, with the module's word on when to come back in decimal seconds.
-pub(super) fn refusal(stay_away: Millis) -> Response<ResponseBody> {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if stay_away > 0.0 {
-        if let Ok(span) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
-            answer.headers_mut().insert(RETRY_AFTER, span);
+/// A 503 response, with a `Retry-After` header in decimal seconds if `retry_after` (in ms) is above zero.
+pub(super) fn unavailable_response(retry_after: Millis) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    if retry_after > 0.0 {
+        if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after / 1000.0)) {
+            response.headers_mut().insert(RETRY_AFTER, seconds);
         }
     }
-    answer
+    response
 }
 
 #[cfg(test)]
--- a/crates/http/src/clients/test_node.rs
+++ b/crates/http/src/clients/test_node.rs
@@ -1,4 +1,4 @@
-//! A node with one class, and connections that it holds, for tests of what crosses their end.
+//! A node with two classes and helpers to connect to it, for tests of races at the end of connections.
 
 use std::future::Future;
 
@@ -12,14 +12,15 @@
 use crate::config::Config;
 use crate::service::{start, Extras};
 
-/// What any node answers, ready or not.
+/// A request that any node answers, ready or not.
 pub(super) const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
-/// How long anything is waited for: far longer than it takes.
-pub(super) const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for every wait: far longer than any of them takes.
+pub(super) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The clients of a node that may hold so many descriptors. Its classes `look` and `slip` have so many milliseconds.
-pub(super) fn clients(sockets: usize, time: f64) -> Rc<ClientConnections> {
-    let class = |name: &str, effect: &str| json!({"Name": name, "Slo": time, "Deadline": time, "Idempotency": effect, "Value": 1.0, "LateValue": 0.0});
+/// The client connections of a node that may use `sockets` descriptors and whose classes `look` and `slip`
+/// have a deadline of `deadline_ms`.
+pub(super) fn new_clients(sockets: usize, deadline_ms: f64) -> Rc<ClientConnections> {
+    let class = |name: &str, effect: &str| json!({"Name": name, "Slo": deadline_ms, "Deadline": deadline_ms, "Idempotency": effect, "Value": 1.0, "LateValue": 0.0});
     let settings = json!({
         "Classes": [class("look", "pure"), class("slip", "side_effect")],
         "Contract": {"AskWithin": 10000.0, "ColdShare": 0.2, "WarmWithin": 20000.0, "FallMultiple": 3.0, "Fall": 1000.0,
@@ -29,11 +30,11 @@
         "Limits": {"AttemptsCap": 1, "MayDuplicate": false, "Cancel": false, "Probes": false, "RetryAfter": false,
             "ConnectTimeout": 1000.0, "Keepalive": 15000.0, "OpenCap": 20000},
     });
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
+    let unused_address = "127.0.0.1:1".parse().expect("an address");
     let config = Config {
         name: "node-0".into(),
-        listen: nowhere,
-        discovery: nowhere,
+        listen: unused_address,
+        discovery: unused_address,
         management: None,
         inherited: None,
         seed: 1,
@@ -43,39 +44,39 @@
         told: magpietally_settings::told(&settings).expect("good settings"),
         lasting: Default::default(),
     };
-    let process = Process::new(2, Life::new(time, false));
+    let process = Process::new(2, Life::new(deadline_ms, false));
     ClientConnections::new(start(config, process, String::new(), Extras::default()).expect("good settings"))
 }
 
-/// Runs to its end, which must come.
-pub(super) fn play<T>(story: impl Future<Output = T>) -> T {
+/// Runs a test on a runtime of its own, and panics if it does not end within [`TEST_TIMEOUT`].
+pub(super) fn run_test<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { timeout(PATIENCE, story).await.expect("it ends") })
+    LocalSet::new().block_on(&runtime, async { timeout(TEST_TIMEOUT, test).await.expect("it ends") })
 }
 
-/// A connection that the node holds, and its far end.
+/// Connects to the node, which serves the connection, and returns the client's side.
 pub(super) async fn connected(clients: &Rc<ClientConnections>, listener: &Listener) -> TcpStream {
-    let far = TcpStream::connect(address(listener)).await.expect("it listens");
-    clients.serve(listener.accept().await.expect("one has come"));
-    far
+    let peer = TcpStream::connect(address(listener)).await.expect("it listens");
+    clients.add_accepted(listener.accept().await.expect("one has come"));
+    peer
 }
 
-/// Where a listener is.
+/// The address of a listener.
 pub(super) fn address(listener: &Listener) -> std::net::SocketAddr {
     listener.get_ref().local_addr().expect("bound")
 }
 
-/// Where connections come.
-pub(super) async fn listener() -> Listener {
-    let nowhere_else = "127.0.0.1:0".parse().expect("an address");
-    Listener::new(listen(nowhere_else, false).expect("a port")).expect("a runtime")
+/// A listener on a free port.
+pub(super) async fn new_listener() -> Listener {
+    let any_port = "127.0.0.1:0".parse().expect("an address");
+    Listener::new(listen(any_port, false).expect("a port")).expect("a runtime")
 }
 
-/// Waits until it holds, which it must.
-pub(super) async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until the condition holds, and panics if it does not within [`TEST_TIMEOUT`].
+pub(super) async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out waiting: {what}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as they pass through: what a client asked, and what a server answered.
+//! HTTP messages that the node forwards: clients' requests and servers' responses.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -16,47 +16,43 @@
 use crate::memory_budget::Reservation;
 use crate::watched_stream::WatchedStream;
 
-/// The largest body that is held in any case, in bytes: an answer up to it is passed on only when it is whole.
+/// Largest body that is always buffered: a response up to this size is forwarded only when it is complete.
 pub const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
-/// The time that is left.
+/// Header with the time in ms that is left for the request.
 pub const X_REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
-/// The `Host` of what goes to servers, where the client named none.
+/// The `Host` header of requests to servers if the client sent none.
 pub const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("service.internal");
 
-/// A request as it goes on to a server.
+/// A request as it is forwarded to a server.
 pub struct UpstreamRequest {
-    /// Its method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: RequestBody,
 }
 
 /// A request's body.
 pub enum RequestBody {
-    /// It has come whole, and is held for as long as the request may need it.
+    /// Received whole, and kept for as long as the request may be sent again.
     Buffered {
-        /// All of it.
         bytes: Bytes,
-        /// What it holds of the budget until it is dropped.
+        /// Memory reserved for the body; released on drop.
         _reservation: Reservation,
     },
-    /// It is passed on as it comes.
+    /// Forwarded while it is received.
     Streamed {
-        /// What is passed on; taken by the attempt that writes it.
+        /// The body; taken by the attempt that sends it.
         upload: RefCell<Option<StreamedRequestBody>>,
-        /// How far it has come.
-        uploading: Rc<UploadProgress>,
-        /// Its length, where it is known.
+        progress: Rc<UploadProgress>,
+        /// Total length in bytes, if declared.
         length: Option<u64>,
     },
 }
 
 impl RequestBody {
-    /// How long it is, where that is known.
+    /// Length in bytes, if known.
     pub fn known_length(&self) -> Option<usize> {
         match self {
             Self::Buffered { bytes, .. } => Some(bytes.len()),
@@ -64,25 +60,27 @@
         }
     }
 
-    /// How far it has come, where it is passed on.
+    /// Progress of a streamed body; `None` for a buffered one.
     pub fn upload_progress(&self) -> Option<&Rc<UploadProgress>> {
         match self {
             Self::Buffered { .. } => None,
-            Self::Streamed { uploading, .. } => Some(uploading),
+            Self::Streamed { progress, .. } => Some(progress),
         }
     }
 
-    /// The same for one attempt over this connection; `None` where another has taken it.
-    pub fn outgoing(&self, over: &Rc<WatchedStream>) -> Option<OutgoingBody> {
+    /// The body for one attempt over `connection`; `None` if another attempt has taken a streamed body.
+    pub fn outgoing(&self, connection: &Rc<WatchedStream>) -> Option<OutgoingBody> {
         Some(match self {
             Self::Buffered { bytes, .. } => OutgoingBody::Buffered(bytes.clone()),
-            Self::Streamed { upload, .. } => OutgoingBody::Streamed(Box::new(upload.take()?), over.clone()),
+            Self::Streamed { upload, .. } => {
+                OutgoingBody::Streamed(Box::new(upload.take()?), connection.clone())
+            }
         })
     }
 }
 
 impl UpstreamRequest {
-    /// The request of a probe.
+    /// A health probe.
     pub fn probe(reservation: Reservation) -> Self {
         let headers = std::iter::once((HOST, DEFAULT_HOST)).collect();
         Self {
@@ -94,7 +92,7 @@
     }
 }
 
-/// The key by which servers drop a request's repeats.
+/// Header with the key by which servers deduplicate requests.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 impl Payload for UpstreamRequest {
@@ -103,7 +101,7 @@
     }
 
     fn describe(&self, to: &mut dyn fmt::Write) -> fmt::Result {
-        // Users are told apart, not named.
+        // A hash tells users apart in the log without naming them.
         let text = |name: &str| self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
         let (key, work) = (number_of(text("cookie")) & 0xFFFF, text("x-estimate"));
         write!(to, "key {key:04x}, work {work}, ")?;
@@ -118,19 +116,19 @@
     }
 }
 
-/// A server's answer.
+/// A server's response.
 pub struct UpstreamResponse {
-    /// Its headers.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body, or as much of it as was read before it was clear that it is passed on.
+    /// The body, or what was received of it before the decision to stream.
     pub body: Bytes,
-    /// What still comes of one that is passed on, and its whole length where that is known.
+    /// For a streamed response, the rest of the body, and its total length in bytes if declared.
     pub rest: Option<(Box<RemainingBody>, Option<u64>)>,
 }
 
-/// Drops the headers that are about one connection alone, in place.
+/// Removes the hop-by-hop headers.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
-    const HOP: [HeaderName; 9] = [
+    const HOP_BY_HOP: [HeaderName; 9] = [
         CONTENT_LENGTH,
         EXPECT,
         HeaderName::from_static("keep-alive"),
@@ -154,7 +152,7 @@
         }
         headers.remove(CONNECTION);
     }
-    for name in &HOP {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/http/src/message/tests.rs
+++ b/crates/http/src/message/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_about_one_connection_goes_no_further() {
+fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
     let all = [
         ("connection", "close, X-Private"),
