--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -24,9 +24,9 @@
 /// How long a server may send nothing of a response that it has begun while the client could accept more, and
 /// how long it may accept nothing of a streamed request.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Least progress of a response without a length in each [`MIN_PROGRESS_INTERVAL`] after the client's
-/// deadline, until it has proved to be large. Such a response may be a large one that is slow or a small one
-/// that never ends, and the client must see a recognizable end soon after its deadline.
+/// Minimum progress of a response without a length in each [`MIN_PROGRESS_INTERVAL`] after the client's
+/// deadline, until the response has proved to be large. Such a response may be a large one that is slow or a
+/// small one that never ends, and the client must see a recognizable end soon after its deadline.
 const MIN_PROGRESS_BYTES: usize = 1024;
 /// Interval in which a response without a length must make [`MIN_PROGRESS_BYTES`] of progress after the
 /// client's deadline.
@@ -315,8 +315,8 @@
     pub length: Option<u64>,
     /// The client's deadline.
     pub client_deadline: Instant,
-    /// The end of the current interval for the least progress, and the number of bytes received before the
-    /// interval; `None` for the latter until the client's deadline.
+    /// Timer for the end of the current [`MIN_PROGRESS_INTERVAL`], and the number of bytes received before
+    /// it, which is `None` until the client's deadline.
     pub progress_check: Option<(Pin<Box<Sleep>>, Option<usize>)>,
     /// The client's connection.
     pub destination: Rc<WatchedStream>,
@@ -365,8 +365,8 @@
         Poll::Ready(next.map(|data| data.map(Frame::data)))
     }
 
-    /// Ready when a response of unknown length makes less than the least progress after the client's
-    /// deadline; never ready for one of known length or one that has proved to be large.
+    /// Ready when a response of unknown length receives less than [`MIN_PROGRESS_BYTES`] in an interval after
+    /// the client's deadline; never ready for one of known length or one that has proved to be large.
     fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.length.is_none() && self.rest.received_bytes <= BUFFERED_BODY_MAX_BYTES {
             let client_deadline = self.client_deadline;
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -147,7 +147,7 @@
         self.reduction.ease();
         for client in self.open.borrow().values() {
             if let Some(reason) = self.overdue_reason(client) {
-                client.close_for(reason);
+                client.request_close(reason);
             }
         }
     }
@@ -188,7 +188,7 @@
         for client in self.open.borrow().values() {
             let (phase, since) = client.stream.phase();
             if phase == ConnectionPhase::Idle && since.elapsed() >= min_idle && client.stream.is_quiet() {
-                client.close_for(CloseReason::Leaving);
+                client.request_close(CloseReason::Leaving);
             }
         }
     }
@@ -264,7 +264,7 @@
             () = client.close_requested(&self.freed) => self.log_closed(&client),
             result = conn => {
                 if let Err(error) = &result {
-                    self.log_broken(&client, error);
+                    self.log_failed(&client, error);
                 }
                 if !client.stream.apply_reset_on_close() {
                     client.lingering.set(true);
--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -173,7 +173,7 @@
         // Sorted first, so that the kernel is queried for as few connections as possible.
         if let Some((.., client)) = all.into_iter().find(|(.., client)| client.stream.is_quiet()) {
             client.evicted.set(true);
-            client.close_for(CloseReason::Evicted);
+            client.request_close(CloseReason::Evicted);
         }
     }
 
--- a/crates/http/src/clients/close_races.rs
+++ b/crates/http/src/clients/close_races.rs
@@ -69,7 +69,7 @@
         let listener = new_listener().await;
         for open in [WatchedStream::for_client, WatchedStream::new] {
             let stream = TcpStream::connect(address(&listener)).await.expect("it listens");
-            let accepted = listener.accept().await.expect("it comes");
+            let accepted = listener.accept().await.expect("a connection arrives");
             for side in [stream.into_std().expect("a socket"), accepted.socket] {
                 let same = socket2::SockRef::from(&side).try_clone().expect("a descriptor");
                 let _open = open(Stream::new(side).expect("a runtime"));
@@ -94,7 +94,7 @@
         stream.write_all(&[READY, REQUEST, &surplus].concat()).await.expect("it is open");
         let mut received = Vec::new();
         // One whole response and an orderly end of the node's side, while the client's side is still open.
-        stream.read_to_end(&mut received).await.expect("an end in order");
+        stream.read_to_end(&mut received).await.expect("an orderly end");
         stream.write_all(REQUEST).await.expect("the node still reads");
         drop(stream);
         while clients.count() > 0 {
--- a/crates/http/src/clients/close_reason.rs
+++ b/crates/http/src/clients/close_reason.rs
@@ -37,7 +37,7 @@
 
 impl ClientConnection {
     /// Requests that the connection be closed; it stays open if bytes arrive first.
-    pub(super) fn close_for(&self, reason: CloseReason) {
+    pub(super) fn request_close(&self, reason: CloseReason) {
         self.close_reason.set(Some(reason));
         self.close_notify.notify_one();
     }
@@ -63,7 +63,7 @@
     }
 
     /// Logs the failure of a connection, unless it was idle.
-    pub(super) fn log_broken(&self, client: &ClientConnection, error: &hyper::Error) {
+    pub(super) fn log_failed(&self, client: &ClientConnection, error: &hyper::Error) {
         if client.stream.phase().0 != ConnectionPhase::Idle {
             self.log(|| tracing::info!(target: "close", "{}: {error}", client.description()));
         }
--- a/crates/http/src/clients/eviction_races.rs
+++ b/crates/http/src/clients/eviction_races.rs
@@ -27,7 +27,7 @@
 
 /// Writes without yielding, so that nothing else runs meanwhile.
 fn write(peer: &TcpStream, bytes: &[u8]) {
-    assert_eq!(peer.try_write(bytes).expect("room for it"), bytes.len());
+    assert_eq!(peer.try_write(bytes).expect("buffer space"), bytes.len());
 }
 
 fn only_connection(clients: &ClientConnections) -> Rc<ClientConnection> {
@@ -82,7 +82,7 @@
             let (clients, listener) = (new_clients(64, 1000.0), new_listener().await);
             let peer = connected(&clients, &listener).await;
             write(&peer, &READY[..20]);
-            until("it is chosen", || {
+            until("the connection is chosen", || {
                 clients.evict();
                 only_connection(&clients).evicted.get()
             })
@@ -118,7 +118,7 @@
             })
             .await;
         });
-        until("the last has come", || clients.last_id.get() == 4 * max as u64).await;
+        until("the last connection is accepted", || clients.last_id.get() == 4 * max as u64).await;
         assert_eq!(max_count.get(), max);
     });
 }
--- a/crates/http/src/clients/response.rs
+++ b/crates/http/src/clients/response.rs
@@ -16,10 +16,10 @@
 use crate::message::UpstreamResponse;
 use crate::watched_stream::WatchedStream;
 
-/// How long before the client's deadline the deadline of the core's policy ends: the response must still be
+/// Time between the deadline that the policy gets and the client's deadline: the response must still be
 /// written and reach the client.
 const POLICY_MARGIN: Duration = Duration::from_millis(20);
-/// How long before the client's deadline the node answers by itself if the core has not.
+/// Time before the client's deadline at which the node answers by itself if the core has not.
 const RESPONSE_GUARD: Duration = Duration::from_millis(9);
 /// Upper bounds for the two margins, as divisors of the request's time, for requests that arrive with little
 /// time. An eighth of 75 ms is still many times what a response takes to reach the client, while a fixed 20
@@ -67,8 +67,7 @@
     }
 }
 
-/// How long before the client's deadline the policy's deadline ends, and how long before it the node answers
-/// by itself.
+/// The margins for a request with the time `remaining`: see [`POLICY_MARGIN`] and [`RESPONSE_GUARD`].
 pub(super) fn deadline_margins(remaining: Duration) -> (Duration, Duration) {
     (
         POLICY_MARGIN.min(remaining / POLICY_MARGIN_DIVISOR),
--- a/crates/http/src/clients/shutdown_races.rs
+++ b/crates/http/src/clients/shutdown_races.rs
@@ -32,7 +32,7 @@
 /// Reads until the connection's end, which must be orderly.
 async fn read_to_end(mut stream: TcpStream) -> String {
     let mut response = String::new();
-    stream.read_to_string(&mut response).await.expect("an end in order");
+    stream.read_to_string(&mut response).await.expect("an orderly end");
     response
 }
 
@@ -95,13 +95,14 @@
             let mut stream = connected(&clients, &listener).await;
             stream.write_all(format!("{}half", request("slip", 8)).as_bytes()).await.expect("it is open");
             let client = last_connection(&clients);
-            until("it pauses for too long", || client.stream.is_request_overdue()).await;
+            until("the body pauses for too long", || client.stream.is_request_overdue()).await;
             let mut stream = stream.into_std().expect("a socket");
             stream.write_all(&b"rest"[..rest_len]).expect("it is open");
             // The kernel has received them, and the node has not read them yet.
             clients.close_overdue();
             if rest_len == 4 {
-                until("it is taken", || clients.node.open_requests() == 1 || clients.count() == 0).await;
+                until("the request is open", || clients.node.open_requests() == 1 || clients.count() == 0)
+                    .await;
                 assert_eq!((clients.count(), client.stream.phase().0), (1, ConnectionPhase::Busy));
             } else {
                 until("it is closed", || clients.count() == 0).await;
--- a/crates/http/src/clients/test_node.rs
+++ b/crates/http/src/clients/test_node.rs
@@ -57,7 +57,7 @@
 /// Connects to the node, which serves the connection, and returns the client's side.
 pub(super) async fn connected(clients: &Rc<ClientConnections>, listener: &Listener) -> TcpStream {
     let peer = TcpStream::connect(address(listener)).await.expect("it listens");
-    clients.add_accepted(listener.accept().await.expect("one has come"));
+    clients.add_accepted(listener.accept().await.expect("a connection arrives"));
     peer
 }
 
