--- a/crates/http/src/http_transport.rs
+++ b/crates/http/src/http_transport.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol as the core's carrier.
+//! HTTP as the transport of the core.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,22 +18,24 @@
 use crate::pool::Pool;
 use crate::upstream::exchange;
 
-/// What carries HTTP for a core: its configuration, its pool, and where discovery is.
+/// What the core needs to send requests over HTTP: configuration, connection pool and the source of the
+
+/// server list.
 pub struct HttpTransport {
     /// The node's configuration.
     pub config: Config,
-    /// Where discovery is now; a reload moves it.
+    /// The address of discovery; a reload changes it.
     pub discovery_addr: Cell<SocketAddr>,
-    /// Its connections to servers.
+    /// The connections to servers.
     pub pool: Rc<Pool>,
-    /// What may be held of large messages.
+    /// The memory budget for large messages.
     pub memory_budget: MemoryBudget,
-    /// The file that the list comes from, in place of discovery.
+    /// The file with the server list, if it replaces discovery.
     pub list_file: Option<ListFile>,
 }
 
 impl HttpTransport {
-    /// A carrier with no connections yet.
+    /// A transport without connections.
     pub fn new(config: Config, list_file: Option<ListFile>, figures: Metrics) -> Self {
         let connect = config.received.settings.limits.connect_timeout;
         let pool =
@@ -53,13 +55,13 @@
         to: Target,
         request: Rc<UpstreamRequest>,
     ) -> AttemptResult<UpstreamResponse> {
-        let (may, at) = (core.clone(), core.clone());
+        let (dispatch_core, lookup_core) = (core.clone(), core.clone());
         let server = to.server;
-        let may = move || may.endpoint_for_attempt(&to);
+        let dispatch_place = move || dispatch_core.endpoint_for_attempt(&to);
         exchange(
             &core.transport().pool,
-            may,
-            move || at.endpoint(server),
+            dispatch_place,
+            move || lookup_core.endpoint(server),
             (server, to.deadline),
             &request,
             false,
@@ -69,11 +71,11 @@
 
     async fn probe(core: Rc<Core<Self>>, server: ServerId) -> Outcome {
         let pool = &core.transport().pool;
-        // As long as a connection may take, and as long again for the answer.
+        // The time limit of a connect, and as long again for the response.
         let end = Instant::now() + 2 * pool.connect_timeout;
-        let (at, probe) =
+        let (lookup_core, probe) =
             (core.clone(), UpstreamRequest::probe(core.transport().memory_budget.reservation()));
-        let place = move || at.endpoint(server);
+        let place = move || lookup_core.endpoint(server);
         exchange(pool, place.clone(), place, (server, end), &probe, true).await.outcome
     }
 
@@ -81,8 +83,8 @@
         if let Some(file) = core.transport().list_file.clone() {
             return follow_file(core, file).await;
         }
-        let to = core.transport().discovery_addr.get();
-        discovery::follow(core, to).await
+        let address = core.transport().discovery_addr.get();
+        discovery::follow(core, address).await
     }
 
     fn drop_connections(&self, server: ServerId) {
@@ -94,7 +96,8 @@
     }
 }
 
-/// Hands each list of a file on, whole: the policy sees what is not in it any more as gone.
+/// Passes each list in a file to the core as complete: the policy treats servers that are no longer listed as
+/// gone.
 async fn follow_file(core: Rc<Core<HttpTransport>>, mut file: ListFile) -> ListStreamEnd {
     while let Some(applied) = file.next().await {
         let member = |b: &magpietally_config::AppBox| ListedServer {
@@ -113,6 +116,6 @@
         let members = applied.list.boxes.iter().map(member).collect();
         core.list_received(ServerListing { version: applied.version, complete: true, servers: members });
     }
-    let words = "nobody looks at the list's file any more".to_string();
+    let words = "the server list file is no longer watched".to_string();
     ListStreamEnd { failure: ListFailure::Broken, message: words }
 }
