--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -24,21 +24,21 @@
         self.start.elapsed()
     }
 
-    /// A past moment of Unix time in the policy's, by one offset for the node's whole life. One that lies ahead was just now:
-    /// this machine's wall clock was behind when the node began.
+    /// Converts a past Unix time to the policy's time, by one offset for the lifetime of the node. A time in the
+    /// future counts as now: this machine's wall clock was behind when the node started.
     pub(crate) fn at_unix(&self, unix_ms: Millis) -> Option<Millis> {
         (unix_ms > 0.0).then(|| (unix_ms - self.unix_start).min(self.at(Instant::now())))
     }
 }
 
-/// A span of the policy's as one of the runtime's, within what clocks can hold.
-pub(crate) fn span(ms: Millis) -> Duration {
+/// Converts the policy's milliseconds to a [`Duration`], clamped to what clocks can represent.
+pub(crate) fn duration(ms: Millis) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 86_400_000.0) / 1000.0)
 }
 
-/// A span in milliseconds.
-pub(crate) fn ms(span: Duration) -> Millis {
-    span.as_secs_f64() * 1000.0
+/// Converts a [`Duration`] to milliseconds.
+pub(crate) fn ms(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
 }
 
 #[cfg(test)]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,16 @@
-//! One request's life, whatever protocol it came by.
+//! Protocol-independent handling of one request from arrival to its final answer.
 //!
-//! A front hands a whole request to [`Core::submit`] and waits for its one final [`Answer`]. The core keeps the
-//! table of requests and attempts, pumps events into the policy and carries out its actions, and holds the list of
-//! servers, the deadlines and the counters. What moves bytes is a [`UpstreamTransport`]: the core hands it a payload that it
-//! does not look into, so that HTTP, LDAP or a test's own protocol come in by the same door.
+//! A protocol front end hands a complete request to [`Core::submit`] and waits for its single final [`Answer`]. The
+//! core keeps the table of requests and attempts, feeds events to the policy and carries out the policy's actions,
+//! and holds the server list, the deadlines and the metrics. Bytes are moved by an [`UpstreamTransport`]: the core
+//! passes it an opaque payload, so HTTP, LDAP or a test's own protocol all use the same interface.
 //!
-//! What the node is doing, and what follows from it for `/ready`, answers and connections, is one pure state machine,
-//! [`Lifecycle`]; what a process has done since its start is in its [`Metrics`], where each request's end is counted once.
+//! The node's lifecycle phase, and what follows from it for `/ready`, responses and connections, is the pure state
+//! machine [`Lifecycle`]. What a process has done since its start is in its [`Metrics`], where the outcome of each
+//! request is counted exactly once.
 //!
-//! All of it lives on one thread; futures are spawned on tokio's local set. The core decides nothing: which server,
-//! whether again and what to refuse is the policy's.
+//! Everything runs on one thread; futures are spawned on tokio's local set. The core makes no decisions: the policy
+//! chooses the server, whether to retry, and what to refuse.
 
 mod admission;
 mod clock;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,155 +1,161 @@
-//! What the node is doing, and what follows from it. Pure: every time is an argument, and nothing here moves a byte.
+//! The node's lifecycle and what follows from it. Pure: all times are arguments, and nothing here does I/O.
 
 use std::time::{Duration, Instant};
 
-/// From when a drained node's answers close their connections: until then the front may not know yet, and who is sent
-/// away would come back.
+/// How long after the start of a drain responses begin to close their connections. Before that the front may not
+/// know of the drain yet, and a client that is disconnected would reconnect to this node.
 const ANSWERS_CLOSE: Duration = Duration::from_millis(300);
-/// From when a drained node closes what is idle.
+/// How long after the start of a drain idle connections begin to be closed.
 const IDLE_CLOSE: Duration = Duration::from_millis(700);
-/// How long a connection must have been idle for that at first: one that is in use is told by its next answer instead,
-/// which can't cross a request.
+/// How long a connection must have been idle to be closed in the first phase. A connection in use is closed by its
+/// next response instead, which can't race with a new request.
 const IDLE_FIRST: Duration = Duration::from_millis(600);
-/// From when it has had its chance. A drained node has nobody idle soon after.
+/// How long after the start of a drain a connection has had its chance to be closed by a response. From then on the
+/// shorter [`FRESH`] applies, so that a drained node soon has no idle connections.
 const IDLE_LATE: Duration = Duration::from_millis(1400);
-/// What has just come, or was just answered, has this long to say something.
+/// How long a connection that was just accepted, or has just got a response, may take to send its next request.
 const FRESH: Duration = Duration::from_millis(200);
 
-/// How long connections still come to an own listener after SIGTERM, at the least.
+/// For how long at least a listener of the node's own accepts connections after SIGTERM.
 const ACCEPT: Duration = Duration::from_millis(500);
-/// How soon after SIGTERM SIGKILL may come, which resets what it finds: the longest deadline, within this, and so
-/// much more.
-const PATIENCE: (Duration, Duration) = (Duration::from_millis(3000), Duration::from_millis(700));
-/// How long before that the node begins to close connections, fails what is still open, and ends at the latest.
+/// SIGKILL, which resets all open connections, may come this long after SIGTERM: the longest deadline of a client,
+/// of which at most the first value counts, plus the second value.
+const KILL_GRACE: (Duration, Duration) = (Duration::from_millis(3000), Duration::from_millis(700));
+/// How long before a possible SIGKILL the node begins to close connections.
 const CLOSE_BEFORE: Duration = Duration::from_millis(1400);
+/// How long before a possible SIGKILL the node fails the requests that are still open.
 const FAIL_BEFORE: Duration = Duration::from_millis(500);
+/// How long before a possible SIGKILL the node exits at the latest.
 const END_BEFORE: Duration = Duration::from_millis(200);
 
-/// What a node is doing.
+/// The phase of a node's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no list of servers yet.
+    /// It has no server list yet.
     Starting,
     /// It serves.
     Serving,
-    /// It was told to send its clients away, then; it serves those that still come.
+    /// It has been draining since this time: it sends its clients away, but still serves those that come.
     Draining(Instant),
-    /// It was told to end, then.
+    /// It has been stopping since this time.
     Stopping(Instant),
 }
 
-/// The node's state, for all its workers.
+/// The node's lifecycle state, shared by all its workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
-    doing: Phase,
-    /// It listens on a socket that the next process inherits, too.
+    phase: Phase,
+    /// Whether the listening socket is also inherited by the next process.
     shared: bool,
-    /// When SIGKILL may come, counted from SIGTERM.
-    patience: Duration,
+    /// How long after SIGTERM a SIGKILL may come.
+    kill_after: Duration,
 }
 
 impl Lifecycle {
-    /// A node at its start. `longest_deadline` is the longest that a client waits, in milliseconds; `shared` says that the
-    /// listening socket is the platform's, and the next process accepts from it too.
+    /// The state of a node at its start. `longest_deadline` is the longest time that a client waits, in
+    /// milliseconds; `shared` means that the listening socket belongs to the platform and the next process accepts
+    /// from it too.
     pub fn new(longest_deadline: f64, shared: bool) -> Self {
-        let most = PATIENCE.0.as_secs_f64();
-        let longest = Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, most));
-        Self { doing: Phase::Starting, shared, patience: PATIENCE.1 + longest }
+        let max = KILL_GRACE.0.as_secs_f64();
+        let longest = Duration::from_secs_f64((longest_deadline / 1000.0).clamp(0.0, max));
+        Self { phase: Phase::Starting, shared, kill_after: KILL_GRACE.1 + longest }
     }
 
-    /// What it is doing.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
-        self.doing
+        self.phase
     }
 
-    /// Is the listening socket the platform's?
+    /// Returns whether the listening socket belongs to the platform.
     pub fn has_shared_socket(&self) -> bool {
         self.shared
     }
 
-    // ---- What happens ----
+    // ---- Events ----
 
-    /// It has a list of servers.
+    /// A server list has been received.
     pub fn list_received(&mut self) {
-        if self.doing == Phase::Starting {
-            self.doing = Phase::Serving;
+        if self.phase == Phase::Starting {
+            self.phase = Phase::Serving;
         }
     }
 
-    /// It is to send its clients away; false where it ends anyway. A drain that goes on keeps its beginning.
+    /// Starts a drain; returns false if the node is stopping. A drain in progress keeps its start time.
     pub fn drain(&mut self, now: Instant) -> bool {
-        match self.doing {
-            Phase::Starting | Phase::Serving => self.doing = Phase::Draining(now),
+        match self.phase {
+            Phase::Starting | Phase::Serving => self.phase = Phase::Draining(now),
             Phase::Draining(_) => {}
             Phase::Stopping(_) => return false,
         }
         true
     }
 
-    /// It is to serve again; false where it ends. Whether it has a list by now is for those to say who have it.
+    /// Ends a drain; returns false if the node is stopping. Whether the node has a server list by now must be checked
+    /// by the caller.
     pub fn activate(&mut self) -> bool {
-        match self.doing {
-            Phase::Draining(_) => self.doing = Phase::Serving,
+        match self.phase {
+            Phase::Draining(_) => self.phase = Phase::Serving,
             Phase::Starting | Phase::Serving => {}
             Phase::Stopping(_) => return false,
         }
         true
     }
 
-    /// It is to end, whatever it was doing. To be told so again changes nothing.
+    /// Begins to stop, from any phase. A repeated call changes nothing.
     pub fn stop(&mut self, now: Instant) {
         if self.stopping_since().is_none() {
-            self.doing = Phase::Stopping(now);
+            self.phase = Phase::Stopping(now);
         }
     }
 
-    // ---- What follows ----
+    // ---- Consequences ----
 
-    /// Since when it is to end.
+    /// When the node began to stop.
     pub fn stopping_since(&self) -> Option<Instant> {
-        match self.doing {
+        match self.phase {
             Phase::Stopping(since) => Some(since),
             _ => None,
         }
     }
 
-    /// Since when it has been drained.
+    /// When the current drain began.
     pub fn draining_since(&self) -> Option<Instant> {
-        match self.doing {
+        match self.phase {
             Phase::Draining(since) => Some(since),
             _ => None,
         }
     }
 
-    /// Does this process take clients?
+    /// Returns whether this process wants clients.
     pub fn is_serving(&self) -> bool {
-        self.doing == Phase::Serving
+        self.phase == Phase::Serving
     }
 
-    /// Is `/ready` yes? Whoever asks means the node: where the next process accepts from the same socket the node is as
-    /// ready as before, though this process ends.
+    /// Returns whether `/ready` succeeds. It describes the node, not the process: where the next process accepts from
+    /// the same socket, the node stays ready while this process stops.
     pub fn is_ready(&self) -> bool {
         self.is_serving() || (self.shared && self.stopping_since().is_some())
     }
 
-    /// Do answers close their connections?
+    /// Returns whether responses close their connections.
     pub fn closes_after_response(&self, now: Instant) -> bool {
-        match self.doing {
+        match self.phase {
             Phase::Starting | Phase::Serving => false,
             Phase::Draining(since) => now >= since + ANSWERS_CLOSE,
-            // Whoever is told connects again, and comes to the next process.
-            Phase::Stopping(_) => self.shared || self.killed_within(now, CLOSE_BEFORE),
+            // With a shared socket a client that reconnects reaches the next process.
+            Phase::Stopping(_) => self.shared || self.may_be_killed_within(now, CLOSE_BEFORE),
         }
     }
 
-    /// How long a connection must have been idle to be closed now, where that is sooner than it is at other times.
+    /// How long a connection must have been idle to be closed now; `None` where the normal idle timeout applies.
     pub fn idle_close_after(&self, now: Instant) -> Option<Duration> {
-        let (since, from, late) = match self.doing {
+        let (since, from, late) = match self.phase {
             Phase::Starting | Phase::Serving => return None,
             Phase::Draining(since) => (since, IDLE_CLOSE, IDLE_LATE),
             Phase::Stopping(since) => {
-                let late = self.patience.saturating_sub(CLOSE_BEFORE);
-                let late = if self.shared { self.patience.saturating_sub(FAIL_BEFORE + FRESH) } else { late };
+                let late = self.kill_after.saturating_sub(CLOSE_BEFORE);
+                let late =
+                    if self.shared { self.kill_after.saturating_sub(FAIL_BEFORE + FRESH) } else { late };
                 (since, if self.shared { Duration::ZERO } else { late }, late)
             }
         };
@@ -157,31 +163,34 @@
         (age >= from).then_some(if age >= late { FRESH } else { IDLE_FIRST })
     }
 
-    /// Is a connection still accepted, of a node that has so many? A stopping node with a listener of its own goes on for
-    /// most of the time that it has as if nothing were. Where each client were sent away at once, and had nowhere to go as
-    /// the node that was restarted before is not back yet or the others are down or full, all its requests would fail; and
-    /// one connection that is refused makes a front take the node for gone, with all that are open. It also spares the
-    /// others a rush of new connections when they are fewer. It does harm where whoever waits for the end of this process is
-    /// in a hurry, or where a node is stopped because it serves badly.
+    /// Returns whether a node with `clients` connections still accepts new ones.
+    ///
+    /// A stopping node with a listener of its own keeps accepting as usual for most of the time that it has. If it
+    /// sent all clients away at once and they had nowhere to go, because the node that was restarted before is not
+    /// back yet or the others are down or full, all their requests would fail. Besides, a single refused connection
+    /// makes a front take the node for dead, together with all its open connections. Accepting also spares the other
+    /// nodes a rush of new connections while there are fewer of them. The cost: the process takes longer to end, and
+    /// a node that is stopped because it serves badly goes on doing so.
     pub fn accepts_connections(&self, now: Instant, clients: usize) -> bool {
-        let Phase::Stopping(since) = self.doing else { return true };
+        let Phase::Stopping(since) = self.phase else { return true };
         let early = now.saturating_duration_since(since) < ACCEPT;
-        !self.shared && (early || (clients > 0 && !self.killed_within(now, CLOSE_BEFORE)))
+        !self.shared && (early || (clients > 0 && !self.may_be_killed_within(now, CLOSE_BEFORE)))
     }
 
-    /// Is what is still open failed? SIGKILL is near, and an answer is better than a reset.
+    /// Returns whether the requests that are still open are failed now: SIGKILL may come soon, and an error response
+    /// is better than a connection reset.
     pub fn fails_open_requests(&self, now: Instant) -> bool {
-        self.killed_within(now, FAIL_BEFORE)
+        self.may_be_killed_within(now, FAIL_BEFORE)
     }
 
-    /// Does it end, with whatever is left?
+    /// Returns whether the process must exit now, whatever is still open.
     pub fn must_exit(&self, now: Instant) -> bool {
-        self.killed_within(now, END_BEFORE)
+        self.may_be_killed_within(now, END_BEFORE)
     }
 
-    /// May SIGKILL come within so long?
-    fn killed_within(&self, now: Instant, before: Duration) -> bool {
-        let after = self.patience.saturating_sub(before);
+    /// Returns whether SIGKILL may come within `before`.
+    fn may_be_killed_within(&self, now: Instant, before: Duration) -> bool {
+        let after = self.kill_after.saturating_sub(before);
         self.stopping_since().is_some_and(|since| now.saturating_duration_since(since) >= after)
     }
 }
--- a/crates/core/src/lifecycle/tests.rs
+++ b/crates/core/src/lifecycle/tests.rs
@@ -5,49 +5,52 @@
 }
 
 #[test]
-fn every_event_in_every_state_has_a_stated_outcome() {
+fn every_event_in_every_phase_has_a_defined_outcome() {
     let now = Instant::now();
-    let mut life = Lifecycle::new(1000.0, false);
-    assert_eq!((life.phase(), life.is_serving(), life.is_ready()), (Phase::Starting, false, false));
-    life.list_received();
-    assert!(life.is_serving() && life.is_ready() && life.activate(), "to activate what serves is no error");
-    assert!(life.drain(now) && life.drain(now + ms(900)));
-    assert_eq!(life.phase(), Phase::Draining(now), "a drain keeps its beginning");
-    life.list_received();
-    assert!(!life.is_serving() && !life.is_ready(), "a list ends no drain");
-    assert!(life.activate() && life.is_ready() && !life.closes_after_response(now + ms(9000)), "at once");
-    assert!(life.drain(now + ms(1000)), "drained again, it begins anew");
-    assert_eq!(life.draining_since(), Some(now + ms(1000)));
-    life.stop(now + ms(2000));
-    life.stop(now + ms(2500));
-    assert_eq!(life.stopping_since(), Some(now + ms(2000)), "it ends as it was told first");
-    assert!(!life.drain(now) && !life.activate(), "what ends can't be called back");
-    assert_eq!(life.phase(), Phase::Stopping(now + ms(2000)));
-    let mut early = Lifecycle::new(1000.0, false);
-    assert!(early.drain(now), "one that starts may be drained");
-    early.list_received();
-    assert_eq!(early.phase(), Phase::Draining(now));
+    let mut node = Lifecycle::new(1000.0, false);
+    assert_eq!((node.phase(), node.is_serving(), node.is_ready()), (Phase::Starting, false, false));
+    node.list_received();
+    assert!(node.is_serving() && node.is_ready() && node.activate(), "activating a serving node is no error");
+    assert!(node.drain(now) && node.drain(now + ms(900)));
+    assert_eq!(node.phase(), Phase::Draining(now), "a repeated drain keeps the start time");
+    node.list_received();
+    assert!(!node.is_serving() && !node.is_ready(), "a list does not end a drain");
+    assert!(
+        node.activate() && node.is_ready() && !node.closes_after_response(now + ms(9000)),
+        "the drain ends at once"
+    );
+    assert!(node.drain(now + ms(1000)), "a second drain");
+    assert_eq!(node.draining_since(), Some(now + ms(1000)));
+    node.stop(now + ms(2000));
+    node.stop(now + ms(2500));
+    assert_eq!(node.stopping_since(), Some(now + ms(2000)), "the first stop counts");
+    assert!(!node.drain(now) && !node.activate(), "a stop can't be revoked");
+    assert_eq!(node.phase(), Phase::Stopping(now + ms(2000)));
+    let mut starting = Lifecycle::new(1000.0, false);
+    assert!(starting.drain(now), "a starting node may be drained");
+    starting.list_received();
+    assert_eq!(starting.phase(), Phase::Draining(now));
 }
 
 #[test]
-fn a_drained_node_has_nobody_idle_after_two_seconds_and_goes_on_accepting() {
+fn a_drained_node_has_no_idle_connections_after_two_seconds_and_keeps_accepting() {
     let now = Instant::now();
-    let mut life = Lifecycle::new(1000.0, false);
-    life.list_received();
-    assert_eq!(life.idle_close_after(now), None);
-    life.drain(now);
-    assert!(!life.closes_after_response(now + ms(250)), "the front has 0.2 s to hear of it");
-    assert!(life.closes_after_response(now + ANSWERS_CLOSE));
-    assert_eq!(life.idle_close_after(now + ms(500)), None);
-    assert_eq!(life.idle_close_after(now + IDLE_CLOSE), Some(IDLE_FIRST));
+    let mut node = Lifecycle::new(1000.0, false);
+    node.list_received();
+    assert_eq!(node.idle_close_after(now), None);
+    node.drain(now);
+    assert!(!node.closes_after_response(now + ms(250)), "the front has 0.2 s to learn of the drain");
+    assert!(node.closes_after_response(now + ANSWERS_CLOSE));
+    assert_eq!(node.idle_close_after(now + ms(500)), None);
+    assert_eq!(node.idle_close_after(now + IDLE_CLOSE), Some(IDLE_FIRST));
     assert!(IDLE_LATE + FRESH < ms(2000));
-    assert_eq!(life.idle_close_after(now + IDLE_LATE), Some(FRESH));
-    assert!(life.accepts_connections(now + ms(60_000), 0), "also /ready comes by a connection");
-    assert!(!life.fails_open_requests(now + ms(60_000)) && !life.must_exit(now + ms(60_000)));
+    assert_eq!(node.idle_close_after(now + IDLE_LATE), Some(FRESH));
+    assert!(node.accepts_connections(now + ms(60_000), 0), "requests for /ready need a connection too");
+    assert!(!node.fails_open_requests(now + ms(60_000)) && !node.must_exit(now + ms(60_000)));
 }
 
 #[test]
-fn a_stop_has_times_of_its_own_with_each_kind_of_listener() {
+fn the_times_of_a_stop_depend_on_the_kind_of_listener() {
     let now = Instant::now();
     for (deadline, killed) in [(1000.0, ms(1700)), (60_000.0, ms(3700)), (-1.0, ms(700))] {
         let (mut own, mut shared) = (Lifecycle::new(deadline, false), Lifecycle::new(deadline, true));
@@ -72,13 +75,13 @@
         let close = killed.saturating_sub(CLOSE_BEFORE);
         assert!(own.closes_after_response(now + close) && own.idle_close_after(now + close) == Some(FRESH));
         assert!(close == ms(0) || (!own.closes_after_response(now) && own.idle_close_after(now).is_none()));
-        for life in [own, shared] {
-            assert_eq!(life.idle_close_after(now + killed - FAIL_BEFORE), Some(FRESH));
+        for node in [own, shared] {
+            assert_eq!(node.idle_close_after(now + killed - FAIL_BEFORE), Some(FRESH));
             assert!(
-                life.fails_open_requests(now + killed - FAIL_BEFORE)
-                    && life.must_exit(now + killed - END_BEFORE)
+                node.fails_open_requests(now + killed - FAIL_BEFORE)
+                    && node.must_exit(now + killed - END_BEFORE)
             );
-            assert!(!life.must_exit(now + killed - FAIL_BEFORE));
+            assert!(!node.must_exit(now + killed - FAIL_BEFORE));
         }
     }
 }
--- a/crates/core/src/log_limiter.rs
+++ b/crates/core/src/log_limiter.rs
@@ -1,11 +1,11 @@
-//! A bound on log lines about single requests.
+//! A rate limit on log lines about single requests.
 
 use std::cell::Cell;
 
-/// Lines that are logged in a second; further ones are counted.
-const PER_SECOND: u32 = 40;
+/// Lines that may be logged in a second; further ones are only counted.
+const LINES_PER_SECOND: u32 = 40;
 
-/// Bounds what is logged of single requests: a day on which all fail must not cost the node its core.
+/// Limits the log lines about single requests, so that logging can't take up a core when all requests fail.
 #[derive(Default)]
 pub struct LogLimiter {
     left: Cell<u32>,
@@ -13,7 +13,7 @@
 }
 
 impl LogLimiter {
-    /// Calls `log` while this second has room for a line.
+    /// Calls `log` unless the lines of this second are used up; then the line is counted as dropped.
     pub fn log(&self, log: impl FnOnce()) {
         match self.left.get() {
             0 => self.dropped.set(self.dropped.get() + 1),
@@ -24,9 +24,9 @@
         }
     }
 
-    /// A new second begins; gives how many lines the old one had no room for.
+    /// Starts a new second; returns how many lines were dropped in the last one.
     pub fn start_second(&self) -> u64 {
-        self.left.set(PER_SECOND);
+        self.left.set(LINES_PER_SECOND);
         self.dropped.take()
     }
 }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a process has done since its start: apart from what a status line counts, these never go back to 0.
+//! Metrics of a process since its start. Unlike the counts on a status line, the counters are never reset.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -9,70 +9,74 @@
 pub enum RequestOutcome {
     /// Served.
     Passed,
-    /// Refused: trying again is harmless.
+    /// Refused; the client can safely retry.
     Dropped,
     /// Failed.
     BadGateway,
 }
 
-/// The names of the ends, as they are counted.
-const ENDS: [(RequestOutcome, &str); 3] = [
+/// The outcomes with their names in the metrics.
+const OUTCOMES: [(RequestOutcome, &str); 3] = [
     (RequestOutcome::Passed, "passed"),
     (RequestOutcome::Dropped, "dropped"),
     (RequestOutcome::BadGateway, "bad_gateway"),
 ];
 
-/// The figures of a process. Clones share them, so that workers count together.
+/// The metrics of a process. Clones share the counters, so that all workers count into the same ones.
 #[derive(Clone, Debug)]
-pub struct Metrics(Arc<Counts>);
+pub struct Metrics(Arc<Counters>);
 
 #[derive(Debug)]
-struct Counts {
-    /// By class, by end.
-    ends: Vec<[AtomicU64; ENDS.len()]>,
+struct Counters {
+    /// Finished requests by class, then by outcome.
+    outcomes: Vec<[AtomicU64; OUTCOMES.len()]>,
     upstream_tries: AtomicU64,
     in_progress: AtomicUsize,
 }
 
 impl Metrics {
-    /// For so many classes, all at 0.
+    /// Creates metrics for `classes` request classes, all counters at 0.
     pub fn new(classes: usize) -> Self {
-        let ends = (0..classes).map(|_| Default::default()).collect();
-        Self(Arc::new(Counts { ends, upstream_tries: AtomicU64::new(0), in_progress: AtomicUsize::new(0) }))
+        let outcomes = (0..classes).map(|_| Default::default()).collect();
+        Self(Arc::new(Counters {
+            outcomes,
+            upstream_tries: AtomicU64::new(0),
+            in_progress: AtomicUsize::new(0),
+        }))
     }
 
-    /// A proper request of a class, whose end is to be counted.
+    /// Starts tracking a valid request of a class; its outcome is counted when it finishes.
     pub fn start_request(&self, class: usize) -> InProgress {
-        InProgress { figures: self.clone(), class, taken: false }
+        InProgress { metrics: self.clone(), class, received: false }
     }
 
-    /// An attempt's last byte has been written.
+    /// Counts an attempt whose last byte has been written to a server.
     pub fn count_upstream_try(&self) {
         self.0.upstream_tries.fetch_add(1, Relaxed);
     }
 
-    /// How many requests of a class ended so.
-    pub fn requests_ended(&self, class: usize, end: RequestOutcome) -> u64 {
-        self.0.ends.get(class).map_or(0, |ends| ends[end as usize].load(Relaxed))
+    /// The number of requests of a class that ended with this outcome.
+    pub fn requests_ended(&self, class: usize, outcome: RequestOutcome) -> u64 {
+        self.0.outcomes.get(class).map_or(0, |outcomes| outcomes[outcome as usize].load(Relaxed))
     }
 
-    /// How many attempts were written whole.
+    /// The number of attempts that were written completely.
     pub fn upstream_tries(&self) -> u64 {
         self.0.upstream_tries.load(Relaxed)
     }
 
-    /// How many requests were taken and have not ended.
+    /// The number of requests that were received completely and have not finished.
     pub fn in_progress(&self) -> usize {
         self.0.in_progress.load(Relaxed)
     }
 
-    /// The figures as lines: counts as `name:value|c`, what is so at the moment as `name:value|g`.
+    /// Renders the metrics as lines: counters as `name:value|c`, gauges as `name:value|g`.
     pub fn render(&self, classes: &[String], known_servers: usize, skipped_servers: usize) -> String {
         let mut lines = String::new();
         // Writing to a string can't fail.
-        for (end, name) in ENDS {
+        for (outcome, name) in OUTCOMES {
             for (n, class) in classes.iter().enumerate() {
-                let _ = writeln!(lines, "app.{name}.{class}:{}|c", self.requests_ended(n, end));
+                let _ = writeln!(lines, "app.{name}.{class}:{}|c", self.requests_ended(n, outcome));
             }
         }
         let _ = writeln!(lines, "app.upstream_tries:{}|c", self.upstream_tries());
@@ -83,34 +87,35 @@
     }
 }
 
-/// A request on its way to its one end. One that is dropped without an end had a client that left.
+/// A request that has not finished. Dropping it without an outcome means that its client disconnected; no outcome is
+/// counted then.
 #[derive(Debug)]
 pub struct InProgress {
-    figures: Metrics,
+    metrics: Metrics,
     class: usize,
-    taken: bool,
+    received: bool,
 }
 
 impl InProgress {
-    /// Its last byte has come.
+    /// Marks the request as completely received: from now on it counts as in progress.
     pub fn mark_received(&mut self) {
-        if !std::mem::replace(&mut self.taken, true) {
-            self.figures.0.in_progress.fetch_add(1, Relaxed);
+        if !std::mem::replace(&mut self.received, true) {
+            self.metrics.0.in_progress.fetch_add(1, Relaxed);
         }
     }
 
-    /// It has ended: the one place where that is counted.
-    pub fn finish(self, end: RequestOutcome) {
-        if let Some(ends) = self.figures.0.ends.get(self.class) {
-            ends[end as usize].fetch_add(1, Relaxed);
+    /// Finishes the request and counts its outcome. Nothing else counts outcomes.
+    pub fn finish(self, outcome: RequestOutcome) {
+        if let Some(outcomes) = self.metrics.0.outcomes.get(self.class) {
+            outcomes[outcome as usize].fetch_add(1, Relaxed);
         }
     }
 }
 
 impl Drop for InProgress {
     fn drop(&mut self) {
-        if self.taken {
-            self.figures.0.in_progress.fetch_sub(1, Relaxed);
+        if self.received {
+            self.metrics.0.in_progress.fetch_sub(1, Relaxed);
         }
     }
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -14,7 +14,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 
 use crate::admission::{AdmissionControl, AdmissionDecision, AdmissionRequest};
-use crate::clock::{ms, span, Clock};
+use crate::clock::{duration, ms, Clock};
 use crate::epochs::{Epochs, For};
 use crate::intents::{self, Rejection};
 use crate::lifecycle::Lifecycle;
@@ -501,7 +501,7 @@
         let mut state = self.state.borrow_mut();
         let Some(open) = state.table.get_mut(id) else { return };
         let now = Instant::now();
-        let end = now + span(timeout.unwrap_or(f64::INFINITY));
+        let end = now + duration(timeout.unwrap_or(f64::INFINITY));
         let attempt = open.attempts.len();
         let to = Target { id, server, deadline: end, send_by: open.known_until(self.right(open.class)) };
         let (core, request) = (self.clone(), open.request.clone());
@@ -584,7 +584,7 @@
     }
 
     fn set_timer(&self, after: Millis) {
-        let at = Instant::now() + span(after);
+        let at = Instant::now() + duration(after);
         let mut state = self.state.borrow_mut();
         if state.timer.is_none_or(|due| at < due) {
             state.timer = Some(at);
@@ -618,7 +618,7 @@
 
     /// How long the answer to a call for the list may take to begin.
     pub fn list_timeout(&self) -> Duration {
-        span(self.state.borrow().epochs.newest().list_response_timeout())
+        duration(self.state.borrow().epochs.newest().list_response_timeout())
     }
 
     /// The version to follow from; `None` where the whole list is needed first.
--- a/crates/core/src/open_ids.rs
+++ b/crates/core/src/open_ids.rs
@@ -1,46 +1,46 @@
-//! The clients' ids that are open in a process, over all of its workers.
+//! The ids of the open requests of a process, across all of its workers.
 
 use std::collections::hash_map::RandomState;
 use std::collections::HashSet;
 use std::hash::BuildHasher;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Parts of the set with a lock each, so that workers seldom meet at one.
-const PARTS: usize = 32;
+/// Shards of the set, each with a lock of its own, to keep lock contention between workers low.
+const SHARDS: usize = 32;
 
-/// The ids of requests that await their answer. Clones share one set: an id that is open at one worker is seen as open at
-/// all others, so that no request runs at two of them.
+/// The ids of requests that await their answer. Clones share one set: an id that is open at one worker counts as open
+/// at all others, so that no request runs at two of them.
 #[derive(Clone, Debug, Default)]
-pub struct OpenIds(Arc<Parts>);
+pub struct OpenIds(Arc<Shards>);
 
 #[derive(Debug)]
-struct Parts {
-    /// Keyed at random: clients choose their ids.
+struct Shards {
+    /// Randomly keyed, because clients choose their ids.
     hasher: RandomState,
-    parts: Vec<Mutex<HashSet<Box<str>>>>,
+    shards: Vec<Mutex<HashSet<Box<str>>>>,
 }
 
-impl Default for Parts {
+impl Default for Shards {
     fn default() -> Self {
-        Self { hasher: RandomState::new(), parts: (0..PARTS).map(|_| Mutex::default()).collect() }
+        Self { hasher: RandomState::new(), shards: (0..SHARDS).map(|_| Mutex::default()).collect() }
     }
 }
 
 impl OpenIds {
-    fn part(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
-        let place = self.0.hasher.hash_one(id) as usize % PARTS;
-        // A worker that panicked while it held the lock left a whole set all the same: one call changes it.
-        self.0.parts[place].lock().unwrap_or_else(PoisonError::into_inner)
+    fn shard(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
+        let index = self.0.hasher.hash_one(id) as usize % SHARDS;
+        // A worker that panicked while it held the lock left the set consistent: each change is a single call.
+        self.0.shards[index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens an id; false where it is open already.
+    /// Opens an id; returns false if it is already open.
     pub(crate) fn open(&self, id: &str) -> bool {
-        self.part(id).insert(id.into())
+        self.shard(id).insert(id.into())
     }
 
     /// Closes an id.
     pub(crate) fn close(&self, id: &str) {
-        self.part(id).remove(id);
+        self.shard(id).remove(id);
     }
 }
 
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -1,4 +1,4 @@
-//! What the workers of one process share.
+//! State shared by all workers of one process.
 
 use std::time::Instant;
 
@@ -8,47 +8,47 @@
 use crate::metrics::Metrics;
 use crate::open_ids::OpenIds;
 
-/// What belongs to the process, whichever worker looks at it. Clones share it.
+/// State that belongs to the process as a whole. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// The ids that are open.
+    /// The request ids that are open.
     pub open_ids: OpenIds,
-    /// What it has done since its start.
+    /// Counters since the start of the process.
     pub metrics: Metrics,
     lifecycle: watch::Sender<Lifecycle>,
 }
 
 impl Process {
-    /// A process at its start, with so many classes of requests.
-    pub fn new(classes: usize, life: Lifecycle) -> Self {
+    /// Creates the state of a new process that serves `classes` request classes.
+    pub fn new(classes: usize, lifecycle: Lifecycle) -> Self {
         Self {
             open_ids: OpenIds::default(),
             metrics: Metrics::new(classes),
-            lifecycle: watch::Sender::new(life),
+            lifecycle: watch::Sender::new(lifecycle),
         }
     }
 
-    /// What it is doing.
+    /// The current lifecycle state.
     pub fn lifecycle(&self) -> Lifecycle {
         *self.lifecycle.borrow()
     }
 
-    /// Something has happened; gives what `event` gives.
+    /// Applies an event to the lifecycle, notifies everyone who watches it, and returns what `event` returns.
     pub fn update<T>(&self, event: impl FnOnce(&mut Lifecycle) -> T) -> T {
-        let mut given = None;
-        self.lifecycle.send_modify(|life| given = Some(event(life)));
-        // The closure is called once, before that returns.
-        given.expect("it was called")
+        let mut result = None;
+        self.lifecycle.send_modify(|lifecycle| result = Some(event(lifecycle)));
+        // `send_modify` calls the closure exactly once before it returns.
+        result.expect("it was called")
     }
 
-    /// It is to end.
+    /// Begins to stop the process.
     pub fn stop(&self) {
-        self.update(|life| life.stop(Instant::now()));
+        self.update(|lifecycle| lifecycle.stop(Instant::now()));
     }
 
-    /// Waits until it is to end, or has been told so before.
+    /// Waits until the process is stopping; returns at once if it already is.
     pub async fn stopped(&self) {
-        // This side keeps a sender, so the wait ends with the word alone.
-        let _ = self.lifecycle.subscribe().wait_for(|life| life.stopping_since().is_some()).await;
+        // `self` holds a sender, so the channel can't close and the wait ends only when the condition holds.
+        let _ = self.lifecycle.subscribe().wait_for(|lifecycle| lifecycle.stopping_since().is_some()).await;
     }
 }
