--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,7 +1,8 @@
-//! What the node sees of the fleet: one call for each request at its arrival, which asks nobody and never waits.
+//! The fleet's admission control as the node sees it: one call for each request on its arrival, which does no I/O and
+//! never waits.
 //!
-//! Behind it stand the fleet's policy version, that this node may decide by for as long as it holds a lease on it, and
-//! the tenants' quotas. Where nothing of the fleet is switched on there is no gate, and nothing is asked.
+//! It rests on the fleet's policy version, by which this node may decide while it holds a lease on it, and on the
+//! tenants' quotas. A node on which no fleet feature is enabled has no admission control.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,70 +10,71 @@
 
 use magpietally_policy::{Millis, Settings};
 
-/// A request as the gate sees it.
+/// A request as admission control sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The client's id for it.
+    /// The client's id for the request.
     pub id: &'a str,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// The key by which servers drop its repeats, where it has one.
+    /// Its idempotency key, if it has one, by which servers deduplicate repeats.
     pub key: Option<&'a [u8]>,
 }
 
-/// What the gate says of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It is decided under this version of the policy, from now to its end.
+    /// The request is admitted, and decided under this policy version until it ends.
     Admit {
         /// The version; 0 stands for the settings that the node was started with.
         epoch: u64,
-        /// When, by the gate's own clock: said back to [`AdmissionControl::may_send`].
+        /// The time of admission by the clock of admission control, to be passed to [`AdmissionControl::may_send`].
         at: Duration,
     },
-    /// Its tenant's quota is used up: trying again is harmless, after this time.
+    /// The tenant's quota is used up; the client can safely retry after this time.
     OverQuota {
-        /// When there will be room, by this node's share.
+        /// When this node's share of the quota will have room again.
         retry_after: Millis,
     },
-    /// This node may decide nothing now: trying again is harmless, after this time.
+    /// This node may not decide now; the client can safely retry after this time.
     NoLease {
-        /// When it may have a lease again.
+        /// When the node may have a lease again.
         retry_after: Millis,
     },
 }
 
-/// Why a document is not proposed.
+/// Why a policy document is not proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalError {
-    /// The document is at fault: line and field.
+    /// The document is invalid: the line and the field.
     Invalid(String),
-    /// It may be asked again: this node is not ready, or its last proposal is not decided yet.
+    /// The call may be repeated: this node is not ready, or its last proposal is not decided yet.
     Unavailable(String),
 }
 
-/// The fleet's word on requests.
+/// Decides for the fleet on the requests of this node.
 pub trait AdmissionControl: Send + Sync + fmt::Debug {
-    /// May this request be taken now, and under which version? Reads the clock itself, at this moment.
-    fn decide(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision;
+    /// Decides whether this request is admitted now, and under which policy version. Reads the clock itself.
+    fn decide(&self, request: &AdmissionRequest<'_>) -> AdmissionDecision;
 
-    /// May a request that was taken then, under this version, be sent (again) now? ClientRequest before each attempt: a node that was
-    /// stopped past its lease has no right left to what it had begun.
+    /// Returns whether a request that was admitted at `at`, under version `epoch`, may be sent (again) now. Called
+    /// before each attempt: a node that was suspended beyond the end of its lease may not continue what it had begun.
     fn may_send(&self, epoch: u64, at: Duration) -> bool;
 
-    /// Does the fleet change its policy at this moment, so that a request had better wait some milliseconds than be turned
-    /// away? True for a short bounded time at the most, by the gate's own settings.
+    /// Returns whether the fleet is changing its policy at this moment, so that a request should wait some
+    /// milliseconds rather than be rejected. The implementation's settings bound how long this stays true.
     fn is_changing_policy(&self) -> bool;
 
-    /// May this node say that it is ready?
+    /// Returns whether this node may report that it is ready.
     fn is_ready(&self) -> bool;
 
-    /// The decision module's settings under a version; `None` for those of the start.
+    /// The policy's settings under a version; `None` for those of the start.
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>>;
 
-    /// Proposes a document to the fleet against the version that is active here, over the second address.
+    /// Proposes a document, received over the management address, to the fleet, against the version that is active on
+    /// this node.
     ///
     /// # Errors
     /// Why it is not proposed, in a line for the caller.
@@ -80,11 +82,11 @@
         Err(ProposalError::Unavailable("this node takes no proposals".into()))
     }
 
-    /// How the fleet stands as this node sees it, some lines.
+    /// The state of the fleet as this node sees it, in a few lines.
     fn describe(&self) -> String {
         String::new()
     }
 
-    /// The final answer of a request that was taken is on its way; for the fleet's records.
+    /// Records, for the fleet's checks, that the final answer of an admitted request is being sent.
     fn record_answer(&self, _epoch: u64, _id: &str) {}
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -652,7 +652,7 @@
 
     fn take_list(self: &Rc<Self>, listing: ServerListing, saved: bool) {
         let whole = listing.complete;
-        let (entries, void) = self.state.borrow_mut().servers.take(listing, |unix| self.clock.at_unix(unix));
+        let (entries, void) = self.state.borrow_mut().servers.apply(listing, |unix| self.clock.at_unix(unix));
         for server in void {
             self.transport.drop_connections(server);
         }
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -1,16 +1,16 @@
-//! The servers that the node knows: where each listens, which of its lives this is, and whether it takes new work.
+//! The servers that the node knows: their addresses, their incarnations, and whether they accept new work.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use magpietally_policy::{ListedState, Millis, ServerEntry, ServerId};
 
-/// What a source of the list says: all of it, or what changed.
+/// A message of the list's source: the complete list, or changes to it.
 #[derive(Clone, Debug)]
 pub struct ServerListing {
     /// The list's version.
     pub version: u64,
-    /// The whole list, not just changes.
+    /// Whether this is the complete list rather than changes.
     pub complete: bool,
     /// The entries.
     pub servers: Vec<ListedServer>,
@@ -21,7 +21,7 @@
 pub struct ListedServer {
     /// Its name, the same at every node.
     pub name: String,
-    /// Where it listens; one that is gone may have none.
+    /// The address that it listens on; a server that is gone may have none.
     pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: String,
@@ -33,25 +33,26 @@
     pub state: ListedState,
     /// Its weight.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When it last started, in milliseconds of Unix time; 0 if that is long ago.
     pub start_ms: Millis,
 }
 
-/// One life of a server: a connection to another one is of no use.
+/// The address of one incarnation of a server. Connections to another incarnation can't be used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     start_ms: Millis,
 }
 
 struct Known {
     name: String,
-    place: Endpoint,
+    endpoint: Endpoint,
     state: ListedState,
-    /// When this life began, by the policy's clock. Reckoned once: it must not move while the life goes on.
+    /// When this incarnation started, by the policy's clock. Computed once: it must stay the same for the lifetime of
+    /// the incarnation.
     started: Option<Millis>,
-    /// The rest of what the list said, for a decision module that begins later.
+    /// The remaining fields of the entry, for a decision module that is created later.
     zone: u64,
     cell: u64,
     kind: u64,
@@ -62,12 +63,12 @@
 #[derive(Default)]
 pub(crate) struct ServerTable {
     known: HashMap<ServerId, Known>,
-    /// The version of the list; `None` asks for the whole.
+    /// The version of the list; `None` if the complete list is needed first.
     pub(crate) version: Option<u64>,
 }
 
-/// The same number for a name at every node and after every restart: FNV-1a, mixed so that names that differ
-/// in their last digit alone do not stay neighbours.
+/// A hash of a name that is the same at every node and after every restart: FNV-1a, mixed so that names that differ
+/// only in their last digit do not stay neighbours.
 pub fn stable_hash(name: &str) -> u64 {
     let hash =
         name.bytes().fold(0xCBF2_9CE4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3));
@@ -84,17 +85,17 @@
         self.known.get(&server).map(|k| k.name.as_str())
     }
 
-    /// When a server last started, Unix time in milliseconds; 0 for long ago.
+    /// When a server last started, in milliseconds of Unix time; 0 if that is long ago.
     pub(crate) fn start_ms(&self, server: ServerId) -> Millis {
-        self.known.get(&server).map_or(0.0, |k| k.place.start_ms)
+        self.known.get(&server).map_or(0.0, |k| k.endpoint.start_ms)
     }
 
-    /// Where a server listens, if something new may be sent to it.
+    /// The endpoint of a server, if new requests may be sent to it.
     pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
-        self.known.get(&server).filter(|k| k.state == ListedState::Up).map(|k| k.place)
+        self.known.get(&server).filter(|k| k.state == ListedState::Up).map(|k| k.endpoint)
     }
 
-    /// All of them as the list has them, in the order of their numbers.
+    /// All servers as they are listed, ordered by id.
     pub(crate) fn entries(&self) -> Vec<ServerEntry> {
         let entry = |(server, k): (&ServerId, &Known)| ServerEntry {
             server: *server,
@@ -110,8 +111,8 @@
         all
     }
 
-    /// Takes a listing in: the policy's entries, and the servers whose connections are void.
-    pub(crate) fn take(
+    /// Applies a listing. Returns the entries for the policy, and the servers whose connections are stale.
+    pub(crate) fn apply(
         &mut self,
         listing: ServerListing,
         started: impl Fn(Millis) -> Option<Millis>,
@@ -122,52 +123,54 @@
             }
         }
         self.version = Some(listing.version);
-        let mut void = Vec::new();
+        let mut stale = Vec::new();
         let entries: Vec<ServerEntry> =
-            listing.servers.into_iter().filter_map(|m| self.enter(m, &started, &mut void)).collect();
+            listing.servers.into_iter().filter_map(|s| self.update(s, &started, &mut stale)).collect();
         if listing.complete {
-            void.extend(
+            stale.extend(
                 self.known.iter().filter(|(_, k)| k.state == ListedState::Gone).map(|(server, _)| *server),
             );
             self.known.retain(|_, k| k.state != ListedState::Gone);
         } else {
-            // A change costs what it names, however long the list is. One that names a server twice, as gone and as back,
-            // leaves what it says last.
+            // The cost of a change depends on its own size, not on the length of the list. If it names a server twice,
+            // as gone and as up again, the last entry wins.
             for entry in &entries {
                 if self.known.get(&entry.server).is_some_and(|k| k.state == ListedState::Gone) {
                     self.known.remove(&entry.server);
-                    void.push(entry.server);
+                    stale.push(entry.server);
                 }
             }
         }
-        (entries, void)
+        (entries, stale)
     }
 
-    /// Notes what a listing says of a server. It holds from now on, also for sends on their way.
-    fn enter(
+    /// Updates the table from one entry. The change takes effect at once, also for attempts that are not written yet.
+    fn update(
         &mut self,
-        member: ListedServer,
+        listed: ListedServer,
         started: impl Fn(Millis) -> Option<Millis>,
-        void: &mut Vec<ServerId>,
+        stale: &mut Vec<ServerId>,
     ) -> Option<ServerEntry> {
-        let server = ServerId(stable_hash(&member.name));
+        let server = ServerId(stable_hash(&listed.name));
         let before = self.known.get(&server);
-        if let Some(other) = before.filter(|b| b.name != member.name) {
-            tracing::warn!(target: "list", "{} and {} have one number, left out", other.name, member.name);
+        if let Some(other) = before.filter(|b| b.name != listed.name) {
+            tracing::warn!(target: "list", "{} and {} have the same id, the second is ignored", other.name, listed.name);
             return None;
         }
-        let dial = member.address.or(before.map(|b| b.place.address));
-        if before.is_some_and(|b| b.place.start_ms != member.start_ms || Some(b.place.address) != dial) {
+        let address = listed.address.or(before.map(|b| b.endpoint.address));
+        if before
+            .is_some_and(|b| b.endpoint.start_ms != listed.start_ms || Some(b.endpoint.address) != address)
+        {
             // Its connections ended with the old process.
-            void.push(server);
+            stale.push(server);
         }
-        let same_life = before.filter(|b| b.place.start_ms == member.start_ms);
-        let started = same_life.map_or_else(|| started(member.start_ms), |b| b.started);
-        let (zone, kind) = (stable_hash(&member.zone), stable_hash(&member.kind));
-        let ListedServer { name, cell, state, weight, start_ms: born_ms, .. } = member;
-        if let Some(dial) = dial {
-            let place = Endpoint { address: dial, start_ms: born_ms };
-            self.known.insert(server, Known { name, place, state, started, zone, cell, kind, weight });
+        let same_incarnation = before.filter(|b| b.endpoint.start_ms == listed.start_ms);
+        let started = same_incarnation.map_or_else(|| started(listed.start_ms), |b| b.started);
+        let (zone, kind) = (stable_hash(&listed.zone), stable_hash(&listed.kind));
+        let ListedServer { name, cell, state, weight, start_ms, .. } = listed;
+        if let Some(address) = address {
+            let endpoint = Endpoint { address, start_ms };
+            self.known.insert(server, Known { name, endpoint, state, started, zone, cell, kind, weight });
         }
         Some(ServerEntry { server, zone, cell, kind, state, weight, started })
     }
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The seam between the core and what moves bytes.
+//! The interface between the core and the transport that moves bytes.
 
 use std::fmt;
 use std::future::Future;
@@ -9,71 +9,71 @@
 
 use crate::node::Core;
 
-/// A request's content, for the carrier alone.
+/// The content of a request, which only the transport interprets.
 pub trait Payload: 'static {
-    /// Writes what the log may tell of it: sizes and digests, no names of users and no secrets.
+    /// Writes what may be logged of it: sizes and digests, no user names and no secrets.
     ///
     /// # Errors
     /// Those of the writer.
     fn describe(&self, to: &mut dyn fmt::Write) -> fmt::Result;
 
-    /// The key by which servers drop its repeats, where it has one.
+    /// Its idempotency key, if it has one, by which servers deduplicate repeats.
     fn key(&self) -> Option<&[u8]> {
         None
     }
 
-    /// Can it be sent only once, as it is passed on while it comes?
+    /// Returns whether it can be sent only once, because its body is streamed through while it arrives.
     fn is_single_use(&self) -> bool {
         false
     }
 }
 
-/// Where an attempt goes, and until when.
+/// The server that an attempt goes to, and its time limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     /// The request.
     pub id: RequestId,
     /// The server.
     pub server: ServerId,
-    /// When the attempt is given up.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// By when it must be written: the servers may not know its key any more from then on.
+    /// When the attempt must have been written: after that the servers may no longer know its idempotency key.
     pub send_by: Option<Instant>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult<Reply> {
-    /// For the policy.
+    /// The outcome for the policy.
     pub outcome: Outcome,
-    /// The server's answer, where the outcome is [`Outcome::Done`].
+    /// The server's response, if the outcome is [`Outcome::Done`].
     pub reply: Option<Reply>,
-    /// For how long its connection had been idle, where it was a kept one; for the log.
+    /// For how long its connection had been idle, if it was a reused one; for the log.
     pub idle_before: Option<Duration>,
-    /// How long the server took, where that is not since the attempt began.
+    /// How long the server took, if that is not the time since the attempt began.
     pub took: Option<Duration>,
 }
 
-/// How following the list of servers came to its end.
+/// Why a call that follows the server list ended.
 #[derive(Clone, Debug)]
 pub struct ListStreamEnd {
-    /// What the policy is told of it.
+    /// The kind of failure, for the policy.
     pub failure: ListFailure,
-    /// What the log is told.
+    /// The message for the log.
     pub message: String,
 }
 
-/// What moves bytes for a core: attempts, probes, and the list of servers.
+/// Moves bytes for a core: attempts, probes, and the server list.
 ///
-/// The futures run on the core's thread. Dropping one calls it off: an attempt's connection must end with it.
+/// The futures run on the core's thread. Dropping one cancels it: an attempt's connection must be closed with it.
 pub trait UpstreamTransport: Sized + 'static {
-    /// What goes to a server.
+    /// What is sent to a server.
     type Request: Payload;
-    /// What comes back.
+    /// What a server responds.
     type Reply: 'static;
 
-    /// Makes one attempt. It must ask [`Core::endpoint_for_attempt`] when it begins, and again once its connection stands: a drain
-    /// holds from the moment it is told, and a client may leave meanwhile.
+    /// Makes one attempt. It must call [`Core::endpoint_for_attempt`] when it begins, and again once it is connected: a
+    /// drain takes effect as soon as it is announced, and the client may leave in the meantime.
     fn attempt(
         core: Rc<Core<Self>>,
         to: Target,
@@ -83,13 +83,13 @@
     /// Probes a server over a connection of its own.
     fn probe(core: Rc<Core<Self>>, server: ServerId) -> impl Future<Output = Outcome> + 'static;
 
-    /// Follows the list of servers from [`Core::list_version`] on, handing what it brings to [`Core::list_received`] and
-    /// [`Core::list_unchanged`]; ends when the source does.
+    /// Follows the server list from [`Core::list_version`] on, passing updates to [`Core::list_received`] and
+    /// [`Core::list_unchanged`]; ends when the source ends the stream.
     fn follow_list(core: Rc<Core<Self>>) -> impl Future<Output = ListStreamEnd> + 'static;
 
-    /// A server's process has ended or moved: what is kept of its connections is void.
+    /// Drops the pooled connections to a server whose process has ended or moved.
     fn drop_connections(&self, server: ServerId);
 
-    /// How many connections to servers there are, for the log.
+    /// The number of connections to servers, for the log.
     fn connection_count(&self) -> usize;
 }
