--- a/crates/core/src/epochs.rs
+++ b/crates/core/src/epochs.rs
@@ -1,103 +1,110 @@
-//! One decision module for each version of the policy that has requests: a request is decided under one version from its
+//! One decision module for each policy version that has requests: a request is decided under one version from its
 //! arrival to its end.
 //!
-//! A new version's module begins with the list as it stands and learns the servers' paces anew, as a new process does. The
-//! older ones go on for the requests that they have, and are dropped with the last of them.
+//! The module of a new version starts with the current list and learns the servers' speeds again, as a new process
+//! does. The older modules go on deciding the requests they have, and each is dropped when its last request ends.
 
 use magpietally_policy::{Action, Balancer, Event, Millis};
 
-/// Which module an event is for.
+/// Which modules receive an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum For {
-    /// All of them: what concerns the servers, the list or the time.
+pub(crate) enum Recipient {
+    /// All modules: the event concerns the servers, the list or the time.
     All,
-    /// The one that decides new requests.
+    /// The module that decides new requests.
     Newest,
-    /// The one of this number, which has the request.
+    /// The module with this number, which has the request.
     Module(u64),
 }
 
-/// The modules by number, the newest last.
+/// The modules with their numbers, the newest last.
 pub(crate) struct Epochs {
     modules: Vec<(u64, Balancer)>,
-    /// The version that new requests are decided under. Several may have one module, where their settings are the same.
+    /// The version under which new requests are decided. Versions with the same settings share a module.
     epoch: u64,
-    /// The newest has not asked for the list's changes yet, and a call is out that brings them.
-    follows: bool,
+    /// Whether a call to the list's source is in progress that also serves the newest module, which has not subscribed
+    /// to the list yet.
+    call_in_progress: bool,
 }
 
 impl Epochs {
-    /// The module of the settings at the start.
+    /// Starts with the module of the initial settings.
     pub(crate) fn new(balancer: Balancer) -> Self {
-        Self { modules: vec![(0, balancer)], epoch: 0, follows: false }
+        Self { modules: vec![(0, balancer)], epoch: 0, call_in_progress: false }
     }
 
-    /// The version that new requests are decided under.
+    /// The version under which new requests are decided.
     pub(crate) fn current(&self) -> u64 {
         self.epoch
     }
 
     /// The number of the module that decides new requests.
-    pub(crate) fn module(&self) -> u64 {
+    pub(crate) fn newest_number(&self) -> u64 {
         self.modules.last().map_or(0, |(number, _)| *number)
     }
 
-    /// The module of new requests.
+    /// The module that decides new requests.
     pub(crate) fn newest(&self) -> &Balancer {
-        // There is one from the start on, and the newest is never dropped.
+        // There is one from the start, and the newest is never dropped.
         let (_, balancer) = self.modules.last().expect("one module at least");
         balancer
     }
 
-    /// New requests are decided under `epoch` from now on, by the module that decides them already.
-    pub(crate) fn rename(&mut self, epoch: u64) {
+    /// Decides new requests under `epoch` from now on, with the module that is already the newest.
+    pub(crate) fn set_epoch(&mut self, epoch: u64) {
         self.epoch = epoch;
     }
 
-    /// New requests are decided under `epoch` and by `balancer` from now on; `called` says that a call to the list's source
-    /// is out.
-    pub(crate) fn begin(&mut self, epoch: u64, balancer: Balancer, called: bool) {
-        let number = self.module() + 1;
+    /// Decides new requests under `epoch` and with `balancer` from now on. `call_in_progress` tells whether a call to
+    /// the list's source is in progress.
+    pub(crate) fn add(&mut self, epoch: u64, balancer: Balancer, call_in_progress: bool) {
+        let number = self.newest_number() + 1;
         self.modules.push((number, balancer));
         self.epoch = epoch;
-        self.follows = called;
+        self.call_in_progress = call_in_progress;
     }
 
-    /// Drops the older modules that have no request left.
-    pub(crate) fn end(&mut self, has_requests: impl Fn(u64) -> bool) {
+    /// Drops the older modules that have no requests left.
+    pub(crate) fn drop_unused(&mut self, has_requests: impl Fn(u64) -> bool) {
         let newest = self.modules.len().saturating_sub(1);
-        let mut at = 0;
+        let mut index = 0;
         self.modules.retain(|(number, _)| {
-            at += 1;
-            at > newest || has_requests(*number)
+            index += 1;
+            index > newest || has_requests(*number)
         });
     }
 
-    /// Are there older ones?
-    pub(crate) fn several(&self) -> bool {
+    /// Returns whether there are older modules besides the newest.
+    pub(crate) fn has_several(&self) -> bool {
         self.modules.len() > 1
     }
 
-    /// Hands an event to those that it is for.
-    pub(crate) fn handle(&mut self, to: For, now: Millis, event: Event, actions: &mut Vec<Action>) {
+    /// Passes an event to its recipients.
+    pub(crate) fn handle(
+        &mut self,
+        recipient: Recipient,
+        now: Millis,
+        event: Event,
+        actions: &mut Vec<Action>,
+    ) {
         let newest = self.modules.len().saturating_sub(1);
         if newest == 0 {
-            // Nearly always there is one.
+            // The usual case: a single module.
             if let Some((_, balancer)) = self.modules.first_mut() {
                 balancer.handle(now, event, actions);
             }
         } else {
-            for (at, (number, balancer)) in self.modules.iter_mut().enumerate() {
-                let wanted = match to {
-                    For::All => true,
-                    For::Newest => at == newest,
-                    For::Module(of) => of == *number,
+            for (index, (number, balancer)) in self.modules.iter_mut().enumerate() {
+                let receives = match recipient {
+                    Recipient::All => true,
+                    Recipient::Newest => index == newest,
+                    Recipient::Module(of) => of == *number,
                 };
-                if wanted {
+                if receives {
                     let from = actions.len();
                     balancer.handle(now, event.clone(), actions);
-                    if at < newest {
-                        // The list is followed for the newest, and told to all.
+                    if index < newest {
+                        // Only the newest module subscribes to the list; its updates reach all modules.
                         let mut kept = actions.split_off(from);
                         kept.retain(|action| *action != Action::Subscribe);
                         actions.append(&mut kept);
@@ -105,9 +112,9 @@
                 }
             }
         }
-        if self.follows {
+        if self.call_in_progress {
             if let Some(first) = actions.iter().position(|action| *action == Action::Subscribe) {
-                self.follows = false;
+                self.call_in_progress = false;
                 actions.remove(first);
             }
         }
--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -1,5 +1,5 @@
-//! The ledger's part in a request's life: what must not run twice is noted before an attempt of it is made, and the wait
-//! for that counts against its time. The policy learns nothing of it but the time.
+//! Where the core uses the ledger: the intent of an attempt that must not run twice is recorded before the attempt is
+//! made. The time spent waiting for that counts against the attempt's timeout; the policy sees nothing else of it.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,20 +10,20 @@
 use tokio::time::timeout_at;
 
 use crate::node::{Core, State};
-use crate::requests::{Answer, ClientRequest, Intent, Open};
+use crate::requests::{Answer, ClientRequest, Intent, OpenRequest};
 use crate::upstream::{Payload, UpstreamTransport};
 
-/// Why a request is not taken.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rejection {
-    /// One with its id is open: to send it on would be to run that one again.
+    /// A request with the same id is open: sending this one would run that one again.
     DuplicateId,
-    /// The ledger can't note it at present, or the fleet does not let this node decide: trying again is harmless, after
-    /// this time.
+    /// The ledger can't record it at present, or the fleet does not let this node decide. The client can safely retry
+    /// after this time.
     Refused(Millis),
-    /// Its tenant's quota over the fleet is used up: trying again is harmless, after this time.
+    /// The fleet-wide quota of its tenant is used up. The client can safely retry after this time.
     OverQuota(Millis),
-    /// The ledger knows of an earlier life's attempt that may have run.
+    /// According to the ledger, an attempt by an earlier incarnation of this node may have run.
     Failed(Why),
 }
 
@@ -34,13 +34,13 @@
         Effect::Unsafe => Right::Once,
         Effect::Keyed { scope, memory } => Right::Keyed {
             everywhere: scope == DedupScope::All,
-            // A span that is no number of microseconds is longer than any clock.
+            // A span too long for the integer saturates, which is longer than any clock runs.
             span_us: (memory * 1000.0) as u64,
         },
     }
 }
 
-fn how(outcome: Outcome) -> How {
+fn attempt_outcome(outcome: Outcome) -> How {
     match outcome {
         Outcome::Done => How::Done,
         Outcome::Error => How::Error,
@@ -57,11 +57,12 @@
 }
 
 impl<C: UpstreamTransport> State<C> {
-    /// What a request is told that no server will answer any more: to come again, where none of its attempts may have run.
-    pub(crate) fn unserved(&self, open: &Open<C::Request, C::Reply>) -> Answer<C::Reply> {
-        // One that is still out may run yet.
+    /// The answer to a request that no server will answer any more: refused, so that the client retries, if none of
+    /// its attempts can have run.
+    pub(crate) fn unserved(&self, open: &OpenRequest<C::Request, C::Reply>) -> Answer<C::Reply> {
+        // An attempt still in flight may run.
         let ended: Option<Vec<How>> =
-            open.attempts.iter().map(|a| a.ended.map(|(outcome, ..)| how(outcome))).collect();
+            open.attempts.iter().map(|a| a.ended.map(|(outcome, ..)| attempt_outcome(outcome))).collect();
         if ended.is_some_and(may_ask_again) {
             Answer::Refused(self.epochs.newest().retry_after(open.class))
         } else {
@@ -71,31 +72,31 @@
 }
 
 impl<C: UpstreamTransport> Core<C> {
-    /// May this request be taken, as far as the ledger goes?
-    pub(crate) fn admit(
+    /// Checks whether the ledger allows this request.
+    pub(crate) fn check_ledger(
         &self,
-        asked: &ClientRequest<C::Request>,
+        request: &ClientRequest<C::Request>,
         deadline: Instant,
     ) -> Result<(), Rejection> {
         let Some(ledger) = &self.ledger else { return Ok(()) };
-        let right = self.right(asked.class);
+        let right = self.right(request.class);
         if !right.needs_intent() {
             return Ok(());
         }
         if ledger.standing().is_err() {
             let state = &mut *self.state.borrow_mut();
             state.counts.refused += 1;
-            return Err(Rejection::Refused(state.epochs.newest().retry_after(asked.class)));
+            return Err(Rejection::Refused(state.epochs.newest().retry_after(request.class)));
         }
-        // Only where something was out at a node's death is there anything to look for.
+        // There is something to look up only if attempts were in flight when a node died.
         if ledger.unknown() == 0 {
             return Ok(());
         }
         let left = deadline.saturating_duration_since(Instant::now());
-        ledger.judge(right, &asked.id, self.key(right, &asked.request), left).map_err(|why| {
+        ledger.judge(right, &request.id, self.key(right, &request.request), left).map_err(|reason| {
             self.state.borrow_mut().counts.failed += 1;
-            tracing::warn!(target: "ledger", "{} is not sent: {}", asked.id, why.word());
-            Rejection::Failed(why)
+            tracing::warn!(target: "ledger", "{} is not sent: {}", request.id, reason.word());
+            Rejection::Failed(reason)
         })
     }
 
@@ -109,14 +110,14 @@
         request.key().filter(|_| keyed).map(KeyDigest::of)
     }
 
-    /// Puts the intent of a request's next attempt into the ledger's queue.
-    pub(crate) fn note_intent(
+    /// Enqueues the intent of a request's next attempt in the ledger.
+    pub(crate) fn record_intent(
         &self,
         state: &State<C>,
         id: RequestId,
         server: ServerId,
     ) -> Result<Pending, Trouble> {
-        let (Some(ledger), Some(open)) = (&self.ledger, state.table.get(id)) else {
+        let (Some(ledger), Some(open)) = (&self.ledger, state.requests.get(id)) else {
             return Err(Trouble::Closed);
         };
         let right = self.right(open.class);
@@ -135,8 +136,8 @@
         })
     }
 
-    /// Waits for an intent's promise, no longer than the attempt may last.
-    pub(crate) async fn promised(
+    /// Waits until the ledger confirms an intent, at most until `end`, when the attempt times out. Returns whether it did.
+    pub(crate) async fn wait_confirmed(
         &self,
         id: RequestId,
         attempt: usize,
@@ -148,46 +149,48 @@
             return false;
         }
         let mut state = self.state.borrow_mut();
-        let attempt = state.table.get_mut(id).and_then(|open| open.attempts.get_mut(attempt));
+        let attempt = state.requests.get_mut(id).and_then(|open| open.attempts.get_mut(attempt));
         let Some(intent) = attempt.and_then(|a| a.intent.as_mut()) else { return false };
-        intent.promised = true;
+        intent.confirmed = true;
         true
     }
 
-    /// An attempt was not made, as its intent could not be noted or the fleet no longer lets this node decide. Its request is not tried elsewhere, where it would meet
-    /// the same: it is answered at once, unless another attempt of it is out. To ask again is harmless only where none of
-    /// its attempts may have run.
-    pub(crate) fn not_noted(self: &Rc<Self>, id: RequestId, attempt: usize) {
+    /// Ends an attempt that was not made because its intent could not be recorded or the fleet no longer lets this node
+    /// decide. The request is not tried at another server, where the same would happen: it is answered at once, unless
+    /// another attempt of it is in flight. The client may retry only if none of its attempts can have run.
+    pub(crate) fn attempt_not_sent(self: &Rc<Self>, id: RequestId, attempt: usize) {
         let outcome = Outcome::NotSent;
         let event = {
             let state = &mut *self.state.borrow_mut();
-            let Some((_, server, took)) = self.end(state, id, attempt, outcome, (None, None)) else { return };
-            let Some(open) = state.table.get(id) else { return };
+            let Some((_, server, took)) = self.end_attempt(state, id, attempt, outcome, (None, None)) else {
+                return;
+            };
+            let Some(open) = state.requests.get(id) else { return };
             if open.attempts.iter().all(|a| a.task.is_none()) {
                 let answer = state.unserved(open);
-                self.give(state, id, answer);
+                self.send_answer(state, id, answer);
             }
-            let finished = state.table.get(id).is_none_or(|open| open.answer.is_none());
+            let finished = state.requests.get(id).is_none_or(|open| open.answer.is_none());
             Event::Ended { id, attempt, server, outcome, took, finished }
         };
-        self.feed(event);
-        self.drop_if_over(id);
+        self.handle_event(event);
+        self.remove_if_finished(id);
     }
 
-    /// An attempt that has an intent has ended.
-    pub(crate) fn note_outcome(&self, intent: Intent, outcome: Outcome) {
+    /// Records the outcome of an attempt that has an intent.
+    pub(crate) fn record_outcome(&self, intent: Intent, outcome: Outcome) {
         if let Some(ledger) = &self.ledger {
-            // What was called off before its promise was not sent.
-            let how = if intent.promised { how(outcome) } else { How::NotSent };
-            ledger.outcome(intent.number, how);
+            // An attempt cancelled before its intent was confirmed was not sent.
+            let ended = if intent.confirmed { attempt_outcome(outcome) } else { How::NotSent };
+            ledger.outcome(intent.number, ended);
         }
     }
 
-    /// A request that had an attempt in the ledger has its answer.
-    pub(crate) fn note_told(&self, state: &State<C>, id: RequestId, told: Told) {
+    /// Records the final outcome of a request that had an attempt in the ledger.
+    pub(crate) fn record_final_outcome(&self, state: &State<C>, id: RequestId, outcome: Told) {
         let Some(ledger) = &self.ledger else { return };
-        if let (Some(intent), Some(open)) = (state.table.last_intent(id), state.table.get(id)) {
-            ledger.told(intent, &open.id, told);
+        if let (Some(intent), Some(open)) = (state.requests.last_intent(id), state.requests.get(id)) {
+            ledger.told(intent, &open.id, outcome);
         }
     }
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,4 +1,4 @@
-//! The event pump: events into the policy, its actions out, and the state between them.
+//! The event loop: passes events to the policy, carries out its actions, and keeps the state in between.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,65 +15,67 @@
 
 use crate::admission::{AdmissionControl, AdmissionDecision, AdmissionRequest};
 use crate::clock::{duration, ms, Clock};
-use crate::epochs::{Epochs, For};
+use crate::epochs::{Epochs, Recipient};
 use crate::intents::{self, Rejection};
 use crate::lifecycle::Lifecycle;
 use crate::log_limiter::LogLimiter;
 use crate::process::Process;
-use crate::requests::{story, Answer, Attempt, ClientRequest, Counts, Intent, Table};
+use crate::requests::{log_line, Answer, Attempt, ClientRequest, Intent, RequestTable, StatusCounts};
 use crate::servers::{Endpoint, ServerListing, ServerTable};
 use crate::status;
 use crate::upstream::{AttemptResult, ListStreamEnd, Payload, Target, UpstreamTransport};
 
-/// How long the node waits for the list's source before it serves by the saved list.
-const READY_WITHIN: Duration = Duration::from_millis(2500);
-/// One in so many requests that are served at once has a line in the log.
-const SERVED_TOLD: u32 = 16;
+/// How long the node waits for the list's source before it serves with the saved list.
+const SAVED_LIST_AFTER: Duration = Duration::from_millis(2500);
+/// Of the requests that are served by their first attempt, one in this many is logged.
+const SERVED_LOG_INTERVAL: u32 = 16;
 
-/// What a core is told at its start.
+/// The configuration of a core.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The policy's settings.
     pub settings: Settings,
-    /// Seed of its random numbers.
+    /// Seed of the policy's random numbers.
     pub seed: u64,
     /// The names of the classes, by index; for the log.
     pub classes: Vec<String>,
     /// The names of the tenants, by index; for the log.
     pub tenants: Vec<String>,
-    /// The most requests that may be open.
+    /// The maximum number of open requests.
     pub open_cap: usize,
-    /// The list as last had, perhaps out of date.
+    /// The saved server list, perhaps out of date.
     pub saved_list: Option<ServerListing>,
-    /// What it shares with the process's other workers.
+    /// The state shared with the other workers of the process.
     pub process: Process,
-    /// What status lines begin with: which worker this is, where there are several.
+    /// The beginning of status lines, which names the worker if there are several.
     pub label: String,
-    /// Where attempts that may not run twice are noted before they are made; `None` where they are not.
+    /// The ledger that records attempts that must not run twice before they are made; `None` if nothing is recorded.
     pub ledger: Option<Ledger>,
-    /// What the fleet says of requests; `None` where the node stands alone.
+    /// The fleet's admission control; `None` if the node is not part of a fleet.
     pub admission: Option<Arc<dyn AdmissionControl>>,
 }
 
-/// A request that was taken: its number, and where its final answer comes from.
+/// An accepted request: its id in the core, and the receiver of its final answer.
 pub type AcceptedRequest<Reply> = (RequestId, oneshot::Receiver<Answer<Reply>>);
 
 pub(crate) struct State<C: UpstreamTransport> {
     pub(crate) epochs: Epochs,
-    events: VecDeque<(For, Event)>,
-    feeding: bool,
-    pub(crate) table: Table<C::Request, C::Reply>,
+    /// Events that wait to be handled.
+    events: VecDeque<(Recipient, Event)>,
+    /// Whether an event is being handled; events that come up meanwhile are queued.
+    handling: bool,
+    pub(crate) requests: RequestTable<C::Request, C::Reply>,
     pub(crate) servers: ServerTable,
-    /// When the policy wants to be woken.
+    /// When the policy's timer expires.
     timer: Option<Instant>,
-    /// The call to the list's source that is out.
-    call: Option<AbortHandle>,
-    pub(crate) counts: Counts,
-    /// The settings of the newest module, where the fleet's policy gave them.
-    told: Option<Arc<Settings>>,
+    /// The call to the list's source in progress.
+    list_call: Option<AbortHandle>,
+    pub(crate) counts: StatusCounts,
+    /// The settings of the newest module, if they come from the fleet's policy.
+    fleet_settings: Option<Arc<Settings>>,
 }
 
-/// One node: a policy, its requests and its servers.
+/// A worker's core: a policy with its requests and servers.
 pub struct Core<C: UpstreamTransport> {
     transport: C,
     pub(crate) classes: Vec<String>,
@@ -82,44 +84,46 @@
     pub(crate) rights: RefCell<Vec<Right>>,
     pub(crate) ledger: Option<Ledger>,
     admission: Option<Arc<dyn AdmissionControl>>,
-    /// Those of the start, for versions that have none of their own.
+    /// The initial settings, for policy versions without settings of their own.
     settings: Settings,
     seed: u64,
     open_cap: usize,
     label: String,
     process: Process,
-    sample: LogLimiter,
+    log_limiter: LogLimiter,
     clock: Clock,
-    informed: Cell<bool>,
-    /// Told when the list's source is first heard.
-    heard: Notify,
+    /// Whether the list's source has ever responded.
+    source_responded: Cell<bool>,
+    /// Notified when the list's source responds for the first time.
+    first_response: Notify,
     pub(crate) state: RefCell<State<C>>,
-    rearmed: Notify,
+    /// Notified when the timer is set to an earlier time.
+    timer_changed: Notify,
 }
 
 impl<C: UpstreamTransport> State<C> {
-    /// Which module an event is for. A request's own is asked while the table still has it.
-    fn addressed(&self, event: &Event) -> For {
-        if !self.epochs.several() {
-            return For::All;
+    /// Which modules receive an event. For an event of a request this must be determined while the table has the request.
+    fn recipient(&self, event: &Event) -> Recipient {
+        if !self.epochs.has_several() {
+            return Recipient::All;
         }
         match event {
             Event::Request { id, .. }
             | Event::Streaming { id, .. }
             | Event::Ended { id, .. }
             | Event::ClientGone(id) => {
-                self.table.get(*id).map_or(For::Newest, |open| For::Module(open.module))
+                self.requests.get(*id).map_or(Recipient::Newest, |open| Recipient::Module(open.module))
             }
-            _ => For::All,
+            _ => Recipient::All,
         }
     }
 }
 
 impl<C: UpstreamTransport> Core<C> {
-    /// A node that knows the saved list and has not asked the list's source yet.
+    /// Creates a core with the saved list, before any call to the list's source.
     ///
     /// # Errors
-    /// Where the policy refuses the settings.
+    /// The policy rejects the settings.
     pub fn new(setup: Setup, carrier: C) -> Result<Rc<Self>, SettingsError> {
         let settings = setup.settings.clone();
         let rights = setup.settings.classes.iter().map(|class| intents::right(class.effect)).collect();
@@ -127,13 +131,13 @@
         let state = State {
             epochs: Epochs::new(balancer),
             events: VecDeque::new(),
-            feeding: false,
-            table: Table::new(setup.process.open_ids.clone()),
+            handling: false,
+            requests: RequestTable::new(setup.process.open_ids.clone()),
             servers: ServerTable::default(),
             timer: None,
-            call: None,
-            counts: Counts::default(),
-            told: None,
+            list_call: None,
+            counts: StatusCounts::default(),
+            fleet_settings: None,
         };
         let core = Rc::new(Self {
             transport: carrier,
@@ -147,66 +151,67 @@
             open_cap: setup.open_cap,
             label: setup.label,
             process: setup.process,
-            sample: LogLimiter::default(),
+            log_limiter: LogLimiter::default(),
             clock: Clock::new(),
-            informed: Cell::new(false),
-            heard: Notify::new(),
+            source_responded: Cell::new(false),
+            first_response: Notify::new(),
             state: RefCell::new(state),
-            rearmed: Notify::new(),
+            timer_changed: Notify::new(),
         });
         let saved =
             setup.saved_list.unwrap_or(ServerListing { version: 0, complete: true, servers: Vec::new() });
-        core.take_list(saved, true);
+        core.apply_list(saved, true);
         Ok(core)
     }
 
-    /// What moves its bytes.
+    /// The transport that moves its bytes.
     pub fn transport(&self) -> &C {
         &self.transport
     }
 
-    /// Runs the policy's timer; never ends.
+    /// Runs the policy's timer; never returns.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let due = self.state.borrow().timer;
             match due {
-                None => self.rearmed.notified().await,
+                None => self.timer_changed.notified().await,
                 Some(at) => tokio::select! {
                     () = tokio::time::sleep_until(at.into()) => {
                         self.state.borrow_mut().timer = None;
-                        self.feed(Event::Timer);
+                        self.handle_event(Event::Timer);
                     }
-                    () = self.rearmed.notified() => {}
+                    () = self.timer_changed.notified() => {}
                 },
             }
         }
     }
 
-    /// What it shares with the process's other workers.
+    /// The state shared with the other workers of the process.
     pub fn process(&self) -> &Process {
         &self.process
     }
 
-    /// How many servers the list names, and how many of them are avoided now: those that drain, and those that the policy
-    /// has ejected.
+    /// The number of listed servers, and the number of those that get no requests now because they drain or the policy
+    /// has ejected them.
     pub fn server_counts(&self) -> (usize, usize) {
         let state = self.state.borrow();
-        let sent_to = state.epochs.newest().status().servers.iter().filter(|s| !s.ejected).count();
+        let usable = state.epochs.newest().status().servers.iter().filter(|s| !s.ejected).count();
         let known = state.servers.len();
-        (known, known.saturating_sub(sent_to))
+        (known, known.saturating_sub(usable))
     }
 
-    /// Can it serve? Once the list's source has answered, or soon with a saved list.
+    /// Returns whether there is a list to serve with: as soon as the list's source has responded, or, with a saved list,
+    /// a short time after the start.
     pub fn has_list(&self) -> bool {
-        let late = self.clock.age() >= READY_WITHIN;
-        self.informed.get() || (late && self.state.borrow().servers.len() > 0)
+        let late = self.clock.age() >= SAVED_LIST_AFTER;
+        self.source_responded.get() || (late && self.state.borrow().servers.len() > 0)
     }
 
-    /// Waits until it can serve, and says so to the process.
+    /// Waits until there is a list to serve with, then updates the lifecycle of the process.
     pub async fn wait_for_list(&self) {
-        let heard = self.heard.notified();
-        if !self.informed.get() {
-            let left = READY_WITHIN.saturating_sub(self.clock.age());
+        let responded = self.first_response.notified();
+        if !self.source_responded.get() {
+            let left = SAVED_LIST_AFTER.saturating_sub(self.clock.age());
             let by_saved_list = async {
                 tokio::time::sleep(left).await;
                 if !self.has_list() {
@@ -214,22 +219,22 @@
                 }
             };
             tokio::select! {
-                () = heard => {}
+                () = responded => {}
                 () = by_saved_list => {}
             }
         }
         self.process.update(Lifecycle::list_received);
     }
 
-    /// Logs what was counted since the last time, and what the policy holds: one line, where anything happened.
-    /// `dropped` counts lines that others had no room for.
+    /// Logs a status line, if there was any activity: the counts since the last one, and the state of the policy.
+    /// `dropped` is the number of log lines that other rate limits have dropped.
     pub fn log_status(&self, dropped: u64) {
-        let dropped = dropped + self.sample.start_second();
+        let dropped = dropped + self.log_limiter.start_second();
         let state = &mut *self.state.borrow_mut();
-        let Counts { served, refused, failed, gone, attempts } = std::mem::take(&mut state.counts);
+        let StatusCounts { served, refused, failed, gone, attempts } = std::mem::take(&mut state.counts);
         let status = state.epochs.newest().status();
-        let quiet = self.ledger.as_ref().is_none_or(|ledger| ledger.standing().is_ok());
-        if served + refused + failed + gone == 0 && status.open == 0 && quiet {
+        let ledger_up = self.ledger.as_ref().is_none_or(|ledger| ledger.standing().is_ok());
+        if served + refused + failed + gone == 0 && status.open == 0 && ledger_up {
             return;
         }
         let servers = status::servers(&status.servers, |server| state.servers.name(server));
@@ -249,71 +254,81 @@
 
     // ---- Events ----
 
-    /// Hands an event to the policy and does what it says. Events that come of that wait their turn.
-    pub(crate) fn feed(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the policy and carries out the resulting actions. Events that these cause are queued.
+    pub(crate) fn handle_event(self: &Rc<Self>, event: Event) {
         {
             let mut state = self.state.borrow_mut();
-            let to = state.addressed(&event);
-            state.events.push_back((to, event));
-            if state.feeding {
+            let recipient = state.recipient(&event);
+            state.events.push_back((recipient, event));
+            if state.handling {
                 return;
             }
-            state.feeding = true;
+            state.handling = true;
         }
         let mut actions = Vec::new();
         loop {
             {
                 let mut state = self.state.borrow_mut();
-                let Some((to, event)) = state.events.pop_front() else {
-                    state.feeding = false;
+                let Some((recipient, event)) = state.events.pop_front() else {
+                    state.handling = false;
                     return;
                 };
                 let now = self.clock.at(Instant::now());
-                state.epochs.handle(to, now, event, &mut actions);
+                state.epochs.handle(recipient, now, event, &mut actions);
             }
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
         }
     }
 
-    /// Takes in a client's request; the final answer comes from the receiver. `deadline` is when the answer
-    /// must be on its way.
+    /// Submits a client's request; the receiver yields its final answer. The answer must be sent by `deadline`.
     ///
     /// # Errors
-    /// Why it is not taken, and what its client is to be told at once.
+    /// Why the request is rejected, which is also what its client is to be answered at once.
     pub fn submit(
         self: &Rc<Self>,
-        asked: ClientRequest<C::Request>,
+        request: ClientRequest<C::Request>,
         deadline: Instant,
     ) -> Result<AcceptedRequest<C::Reply>, Rejection> {
-        self.admit(&asked, deadline)?;
+        self.check_ledger(&request, deadline)?;
         let (answer, answered) = oneshot::channel();
-        let (class, tenant, non_replayable) = (asked.class, asked.tenant, asked.request.is_single_use());
-        let entered = self.state.borrow_mut().table.enter(asked, deadline, answer);
-        let id = entered.ok_or(Rejection::DuplicateId)?;
-        if let Some(gate) = self.admission.clone() {
-            self.pass_gate(gate.as_ref(), id)?;
+        let (class, tenant, non_replayable) =
+            (request.class, request.tenant, request.request.is_single_use());
+        let inserted = self.state.borrow_mut().requests.insert(request, deadline, answer);
+        let id = inserted.ok_or(Rejection::DuplicateId)?;
+        if let Some(admission) = self.admission.clone() {
+            self.check_admission(admission.as_ref(), id)?;
         }
-        self.feed(Event::Request { id, class, tenant, deadline: self.clock.at(deadline), non_replayable });
+        self.handle_event(Event::Request {
+            id,
+            class,
+            tenant,
+            deadline: self.clock.at(deadline),
+            non_replayable,
+        });
         Ok((id, answered))
     }
 
-    /// Asks the fleet about a request that was entered; one that it does not let pass is forgotten again.
-    fn pass_gate(self: &Rc<Self>, gate: &dyn AdmissionControl, id: RequestId) -> Result<(), Rejection> {
-        let ruling = {
+    /// Asks admission control about a request in the table; a rejected request is removed again.
+    fn check_admission(
+        self: &Rc<Self>,
+        admission: &dyn AdmissionControl,
+        id: RequestId,
+    ) -> Result<(), Rejection> {
+        let decision = {
             let state = self.state.borrow();
-            let open = state.table.get(id).ok_or(Rejection::DuplicateId)?;
+            let open = state.requests.get(id).ok_or(Rejection::DuplicateId)?;
             let (class, tenant) = (open.class, open.tenant);
-            gate.decide(&AdmissionRequest { id: &open.id, class, tenant, key: open.request.key() })
+            admission.decide(&AdmissionRequest { id: &open.id, class, tenant, key: open.request.key() })
         };
-        let turned = match ruling {
+        let rejection = match decision {
             AdmissionDecision::Admit { epoch, at } => {
-                self.enter_epoch(gate, epoch);
+                self.switch_epoch(admission, epoch);
                 let mut state = self.state.borrow_mut();
-                let module = state.epochs.module();
-                if let Some(open) = state.table.get_mut(id) {
-                    (open.epoch, open.taken, open.module) = (epoch, at, module);
+                let module = state.epochs.newest_number();
+                if let Some(open) = state.requests.get_mut(id) {
+                    (open.epoch, open.admitted_at, open.module) = (epoch, at, module);
                 }
                 return Ok(());
             }
@@ -321,171 +336,173 @@
             AdmissionDecision::NoLease { retry_after } => Rejection::Refused(retry_after),
         };
         let mut state = self.state.borrow_mut();
-        state.table.withdraw(id);
+        state.requests.withdraw(id);
         state.counts.refused += 1;
-        Err(turned)
+        Err(rejection)
     }
 
-    /// From now on new requests are decided under this version. Where its settings are those that hold, only its number is
-    /// new; else a module of its own begins with the list as it stands.
-    fn enter_epoch(self: &Rc<Self>, gate: &dyn AdmissionControl, epoch: u64) {
+    /// Decides new requests under this version from now on. If its settings are the current ones, only the version
+    /// changes; otherwise a new module starts with the current list.
+    fn switch_epoch(self: &Rc<Self>, admission: &dyn AdmissionControl, epoch: u64) {
         {
             let state = &mut *self.state.borrow_mut();
             if state.epochs.current() == epoch {
                 return;
             }
-            let told = gate.settings(epoch);
-            let same = match (&told, &state.told) {
+            let settings = admission.settings(epoch);
+            let same = match (&settings, &state.fleet_settings) {
                 (Some(new), Some(old)) => Arc::ptr_eq(new, old),
                 (None, None) => true,
                 _ => false,
             };
             if same {
-                return state.epochs.rename(epoch);
+                return state.epochs.set_epoch(epoch);
             }
-            let settings = told.as_ref().map_or_else(|| self.settings.clone(), |s| (**s).clone());
-            let rights = settings.classes.iter().map(|class| intents::right(class.effect)).collect();
-            match Balancer::new(settings, self.seed) {
+            let module_settings = settings.as_ref().map_or_else(|| self.settings.clone(), |s| (**s).clone());
+            let rights = module_settings.classes.iter().map(|class| intents::right(class.effect)).collect();
+            match Balancer::new(module_settings, self.seed) {
                 Ok(balancer) => {
                     self.rights.replace(rights);
-                    state.told = told;
-                    state.epochs.begin(epoch, balancer, state.call.is_some());
-                    let table = &state.table;
-                    state.epochs.end(|module| table.has_module(module));
+                    state.fleet_settings = settings;
+                    state.epochs.add(epoch, balancer, state.list_call.is_some());
+                    let requests = &state.requests;
+                    state.epochs.drop_unused(|module| requests.has_requests_of(module));
                 }
                 Err(error) => {
-                    // The document was checked before it was accepted: this is a fault of the program, and to go on by
-                    // the settings that hold is better than to end.
+                    // The document was validated before it was accepted, so this is a bug. Continuing with the current
+                    // settings is better than exiting.
                     tracing::error!(target: "fleet", "version {epoch}: {error}");
-                    return state.epochs.rename(epoch);
+                    return state.epochs.set_epoch(epoch);
                 }
             }
         }
         tracing::info!(target: "fleet", "requests are decided under version {epoch}, by settings of its own");
         let entries = self.state.borrow().servers.entries();
-        let saved = !self.informed.get();
-        self.state.borrow_mut().events.push_back((For::Newest, Event::List { entries, saved }));
-        self.feed(Event::Timer);
+        let saved = !self.source_responded.get();
+        self.state.borrow_mut().events.push_back((Recipient::Newest, Event::List { entries, saved }));
+        self.handle_event(Event::Timer);
     }
 
-    /// What the fleet says, where this node is part of one.
+    /// The fleet's admission control, if this node is part of a fleet.
     pub fn admission(&self) -> Option<&dyn AdmissionControl> {
         self.admission.as_deref()
     }
 
-    /// Does the fleet change its policy, so that a request waits a moment before it is handed in?
+    /// Returns whether the fleet is changing its policy, so that a request should wait a moment before it is submitted.
     pub fn fleet_is_changing_policy(&self) -> bool {
-        self.admission.as_ref().is_some_and(|gate| gate.is_changing_policy())
+        self.admission.as_ref().is_some_and(|admission| admission.is_changing_policy())
     }
 
-    /// May this node say that it is ready, as far as the fleet goes?
+    /// Returns whether admission control lets this node report that it is ready.
     pub fn fleet_is_ready(&self) -> bool {
-        self.admission.as_ref().is_none_or(|gate| gate.is_ready())
+        self.admission.as_ref().is_none_or(|admission| admission.is_ready())
     }
 
-    /// How many requests await their final answer.
+    /// The number of requests that await their final answer.
     pub fn open_requests(&self) -> usize {
-        self.state.borrow().table.unanswered()
+        self.state.borrow().requests.unanswered()
     }
 
-    /// Answers all that is still open: the node ends, and an answer is better than a reset. What never went out is refused, as
-    /// to ask for it again is harmless.
+    /// Answers all open requests because the node is about to exit: an answer is better than a connection reset. A
+    /// request of which no attempt can have run is refused, because it can safely be retried; others fail.
     pub fn fail_open_requests(self: &Rc<Self>) {
-        let open = self.state.borrow().table.numbers();
+        let open = self.state.borrow().requests.ids_by_arrival();
         for id in open {
             let answer = {
                 let state = self.state.borrow();
-                state.table.get(id).map_or(Answer::Failed, |open| state.unserved(open))
+                state.requests.get(id).map_or(Answer::Failed, |open| state.unserved(open))
             };
             self.answer(id, answer);
             self.client_gone(id);
         }
     }
 
-    /// May one more request be taken in?
+    /// Returns whether one more request may be submitted.
     pub fn has_capacity(&self) -> bool {
-        self.state.borrow().table.len() < self.open_cap
+        self.state.borrow().requests.len() < self.open_cap
     }
 
-    /// The policy's word on when to come back, for a request of this class that it is not shown.
+    /// When a client should retry a request of this class that is refused without being submitted; from the policy.
     pub fn retry_after(&self, class: usize) -> Millis {
         self.state.borrow().epochs.newest().retry_after(class)
     }
 
-    /// Nothing is owed any more: the client left, or has been answered in the policy's place.
+    /// The request needs no answer any more: its client left, or has been answered without the policy.
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
-            if state.table.get(id).is_none() {
+            if state.requests.get(id).is_none() {
                 return;
             }
-            if state.table.close(id).is_some() {
+            if state.requests.close(id).is_some() {
                 state.counts.gone += 1;
-                self.note_told(&state, id, Told::Abandoned);
-                self.sample.log(|| self.tell(&state, id, "client gone"));
+                self.record_final_outcome(&state, id, Told::Abandoned);
+                self.log_limiter.log(|| self.log_request(&state, id, "client gone"));
             }
         }
-        self.feed(Event::ClientGone(id));
-        self.drop_if_over(id);
+        self.handle_event(Event::ClientGone(id));
+        self.remove_if_finished(id);
     }
 
     pub(crate) fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
         attempt: usize,
-        ended: AttemptResult<C::Reply>,
+        result: AttemptResult<C::Reply>,
     ) {
-        let AttemptResult { outcome, reply, idle_before: kept, took } = ended;
+        let AttemptResult { outcome, reply, idle_before, took } = result;
         let event = {
             let mut state = self.state.borrow_mut();
-            let Some((_, server, took)) = self.end(&mut state, id, attempt, outcome, (kept, took)) else {
+            let Some((_, server, took)) =
+                self.end_attempt(&mut state, id, attempt, outcome, (idle_before, took))
+            else {
                 return;
             };
             if let Some(reply) = reply {
-                self.give(&mut state, id, Answer::Served(reply));
+                self.send_answer(&mut state, id, Answer::Served(reply));
             } else if outcome == Outcome::Rejected {
-                self.give(&mut state, id, Answer::Rejected);
+                self.send_answer(&mut state, id, Answer::Rejected);
             }
-            let finished = state.table.get(id).is_none_or(|open| open.answer.is_none());
+            let finished = state.requests.get(id).is_none_or(|open| open.answer.is_none());
             Event::Ended { id, attempt, server, outcome, took, finished }
         };
-        self.feed(event);
-        self.drop_if_over(id);
+        self.handle_event(event);
+        self.remove_if_finished(id);
     }
 
-    /// Notes an attempt's one outcome, how long its connection had been kept, and how long it took where its carrier knows
-    /// better: its task, its server and how long it took; `None` where it has had one.
-    pub(crate) fn end(
+    /// Records the outcome of an attempt, for how long its connection had been idle, and its duration if the transport
+    /// measured one. Returns its task, its server and its duration in milliseconds; `None` if it had already ended.
+    pub(crate) fn end_attempt(
         &self,
         state: &mut State<C>,
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
-        (kept, took): (Option<Duration>, Option<Duration>),
+        (idle_before, took): (Option<Duration>, Option<Duration>),
     ) -> Option<(AbortHandle, ServerId, Millis)> {
-        let ended = state.table.get_mut(id)?.attempts.get_mut(attempt)?;
-        let task = ended.task.take()?;
-        let span = took.unwrap_or_else(|| ended.sent.elapsed());
-        ended.ended = Some((outcome, span, kept));
-        if let Some(intent) = ended.intent {
-            self.note_outcome(intent, outcome);
+        let entry = state.requests.get_mut(id)?.attempts.get_mut(attempt)?;
+        let task = entry.task.take()?;
+        let duration = took.unwrap_or_else(|| entry.sent.elapsed());
+        entry.ended = Some((outcome, duration, idle_before));
+        if let Some(intent) = entry.intent {
+            self.record_outcome(intent, outcome);
         }
-        state.counts.ended(outcome);
-        Some((task, ended.server, ms(span)))
+        state.counts.count_attempt(outcome);
+        Some((task, entry.server, ms(duration)))
     }
 
-    pub(crate) fn drop_if_over(&self, id: RequestId) {
+    pub(crate) fn remove_if_finished(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
-        state.table.drop_if_over(id);
-        if state.epochs.several() {
-            let table = &state.table;
-            state.epochs.end(|module| table.has_module(module));
+        state.requests.remove_if_finished(id);
+        if state.epochs.has_several() {
+            let requests = &state.requests;
+            state.epochs.drop_unused(|module| requests.has_requests_of(module));
         }
     }
 
     // ---- Actions ----
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn perform(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { id, server, timeout } => self.send(id, server, timeout),
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
@@ -499,50 +516,52 @@
 
     fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Millis>) {
         let mut state = self.state.borrow_mut();
-        let Some(open) = state.table.get_mut(id) else { return };
+        let Some(open) = state.requests.get_mut(id) else { return };
         let now = Instant::now();
         let end = now + duration(timeout.unwrap_or(f64::INFINITY));
         let attempt = open.attempts.len();
-        let to = Target { id, server, deadline: end, send_by: open.known_until(self.right(open.class)) };
+        let to =
+            Target { id, server, deadline: end, send_by: open.deduplicated_until(self.right(open.class)) };
         let (core, request) = (self.clone(), open.request.clone());
-        let may_go_on = self.admission.as_ref().is_none_or(|gate| gate.may_send(open.epoch, open.taken));
-        let (task, intent) = if !may_go_on {
-            (spawn_local(async move { core.not_noted(id, attempt) }), None)
+        let may_send =
+            self.admission.as_ref().is_none_or(|admission| admission.may_send(open.epoch, open.admitted_at));
+        let (task, intent) = if !may_send {
+            (spawn_local(async move { core.attempt_not_sent(id, attempt) }), None)
         } else if self.ledger.is_none() || !self.right(open.class).needs_intent() {
             let task = spawn_local(async move {
-                let ended = C::attempt(core.clone(), to, request).await;
-                core.attempt_ended(id, attempt, ended);
+                let result = C::attempt(core.clone(), to, request).await;
+                core.attempt_ended(id, attempt, result);
             });
             (task, None)
         } else {
-            let pending = self.note_intent(&state, id, server);
-            let intent = pending.as_ref().ok().map(|p| Intent { number: p.number, promised: false });
+            let pending = self.record_intent(&state, id, server);
+            let intent = pending.as_ref().ok().map(|p| Intent { number: p.number, confirmed: false });
             let task = spawn_local(async move {
-                if !core.promised(id, attempt, pending, end).await {
-                    return core.not_noted(id, attempt);
+                if !core.wait_confirmed(id, attempt, pending, end).await {
+                    return core.attempt_not_sent(id, attempt);
                 }
-                let ended = C::attempt(core.clone(), to, request).await;
-                core.attempt_ended(id, attempt, ended);
+                let result = C::attempt(core.clone(), to, request).await;
+                core.attempt_ended(id, attempt, result);
             });
             (task, intent)
         };
         let task = Some(task.abort_handle());
-        let Some(open) = state.table.get_mut(id) else { return };
+        let Some(open) = state.requests.get_mut(id) else { return };
         open.attempts.push(Attempt { server, sent: now, task, intent, ended: None });
     }
 
-    /// Ending the task closes its connection.
+    /// Cancels an attempt. Aborting its task closes its connection.
     fn cancel(self: &Rc<Self>, id: RequestId, attempt: usize) {
         let event = {
             let mut state = self.state.borrow_mut();
-            let ended = self.end(&mut state, id, attempt, Outcome::Cancelled, (None, None));
+            let ended = self.end_attempt(&mut state, id, attempt, Outcome::Cancelled, (None, None));
             let Some((task, server, took)) = ended else { return };
             task.abort();
-            let finished = state.table.get(id).is_none_or(|open| open.answer.is_none());
+            let finished = state.requests.get(id).is_none_or(|open| open.answer.is_none());
             Event::Ended { id, attempt, server, outcome: Outcome::Cancelled, took, finished }
         };
-        self.feed(event);
-        self.drop_if_over(id);
+        self.handle_event(event);
+        self.remove_if_finished(id);
     }
 
     fn probe(self: &Rc<Self>, server: ServerId) {
@@ -550,35 +569,35 @@
         spawn_local(async move {
             let sent = Instant::now();
             let outcome = C::probe(core.clone(), server).await;
-            core.feed(Event::Probed { server, outcome, took: ms(sent.elapsed()) });
+            core.handle_event(Event::Probed { server, outcome, took: ms(sent.elapsed()) });
         });
     }
 
     fn answer(&self, id: RequestId, answer: Answer<C::Reply>) {
-        self.give(&mut self.state.borrow_mut(), id, answer);
-        self.drop_if_over(id);
+        self.send_answer(&mut self.state.borrow_mut(), id, answer);
+        self.remove_if_finished(id);
     }
 
-    pub(crate) fn give(&self, state: &mut State<C>, id: RequestId, answer: Answer<C::Reply>) {
-        let Some(to) = state.table.close(id) else { return };
-        if let (Some(gate), Some(open)) = (&self.admission, state.table.get(id)) {
-            gate.record_answer(open.epoch, &open.id);
+    pub(crate) fn send_answer(&self, state: &mut State<C>, id: RequestId, answer: Answer<C::Reply>) {
+        let Some(sender) = state.requests.close(id) else { return };
+        if let (Some(admission), Some(open)) = (&self.admission, state.requests.get(id)) {
+            admission.record_answer(open.epoch, &open.id);
         }
-        state.counts.answered(&answer);
-        self.note_told(state, id, answer.told());
-        let attempts = state.table.get(id).map_or(0, |open| open.attempts.len());
-        // Of what was served at the first attempt some are told, to compare the others with.
+        state.counts.count_answer(&answer);
+        self.record_final_outcome(state, id, answer.final_outcome());
+        let attempts = state.requests.get(id).map_or(0, |open| open.attempts.len());
+        // Some of the requests that were served by their first attempt are logged, for comparison with the others.
         let plain = matches!(answer, Answer::Served(_)) && attempts == 1;
-        if !plain || state.counts.served % SERVED_TOLD == 1 {
-            self.sample.log(|| self.tell(state, id, answer.word()));
+        if !plain || state.counts.served % SERVED_LOG_INTERVAL == 1 {
+            self.log_limiter.log(|| self.log_request(state, id, answer.name()));
         }
-        // A client that has just left needs no answer.
-        let _ = to.send(answer);
+        // The receiver may be gone: a client that has just left needs no answer.
+        let _ = sender.send(answer);
     }
 
-    fn tell(&self, state: &State<C>, id: RequestId, end: &str) {
-        if let Some(open) = state.table.get(id) {
-            let line = story(open, &state.servers, (&self.classes, &self.tenants), end);
+    fn log_request(&self, state: &State<C>, id: RequestId, end: &str) {
+        if let Some(open) = state.requests.get(id) {
+            let line = log_line(open, &state.servers, (&self.classes, &self.tenants), end);
             tracing::info!(target: "request", "{line}");
         }
     }
@@ -588,7 +607,7 @@
         let mut state = self.state.borrow_mut();
         if state.timer.is_none_or(|due| at < due) {
             state.timer = Some(at);
-            self.rearmed.notify_one();
+            self.timer_changed.notify_one();
         }
     }
 
@@ -597,79 +616,82 @@
     fn subscribe(self: &Rc<Self>) {
         let core = self.clone();
         let call = spawn_local(async move {
-            let ListStreamEnd { failure, message: words } = C::follow_list(core.clone()).await;
-            tracing::info!(target: "list", "{words}");
-            core.feed(Event::ListFailed(failure));
+            let ListStreamEnd { failure, message } = C::follow_list(core.clone()).await;
+            tracing::info!(target: "list", "{message}");
+            core.handle_event(Event::ListFailed(failure));
         });
-        // One call at a time: what the policy no longer waits for is only load on the service.
-        if let Some(old) = self.state.borrow_mut().call.replace(call.abort_handle()) {
+        // One call at a time: a call that the policy no longer waits for would only put load on the service.
+        if let Some(old) = self.state.borrow_mut().list_call.replace(call.abort_handle()) {
             old.abort();
         }
     }
 
-    /// The list's source is elsewhere from now on, and is asked there at once. The list is kept with its version: all nodes
-    /// share one service, and at another address it goes on from there. Ending the old call first keeps its late lines out.
+    /// The list's source has a new address, which is called at once. The list and its version are kept: all nodes share
+
+    /// one service, which continues from that version at the new address. The old call is aborted first, so that none
+    /// of its updates arrive late.
     pub fn list_source_moved(self: &Rc<Self>) {
-        if let Some(old) = self.state.borrow_mut().call.take() {
+        if let Some(old) = self.state.borrow_mut().list_call.take() {
             old.abort();
         }
-        self.feed(Event::DiscoveryMoved);
+        self.handle_event(Event::DiscoveryMoved);
     }
 
-    /// How long the answer to a call for the list may take to begin.
+    /// How long a call for the list may take until the response begins.
     pub fn list_timeout(&self) -> Duration {
         duration(self.state.borrow().epochs.newest().list_response_timeout())
     }
 
-    /// The version to follow from; `None` where the whole list is needed first.
+    /// The version to follow the list from; `None` if the complete list is needed first.
     pub fn list_version(&self) -> Option<u64> {
         self.state.borrow().servers.version
     }
 
-    /// What was read last can't be trusted to follow on what the node has.
+    /// Forgets the list's version, because the last update may not follow on from the node's list.
     pub fn reset_list_version(&self) {
         self.state.borrow_mut().servers.version = None;
     }
 
-    /// Notes that the list's source was heard.
-    fn source_heard(&self) {
-        if !self.informed.replace(true) {
-            self.heard.notify_one();
+    /// Notes that the list's source has responded.
+    fn source_has_responded(&self) {
+        if !self.source_responded.replace(true) {
+            self.first_response.notify_one();
         }
     }
 
-    /// The source has answered a call, with no news: to be told once a call, as the policy waits for that.
+    /// The source has responded to a call without an update. To be called once per call, because the policy waits for it.
     pub fn list_unchanged(self: &Rc<Self>) {
-        self.source_heard();
-        self.feed(Event::ListChange(Vec::new()));
+        self.source_has_responded();
+        self.handle_event(Event::ListChange(Vec::new()));
     }
 
-    /// The source has brought a list, or changes.
+    /// The source has sent a list, or changes.
     pub fn list_received(self: &Rc<Self>, listing: ServerListing) {
-        self.source_heard();
-        self.take_list(listing, false);
+        self.source_has_responded();
+        self.apply_list(listing, false);
     }
 
-    fn take_list(self: &Rc<Self>, listing: ServerListing, saved: bool) {
-        let whole = listing.complete;
-        let (entries, void) = self.state.borrow_mut().servers.apply(listing, |unix| self.clock.at_unix(unix));
-        for server in void {
+    fn apply_list(self: &Rc<Self>, listing: ServerListing, saved: bool) {
+        let complete = listing.complete;
+        let (entries, stale) =
+            self.state.borrow_mut().servers.apply(listing, |unix| self.clock.at_unix(unix));
+        for server in stale {
             self.transport.drop_connections(server);
         }
-        self.feed(if whole { Event::List { entries, saved } } else { Event::ListChange(entries) });
+        self.handle_event(if complete { Event::List { entries, saved } } else { Event::ListChange(entries) });
     }
 
-    /// Where a server listens and which of its lives this is, if something new may be sent to it.
+    /// The endpoint of a server, if new requests may be sent to it.
     pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         self.state.borrow().servers.endpoint(server)
     }
 
-    /// The same for an attempt that has not been written yet; `None` also where its client has gone or been answered, as not
-    /// every deployment lets attempts be called off, and where it comes too late.
+    /// The endpoint for an attempt that has not been written yet. Also `None` if its client has left or been answered,
+    /// because not every deployment allows attempts to be cancelled, and if it is too late to write it.
     pub fn endpoint_for_attempt(&self, to: &Target) -> Option<Endpoint> {
         let state = self.state.borrow();
-        let owed = state.table.get(to.id).is_some_and(|open| open.answer.is_some());
-        let late = to.send_by.is_some_and(|by| Instant::now() >= by);
-        state.servers.endpoint(to.server).filter(|_| owed && !late)
+        let awaited = state.requests.get(to.id).is_some_and(|open| open.answer.is_some());
+        let late = to.send_by.is_some_and(|send_by| Instant::now() >= send_by);
+        state.servers.endpoint(to.server).filter(|_| awaited && !late)
     }
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are open or have attempts out.
+//! The requests that are open or have attempts in flight.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -18,18 +18,18 @@
 /// The final answer of a request.
 #[derive(Debug)]
 pub enum Answer<Reply> {
-    /// A server's answer.
+    /// A server's response.
     Served(Reply),
-    /// Refused: trying again is harmless, after this time.
+    /// Refused; the client can safely retry after this time.
     Refused(Millis),
     /// Failed.
     Failed,
-    /// The server finds the request itself bad.
+    /// The server found the request itself to be invalid.
     Rejected,
 }
 
 impl<Reply> Answer<Reply> {
-    pub(crate) fn word(&self) -> &'static str {
+    pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
             Self::Refused(_) => "refused",
@@ -38,7 +38,7 @@
         }
     }
 
-    pub(crate) fn told(&self) -> Told {
+    pub(crate) fn final_outcome(&self) -> Told {
         match self {
             Self::Served(_) => Told::Served,
             Self::Refused(_) => Told::Refused,
@@ -48,44 +48,45 @@
     }
 }
 
-/// A whole request, as a front read it.
+/// A complete request, as a front end has read it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest<Request> {
-    /// The client's id for it; two that are open at once may not share one.
+    /// The client's id for the request, unique among the open requests.
     pub id: String,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// What goes to a server.
+    /// What is sent to a server.
     pub request: Request,
 }
 
-/// A request that is open, or has attempts out.
-pub(crate) struct Open<Request, Reply> {
+/// A request that is open or has attempts in flight.
+pub(crate) struct OpenRequest<Request, Reply> {
     pub(crate) id: String,
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
-    /// The version of the policy that it is decided under.
+    /// The version of the policy under which it is decided.
     pub(crate) epoch: u64,
-    /// When the gate took it, by the gate's clock.
-    pub(crate) taken: Duration,
-    /// The module that decides it.
+    /// When it was admitted, by the clock of admission control.
+    pub(crate) admitted_at: Duration,
+    /// The number of the decision module that decides it.
     pub(crate) module: u64,
     pub(crate) request: Rc<Request>,
-    pub(crate) came: Instant,
+    pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
-    /// Where the final answer goes; taken when there is one, or when none is owed any more.
+    /// Sends the final answer; `None` once it has been sent or is no longer needed.
     pub(crate) answer: Option<oneshot::Sender<Answer<Reply>>>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
-impl<Request, Reply> Open<Request, Reply> {
-    /// Until when a repeat is known as one: the time for its key begins with the first attempt that may have run.
-    pub(crate) fn known_until(&self, right: Right) -> Option<Instant> {
+impl<Request, Reply> OpenRequest<Request, Reply> {
+    /// Until when servers still recognize a repeat by its idempotency key. The time starts with the first attempt that
+    /// may have run.
+    pub(crate) fn deduplicated_until(&self, right: Right) -> Option<Instant> {
         let Right::Keyed { span_us, .. } = right else { return None };
         let first = self.attempts.iter().find(|a| !a.never_ran())?.sent;
-        // A span beyond what the clock can tell has no end.
+        // A span too long for the clock never ends.
         first.checked_add(Duration::from_micros(span_us))
     }
 }
@@ -94,31 +95,31 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Intent {
     pub(crate) number: u64,
-    /// The attempt may go out. One that never may has proven that nothing ran.
-    pub(crate) promised: bool,
+    /// Whether the ledger has confirmed the intent, so that the attempt may be sent. Before that, nothing has run.
+    pub(crate) confirmed: bool,
 }
 
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) sent: Instant,
-    /// `None` once it has ended.
+    /// Its task; `None` once it has ended.
     pub(crate) task: Option<AbortHandle>,
     /// Its intent in the ledger.
     pub(crate) intent: Option<Intent>,
-    /// How it ended, after which time, and for how long its connection had been idle before; for the log.
+    /// Its outcome, its duration, and for how long its connection had been idle before; for the log.
     pub(crate) ended: Option<(Outcome, Duration, Option<Duration>)>,
 }
 
 impl Attempt {
-    /// Has it ended, and is it known that nothing of it ran?
+    /// Returns whether it has ended and certainly did not run.
     pub(crate) fn never_ran(&self) -> bool {
         self.ended.is_some_and(|(outcome, ..)| outcome.never_ran())
     }
 }
 
-/// How many answers, attempts and events there have been since the last line of the log told of them.
+/// Answers and attempts since the last status line.
 #[derive(Default)]
-pub(crate) struct Counts {
+pub(crate) struct StatusCounts {
     pub(crate) served: u32,
     pub(crate) refused: u32,
     pub(crate) failed: u32,
@@ -126,8 +127,8 @@
     pub(crate) attempts: BTreeMap<Outcome, u32>,
 }
 
-impl Counts {
-    pub(crate) fn answered<Reply>(&mut self, answer: &Answer<Reply>) {
+impl StatusCounts {
+    pub(crate) fn count_answer<Reply>(&mut self, answer: &Answer<Reply>) {
         let count = match answer {
             Answer::Served(_) => &mut self.served,
             Answer::Refused(_) => &mut self.refused,
@@ -136,21 +137,21 @@
         *count += 1;
     }
 
-    pub(crate) fn ended(&mut self, outcome: Outcome) {
+    pub(crate) fn count_attempt(&mut self, outcome: Outcome) {
         *self.attempts.entry(outcome).or_default() += 1;
     }
 }
 
 /// All requests of a node.
-pub(crate) struct Table<Request, Reply> {
-    open: HashMap<RequestId, Open<Request, Reply>>,
-    /// The clients' ids of those that still await their answer, here and at other workers.
+pub(crate) struct RequestTable<Request, Reply> {
+    open: HashMap<RequestId, OpenRequest<Request, Reply>>,
+    /// The clients' ids of the requests that await their answer, of this worker and the others.
     ids: OpenIds,
     last: u64,
 }
 
-/// A worker that dies takes its requests with it: their ids may come again.
-impl<Request, Reply> Drop for Table<Request, Reply> {
+/// Closes the ids of the open requests, so that clients can reuse them after this worker has died.
+impl<Request, Reply> Drop for RequestTable<Request, Reply> {
     fn drop(&mut self) {
         for open in self.open.values().filter(|open| open.answer.is_some()) {
             self.ids.close(&open.id);
@@ -158,41 +159,41 @@
     }
 }
 
-impl<Request: Payload, Reply> Table<Request, Reply> {
-    /// No requests; the ids may be shared with other tables.
+impl<Request: Payload, Reply> RequestTable<Request, Reply> {
+    /// Creates an empty table; the ids may be shared with other tables.
     pub(crate) fn new(ids: OpenIds) -> Self {
         Self { open: HashMap::new(), ids, last: 0 }
     }
 
-    /// The last intent of a request that was promised.
+    /// The number of the last confirmed intent of a request.
     pub(crate) fn last_intent(&self, id: RequestId) -> Option<u64> {
         let attempts = &self.open.get(&id)?.attempts;
-        attempts.iter().rev().filter_map(|a| a.intent).find(|i| i.promised).map(|i| i.number)
+        attempts.iter().rev().filter_map(|a| a.intent).find(|i| i.confirmed).map(|i| i.number)
     }
 
-    /// Enters a request; `None` where one with its id awaits its answer.
-    pub(crate) fn enter(
+    /// Adds a request; returns `None` if one with the same id awaits its answer.
+    pub(crate) fn insert(
         &mut self,
-        asked: ClientRequest<Request>,
+        request: ClientRequest<Request>,
         deadline: Instant,
         answer: oneshot::Sender<Answer<Reply>>,
     ) -> Option<RequestId> {
-        let ClientRequest { id, class, tenant, request } = asked;
+        let ClientRequest { id, class, tenant, request } = request;
         if !self.ids.open(&id) {
             return None;
         }
         self.last += 1;
         let number = RequestId(self.last);
-        let (request, came) = (Rc::new(request), Instant::now());
-        let open = Open {
+        let (request, arrived) = (Rc::new(request), Instant::now());
+        let open = OpenRequest {
             id,
             class,
             tenant,
             epoch: 0,
-            taken: Duration::ZERO,
+            admitted_at: Duration::ZERO,
             module: 0,
             request,
-            came,
+            arrived,
             deadline,
             answer: Some(answer),
             attempts: Vec::new(),
@@ -201,82 +202,84 @@
         Some(number)
     }
 
-    pub(crate) fn get(&self, id: RequestId) -> Option<&Open<Request, Reply>> {
+    pub(crate) fn get(&self, id: RequestId) -> Option<&OpenRequest<Request, Reply>> {
         self.open.get(&id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut Open<Request, Reply>> {
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest<Request, Reply>> {
         self.open.get_mut(&id)
     }
 
-    /// Takes the way to the client: from now on nothing is owed, and its id may come again.
+    /// Takes the sender of the final answer. From now on the request needs no answer and its id may be reused.
     pub(crate) fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer<Reply>>> {
         let open = self.open.get_mut(&id)?;
-        let to = open.answer.take()?;
+        let sender = open.answer.take()?;
         self.ids.close(&open.id);
-        Some(to)
+        Some(sender)
     }
 
-    /// Forgets a request that has its answer and no attempt out.
-    pub(crate) fn drop_if_over(&mut self, id: RequestId) {
-        let over =
-            |r: &Open<Request, Reply>| r.answer.is_none() && r.attempts.iter().all(|a| a.task.is_none());
-        if self.open.get(&id).is_some_and(over) {
+    /// Removes a request that has its answer and no attempt in flight.
+    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
+        let finished = |r: &OpenRequest<Request, Reply>| {
+            r.answer.is_none() && r.attempts.iter().all(|a| a.task.is_none())
+        };
+        if self.open.get(&id).is_some_and(finished) {
             self.open.remove(&id);
         }
     }
 
-    /// Forgets a request that was not taken after all: its id may come again.
+    /// Removes a request that was not admitted; its id may be reused.
     pub(crate) fn withdraw(&mut self, id: RequestId) {
         if let Some(open) = self.open.remove(&id) {
             self.ids.close(&open.id);
         }
     }
 
-    /// Has this module any request left?
-    pub(crate) fn has_module(&self, module: u64) -> bool {
+    /// Returns whether a decision module has any request left.
+    pub(crate) fn has_requests_of(&self, module: u64) -> bool {
         self.open.values().any(|open| open.module == module)
     }
 
-    /// How many are open or have attempts out.
+    /// The number of requests that are open or have attempts in flight.
     pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// How many await their final answer.
+    /// The number of requests that await their final answer.
     pub(crate) fn unanswered(&self) -> usize {
         self.open.values().filter(|r| r.answer.is_some()).count()
     }
 
-    /// All of them, in the order in which they came.
-    pub(crate) fn numbers(&self) -> Vec<RequestId> {
+    /// The ids of all requests, in order of arrival.
+    pub(crate) fn ids_by_arrival(&self) -> Vec<RequestId> {
         let mut all: Vec<RequestId> = self.open.keys().copied().collect();
         all.sort_unstable();
         all
     }
 }
 
-/// One line on the way of a request from its coming to its answer.
-pub(crate) fn story<Request: Payload, Reply>(
-    open: &Open<Request, Reply>,
-    members: &ServerTable,
+/// A log line about a request, from its arrival to its answer.
+pub(crate) fn log_line<Request: Payload, Reply>(
+    open: &OpenRequest<Request, Reply>,
+    servers: &ServerTable,
     (classes, tenants): (&[String], &[String]),
     end: &str,
 ) -> String {
     let class = classes.get(open.class).map_or("?", String::as_str);
     let tenant = open.tenant.and_then(|t| tenants.get(t)).map_or("?", String::as_str);
-    let left = ms(open.deadline.saturating_duration_since(open.came));
+    let left = ms(open.deadline.saturating_duration_since(open.arrived));
     let mut line = format!("{} {class} of {tenant}, ", open.id);
     // Writing to a string can't fail.
     let _ = open.request.describe(&mut line);
-    let _ = write!(line, ", {left:.0} ms left: {end} after {:.1} ms", ms(open.came.elapsed()));
+    let _ = write!(line, ", {left:.0} ms left: {end} after {:.1} ms", ms(open.arrived.elapsed()));
     for a in &open.attempts {
-        let name = members.name(a.server).unwrap_or("gone");
-        let at = ms(a.sent.saturating_duration_since(open.came));
+        let name = servers.name(a.server).unwrap_or("gone");
+        let at = ms(a.sent.saturating_duration_since(open.arrived));
         let _ = match a.ended {
-            Some((outcome, took, kept)) => {
-                let kept = kept.map_or("new".to_string(), |idle| format!("idle {:.0} ms", ms(idle)));
-                write!(line, "; at {at:.1} to {name} ({kept}): {outcome:?} after {:.1} ms", ms(took))
+            Some((outcome, took, idle_before)) => {
+                let connection =
+                    idle_before.map_or("new".to_string(), |idle| format!("idle {:.0} ms", ms(idle)));
+                write!(line, "; at {at:.1} to {name} ({connection}): {outcome:?} after {:.1} ms", ms(took))
             }
             None => write!(line, "; at {at:.1} to {name}: out"),
         };
--- a/crates/core/src/status/tests.rs
+++ b/crates/core/src/status/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn few_are_told_one_by_one() {
+fn few_servers_are_listed_one_by_one() {
     let mut all: Vec<ServerStatus> = (0..3).map(status).collect();
     (all[1].warmth, all[2].ejected, all[2].in_flight) = (0.5, true, 2);
     assert_eq!(
@@ -29,22 +29,22 @@
 }
 
 #[test]
-fn of_many_the_line_sums_up_and_names_who_stands_out() {
+fn many_servers_are_summarized_and_outliers_are_listed() {
     let mut all: Vec<ServerStatus> = (0..5000).map(status).collect();
     assert_eq!(
         line(&all),
         "; 5000 servers: ejected 0 cold 0 full 0 out 0, limits 4.00/4.00/4.00 shares 1.00/1.00/1.00"
     );
     (all[4711].ejected, all[17].learned_weight, all[300].limit, all[8].in_flight) = (true, 0.5, 0.25, 4);
-    let told = line(&all);
+    let text = line(&all);
     assert!(
-        told.starts_with("; 5000 servers: ejected 1 cold 0 full 1 out 4, limits 0.25/4.00/4.00"),
-        "{told}"
+        text.starts_with("; 5000 servers: ejected 1 cold 0 full 1 out 4, limits 0.25/4.00/4.00"),
+        "{text}"
     );
     let named: Vec<&str> =
-        told.split("; ").filter_map(|part| part.split(' ').next()?.strip_prefix("box-")).collect();
+        text.split("; ").filter_map(|part| part.split(' ').next()?.strip_prefix("box-")).collect();
     assert_eq!(named, ["4711", "300", "17"]);
     all.iter_mut().step_by(2).for_each(|s| s.ejected = true);
-    let told = line(&all);
-    assert!(told.len() < 800 && told.contains("more stand out"), "{} long", told.len());
+    let text = line(&all);
+    assert!(text.len() < 800 && text.contains("more stand out"), "{} long", text.len());
 }
