--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,8 +1,8 @@
-//! The fleet's admission control as the node sees it: one call for each request on its arrival, which does no I/O and
-//! never waits.
+//! The fleet's admission control as the node sees it: one call for each request on its arrival, which does no
+//! I/O and never waits.
 //!
-//! It rests on the fleet's policy version, by which this node may decide while it holds a lease on it, and on the
-//! tenants' quotas. A node on which no fleet feature is enabled has no admission control.
+//! It rests on the fleet's policy version, by which this node may decide while it holds a lease on it, and on
+//! the tenants' quotas. A node on which no fleet feature is enabled has no admission control.
 
 use std::fmt;
 use std::sync::Arc;
@@ -30,7 +30,8 @@
     Admit {
         /// The version; 0 stands for the settings that the node was started with.
         epoch: u64,
-        /// The time of admission by the clock of admission control, to be passed to [`AdmissionControl::may_send`].
+        /// The time of admission by the clock of admission control, to be passed to
+        /// [`AdmissionControl::may_send`].
         at: Duration,
     },
     /// The tenant's quota is used up; the client can safely retry after this time.
@@ -59,8 +60,9 @@
     /// Decides whether this request is admitted now, and under which policy version. Reads the clock itself.
     fn decide(&self, request: &AdmissionRequest<'_>) -> AdmissionDecision;
 
-    /// Returns whether a request that was admitted at `at`, under version `epoch`, may be sent (again) now. Called
-    /// before each attempt: a node that was suspended beyond the end of its lease may not continue what it had begun.
+    /// Returns whether a request that was admitted at `at`, under version `epoch`, may be sent (again) now.
+    /// Called before each attempt: a node that was suspended beyond the end of its lease may not continue
+    /// what it had begun.
     fn may_send(&self, epoch: u64, at: Duration) -> bool;
 
     /// Returns whether the fleet is changing its policy at this moment, so that a request should wait some
@@ -73,8 +75,8 @@
     /// The policy's settings under a version; `None` for those of the start.
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>>;
 
-    /// Proposes a document, received over the management address, to the fleet, against the version that is active on
-    /// this node.
+    /// Proposes a document, received over the management address, to the fleet, against the version that is
+    /// active on this node.
     ///
     /// # Errors
     /// Why it is not proposed, in a line for the caller.
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -24,8 +24,8 @@
         self.start.elapsed()
     }
 
-    /// Converts a past Unix time to the policy's time, by one offset for the lifetime of the node. A time in the
-    /// future counts as now: this machine's wall clock was behind when the node started.
+    /// Converts a past Unix time to the policy's time, by one offset for the lifetime of the node. A time in
+    /// the future counts as now: this machine's wall clock was behind when the node started.
     pub(crate) fn at_unix(&self, unix_ms: Millis) -> Option<Millis> {
         (unix_ms > 0.0).then(|| (unix_ms - self.unix_start).min(self.at(Instant::now())))
     }
--- a/crates/core/src/clock/tests.rs
+++ b/crates/core/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// If the wall clock is an hour behind at the node's start, a server that has just started appears to start an hour in
-/// the future. Without the limit it would count as cold for that hour.
+/// If the wall clock is an hour behind at the node's start, a server that has just started appears to start
+/// an hour in the future. Without the limit it would count as cold for that hour.
 #[test]
 fn no_start_time_is_in_the_future() {
     let clock = Clock::new();
--- a/crates/core/src/epochs.rs
+++ b/crates/core/src/epochs.rs
@@ -1,8 +1,9 @@
-//! One decision module for each policy version that has requests: a request is decided under one version from its
-//! arrival to its end.
+//! One decision module for each policy version that has requests: a request is decided under one version from
+//! its arrival to its end.
 //!
-//! The module of a new version starts with the current list and learns the servers' speeds again, as a new process
-//! does. The older modules go on deciding the requests they have, and each is dropped when its last request ends.
+//! The module of a new version starts with the current list and learns the servers' speeds again, as a new
+//! process does. The older modules go on deciding the requests they have, and each is dropped when its last
+//! request ends.
 
 use magpietally_policy::{Action, Balancer, Event, Millis};
 
@@ -22,8 +23,8 @@
     modules: Vec<(u64, Balancer)>,
     /// The version under which new requests are decided. Versions with the same settings share a module.
     epoch: u64,
-    /// Whether a call to the list's source is in progress that also serves the newest module, which has not subscribed
-    /// to the list yet.
+    /// Whether a call to the list's source is in progress that also serves the newest module, which has not
+    /// subscribed to the list yet.
     call_in_progress: bool,
 }
 
@@ -55,8 +56,8 @@
         self.epoch = epoch;
     }
 
-    /// Decides new requests under `epoch` and with `balancer` from now on. `call_in_progress` tells whether a call to
-    /// the list's source is in progress.
+    /// Decides new requests under `epoch` and with `balancer` from now on. `call_in_progress` tells whether a
+    /// call to the list's source is in progress.
     pub(crate) fn add(&mut self, epoch: u64, balancer: Balancer, call_in_progress: bool) {
         let number = self.newest_number() + 1;
         self.modules.push((number, balancer));
--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -1,5 +1,6 @@
-//! Where the core uses the ledger: the intent of an attempt that must not run twice is recorded before the attempt is
-//! made. The time spent waiting for that counts against the attempt's timeout; the policy sees nothing else of it.
+//! Where the core uses the ledger: the intent of an attempt that must not run twice is recorded before the
+//! attempt is made. The time spent waiting for that counts against the attempt's timeout; the policy sees
+//! nothing else of it.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -18,8 +19,8 @@
 pub enum Rejection {
     /// A request with the same id is open: sending this one would run that one again.
     DuplicateId,
-    /// The ledger can't record it at present, or the fleet does not let this node decide. The client can safely retry
-    /// after this time.
+    /// The ledger can't record it at present, or the fleet does not let this node decide. The client can
+    /// safely retry after this time.
     Refused(Millis),
     /// The fleet-wide quota of its tenant is used up. The client can safely retry after this time.
     OverQuota(Millis),
@@ -57,8 +58,8 @@
 }
 
 impl<C: UpstreamTransport> State<C> {
-    /// The answer to a request that no server will answer any more: refused, so that the client retries, if none of
-    /// its attempts can have run.
+    /// The answer to a request that no server will answer any more: refused, so that the client retries, if
+    /// none of its attempts can have run.
     pub(crate) fn unserved(&self, open: &OpenRequest<C::Request, C::Reply>) -> Answer<C::Reply> {
         // An attempt still in flight may run.
         let ended: Option<Vec<How>> =
@@ -136,7 +137,8 @@
         })
     }
 
-    /// Waits until the ledger confirms an intent, at most until `end`, when the attempt times out. Returns whether it did.
+    /// Waits until the ledger confirms an intent, at most until `end`, when the attempt times out. Returns
+    /// whether it did.
     pub(crate) async fn wait_confirmed(
         &self,
         id: RequestId,
@@ -155,9 +157,10 @@
         true
     }
 
-    /// Ends an attempt that was not made because its intent could not be recorded or the fleet no longer lets this node
-    /// decide. The request is not tried at another server, where the same would happen: it is answered at once, unless
-    /// another attempt of it is in flight. The client may retry only if none of its attempts can have run.
+    /// Ends an attempt that was not made because its intent could not be recorded or the fleet no longer lets
+    /// this node decide. The request is not tried at another server, where the same would happen: it is
+    /// answered at once, unless another attempt of it is in flight. The client may retry only if none of its
+    /// attempts can have run.
     pub(crate) fn attempt_not_sent(self: &Rc<Self>, id: RequestId, attempt: usize) {
         let outcome = Outcome::NotSent;
         let event = {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,17 @@
 //! Protocol-independent handling of one request from arrival to its final answer.
 //!
-//! A protocol front end hands a complete request to [`Core::submit`] and waits for its single final [`Answer`]. The
-//! core keeps the table of requests and attempts, feeds events to the policy and carries out the policy's actions,
-//! and holds the server list, the deadlines and the metrics. Bytes are moved by an [`UpstreamTransport`]: the core
-//! passes it an opaque payload, so HTTP, LDAP or a test's own protocol all use the same interface.
+//! A protocol front end hands a complete request to [`Core::submit`] and waits for its single final
+//! [`Answer`]. The core keeps the table of requests and attempts, feeds events to the policy and carries out
+//! the policy's actions, and holds the server list, the deadlines and the metrics. Bytes are moved by an
+//! [`UpstreamTransport`]: the core passes it an opaque payload, so HTTP, LDAP or a test's own protocol all
+//! use the same interface.
 //!
-//! The node's lifecycle phase, and what follows from it for `/ready`, responses and connections, is the pure state
-//! machine [`Lifecycle`]. What a process has done since its start is in its [`Metrics`], where the outcome of each
-//! request is counted exactly once.
+//! The node's lifecycle phase, and what follows from it for `/ready`, responses and connections, is the pure
+//! state machine [`Lifecycle`]. What a process has done since its start is in its [`Metrics`], where the
+//! outcome of each request is counted exactly once.
 //!
-//! Everything runs on one thread; futures are spawned on tokio's local set. The core makes no decisions: the policy
-//! chooses the server, whether to retry, and what to refuse.
+//! Everything runs on one thread; futures are spawned on tokio's local set. The core makes no decisions: the
+//! policy chooses the server, whether to retry, and what to refuse.
 
 mod admission;
 mod clock;
--- a/crates/core/src/lifecycle/tests.rs
+++ b/crates/core/src/lifecycle/tests.rs
@@ -40,11 +40,11 @@
     assert_eq!(node.idle_close_after(now), None);
     node.drain(now);
     assert!(!node.closes_after_response(now + ms(250)), "the front has 0.2 s to learn of the drain");
-    assert!(node.closes_after_response(now + ANSWERS_CLOSE));
+    assert!(node.closes_after_response(now + RESPONSES_CLOSE_AFTER));
     assert_eq!(node.idle_close_after(now + ms(500)), None);
-    assert_eq!(node.idle_close_after(now + IDLE_CLOSE), Some(IDLE_FIRST));
-    assert!(IDLE_LATE + FRESH < ms(2000));
-    assert_eq!(node.idle_close_after(now + IDLE_LATE), Some(FRESH));
+    assert_eq!(node.idle_close_after(now + IDLE_CLOSE_AFTER), Some(IDLE_MIN_EARLY));
+    assert!(IDLE_LATE_AFTER + IDLE_MIN_LATE < ms(2000));
+    assert_eq!(node.idle_close_after(now + IDLE_LATE_AFTER), Some(IDLE_MIN_LATE));
     assert!(node.accepts_connections(now + ms(60_000), 0), "requests for /ready need a connection too");
     assert!(!node.fails_open_requests(now + ms(60_000)) && !node.must_exit(now + ms(60_000)));
 }
@@ -65,21 +65,24 @@
                 && !shared.accepts_connections(now, 9)
         );
         assert!(
-            !own.accepts_connections(now + ACCEPT, 0),
+            !own.accepts_connections(now + ACCEPT_MIN, 0),
             "with no clients left there is nobody to wait for"
         );
         assert!(
-            shared.closes_after_response(now) && shared.idle_close_after(now) == Some(IDLE_FIRST)
+            shared.closes_after_response(now) && shared.idle_close_after(now) == Some(IDLE_MIN_EARLY)
                 || killed == ms(700)
         );
         let close = killed.saturating_sub(CLOSE_BEFORE);
-        assert!(own.closes_after_response(now + close) && own.idle_close_after(now + close) == Some(FRESH));
+        assert!(
+            own.closes_after_response(now + close)
+                && own.idle_close_after(now + close) == Some(IDLE_MIN_LATE)
+        );
         assert!(close == ms(0) || (!own.closes_after_response(now) && own.idle_close_after(now).is_none()));
         for node in [own, shared] {
-            assert_eq!(node.idle_close_after(now + killed - FAIL_BEFORE), Some(FRESH));
+            assert_eq!(node.idle_close_after(now + killed - FAIL_BEFORE), Some(IDLE_MIN_LATE));
             assert!(
                 node.fails_open_requests(now + killed - FAIL_BEFORE)
-                    && node.must_exit(now + killed - END_BEFORE)
+                    && node.must_exit(now + killed - EXIT_BEFORE)
             );
             assert!(!node.must_exit(now + killed - FAIL_BEFORE));
         }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// A request that has not finished. Dropping it without an outcome means that its client disconnected; no outcome is
-/// counted then.
+/// A request that has not finished. Dropping it without an outcome means that its client disconnected; no
+/// outcome is counted then.
 #[derive(Debug)]
 pub struct InProgress {
     metrics: Metrics,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -49,7 +49,8 @@
     pub process: Process,
     /// The beginning of status lines, which names the worker if there are several.
     pub label: String,
-    /// The ledger that records attempts that must not run twice before they are made; `None` if nothing is recorded.
+    /// The ledger that records attempts that must not run twice before they are made; `None` if nothing is
+    /// recorded.
     pub ledger: Option<Ledger>,
     /// The fleet's admission control; `None` if the node is not part of a fleet.
     pub admission: Option<Arc<dyn AdmissionControl>>,
@@ -102,7 +103,8 @@
 }
 
 impl<C: UpstreamTransport> State<C> {
-    /// Which modules receive an event. For an event of a request this must be determined while the table has the request.
+    /// Which modules receive an event. For an event of a request this must be determined while the table has
+    /// the request.
     fn recipient(&self, event: &Event) -> Recipient {
         if !self.epochs.has_several() {
             return Recipient::All;
@@ -124,7 +126,7 @@
     ///
     /// # Errors
     /// The policy rejects the settings.
-    pub fn new(setup: Setup, carrier: C) -> Result<Rc<Self>, SettingsError> {
+    pub fn new(setup: Setup, transport: C) -> Result<Rc<Self>, SettingsError> {
         let settings = setup.settings.clone();
         let rights = setup.settings.classes.iter().map(|class| intents::right(class.effect)).collect();
         let balancer = Balancer::new(setup.settings, setup.seed)?;
@@ -140,7 +142,7 @@
             fleet_settings: None,
         };
         let core = Rc::new(Self {
-            transport: carrier,
+            transport,
             classes: setup.classes,
             tenants: setup.tenants,
             rights: RefCell::new(rights),
@@ -191,8 +193,8 @@
         &self.process
     }
 
-    /// The number of listed servers, and the number of those that get no requests now because they drain or the policy
-    /// has ejected them.
+    /// The number of listed servers, and the number of those that get no requests now because they drain or
+    /// the policy has ejected them.
     pub fn server_counts(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let usable = state.epochs.newest().status().servers.iter().filter(|s| !s.ejected).count();
@@ -200,8 +202,8 @@
         (known, known.saturating_sub(usable))
     }
 
-    /// Returns whether there is a list to serve with: as soon as the list's source has responded, or, with a saved list,
-    /// a short time after the start.
+    /// Returns whether there is a list to serve with: as soon as the list's source has responded, or, with a
+    /// saved list, a short time after the start.
     pub fn has_list(&self) -> bool {
         let late = self.clock.age() >= SAVED_LIST_AFTER;
         self.source_responded.get() || (late && self.state.borrow().servers.len() > 0)
@@ -226,8 +228,8 @@
         self.process.update(Lifecycle::list_received);
     }
 
-    /// Logs a status line, if there was any activity: the counts since the last one, and the state of the policy.
-    /// `dropped` is the number of log lines that other rate limits have dropped.
+    /// Logs a status line, if there was any activity: the counts since the last one, and the state of the
+    /// policy. `dropped` is the number of log lines that other rate limits have dropped.
     pub fn log_status(&self, dropped: u64) {
         let dropped = dropped + self.log_limiter.start_second();
         let state = &mut *self.state.borrow_mut();
@@ -254,7 +256,8 @@
 
     // ---- Events ----
 
-    /// Passes an event to the policy and carries out the resulting actions. Events that these cause are queued.
+    /// Passes an event to the policy and carries out the resulting actions. Events that these cause are
+    /// queued.
     pub(crate) fn handle_event(self: &Rc<Self>, event: Event) {
         {
             let mut state = self.state.borrow_mut();
@@ -282,7 +285,9 @@
         }
     }
 
-    /// Submits a client's request; the receiver yields its final answer. The answer must be sent by `deadline`.
+    /// Submits a client's request; the receiver yields its final answer. The answer must be sent by
+
+    /// `deadline`.
     ///
     /// # Errors
     /// Why the request is rejected, which is also what its client is to be answered at once.
@@ -341,8 +346,8 @@
         Err(rejection)
     }
 
-    /// Decides new requests under this version from now on. If its settings are the current ones, only the version
-    /// changes; otherwise a new module starts with the current list.
+    /// Decides new requests under this version from now on. If its settings are the current ones, only the
+    /// version changes; otherwise a new module starts with the current list.
     fn switch_epoch(self: &Rc<Self>, admission: &dyn AdmissionControl, epoch: u64) {
         {
             let state = &mut *self.state.borrow_mut();
@@ -369,8 +374,8 @@
                     state.epochs.drop_unused(|module| requests.has_requests_of(module));
                 }
                 Err(error) => {
-                    // The document was validated before it was accepted, so this is a bug. Continuing with the current
-                    // settings is better than exiting.
+                    // The document was validated before it was accepted, so this is a bug. Continuing with
+                    // the current settings is better than exiting.
                     tracing::error!(target: "fleet", "version {epoch}: {error}");
                     return state.epochs.set_epoch(epoch);
                 }
@@ -388,7 +393,8 @@
         self.admission.as_deref()
     }
 
-    /// Returns whether the fleet is changing its policy, so that a request should wait a moment before it is submitted.
+    /// Returns whether the fleet is changing its policy, so that a request should wait a moment before it is
+    /// submitted.
     pub fn fleet_is_changing_policy(&self) -> bool {
         self.admission.as_ref().is_some_and(|admission| admission.is_changing_policy())
     }
@@ -403,8 +409,10 @@
         self.state.borrow().requests.unanswered()
     }
 
-    /// Answers all open requests because the node is about to exit: an answer is better than a connection reset. A
-    /// request of which no attempt can have run is refused, because it can safely be retried; others fail.
+    /// Answers all open requests because the node is about to exit: an answer is better than a connection
+
+    /// reset. A request of which no attempt can have run is refused, because it can safely be retried; others
+    /// fail.
     pub fn fail_open_requests(self: &Rc<Self>) {
         let open = self.state.borrow().requests.ids_by_arrival();
         for id in open {
@@ -422,7 +430,9 @@
         self.state.borrow().requests.len() < self.open_cap
     }
 
-    /// When a client should retry a request of this class that is refused without being submitted; from the policy.
+    /// When a client should retry a request of this class that is refused without being submitted; from the
+
+    /// policy.
     pub fn retry_after(&self, class: usize) -> Millis {
         self.state.borrow().epochs.newest().retry_after(class)
     }
@@ -470,8 +480,10 @@
         self.remove_if_finished(id);
     }
 
-    /// Records the outcome of an attempt, for how long its connection had been idle, and its duration if the transport
-    /// measured one. Returns its task, its server and its duration in milliseconds; `None` if it had already ended.
+    /// Records the outcome of an attempt, for how long its connection had been idle, and its duration if the
+
+    /// transport measured one. Returns its task, its server and its duration in milliseconds; `None` if it
+    /// had already ended.
     pub(crate) fn end_attempt(
         &self,
         state: &mut State<C>,
@@ -586,9 +598,10 @@
         state.counts.count_answer(&answer);
         self.record_final_outcome(state, id, answer.final_outcome());
         let attempts = state.requests.get(id).map_or(0, |open| open.attempts.len());
-        // Some of the requests that were served by their first attempt are logged, for comparison with the others.
-        let plain = matches!(answer, Answer::Served(_)) && attempts == 1;
-        if !plain || state.counts.served % SERVED_LOG_INTERVAL == 1 {
+        // Some of the requests that were served by their first attempt are logged, for comparison with the
+        // others.
+        let first_try = matches!(answer, Answer::Served(_)) && attempts == 1;
+        if !first_try || state.counts.served % SERVED_LOG_INTERVAL == 1 {
             self.log_limiter.log(|| self.log_request(state, id, answer.name()));
         }
         // The receiver may be gone: a client that has just left needs no answer.
@@ -626,10 +639,10 @@
         }
     }
 
-    /// The list's source has a new address, which is called at once. The list and its version are kept: all nodes share
+    /// The list's source has a new address, which is called at once. The list and its version are kept: all
 
-    /// one service, which continues from that version at the new address. The old call is aborted first, so that none
-    /// of its updates arrive late.
+    /// nodes share one service, which continues from that version at the new address. The old call is aborted
+    /// first, so that none of its updates arrive late.
     pub fn list_source_moved(self: &Rc<Self>) {
         if let Some(old) = self.state.borrow_mut().list_call.take() {
             old.abort();
@@ -653,21 +666,22 @@
     }
 
     /// Notes that the list's source has responded.
-    fn source_has_responded(&self) {
+    fn mark_source_responded(&self) {
         if !self.source_responded.replace(true) {
             self.first_response.notify_one();
         }
     }
 
-    /// The source has responded to a call without an update. To be called once per call, because the policy waits for it.
+    /// The source has responded to a call without an update. To be called once per call, because the policy
+    /// waits for it.
     pub fn list_unchanged(self: &Rc<Self>) {
-        self.source_has_responded();
+        self.mark_source_responded();
         self.handle_event(Event::ListChange(Vec::new()));
     }
 
     /// The source has sent a list, or changes.
     pub fn list_received(self: &Rc<Self>, listing: ServerListing) {
-        self.source_has_responded();
+        self.mark_source_responded();
         self.apply_list(listing, false);
     }
 
@@ -686,8 +700,9 @@
         self.state.borrow().servers.endpoint(server)
     }
 
-    /// The endpoint for an attempt that has not been written yet. Also `None` if its client has left or been answered,
-    /// because not every deployment allows attempts to be cancelled, and if it is too late to write it.
+    /// The endpoint for an attempt that has not been written yet. Also `None` if its client has left or been
+    /// answered, because not every deployment allows attempts to be cancelled, and if it is too late to write
+    /// it.
     pub fn endpoint_for_attempt(&self, to: &Target) -> Option<Endpoint> {
         let state = self.state.borrow();
         let awaited = state.requests.get(to.id).is_some_and(|open| open.answer.is_some());
--- a/crates/core/src/open_ids.rs
+++ b/crates/core/src/open_ids.rs
@@ -8,8 +8,8 @@
 /// Shards of the set, each with a lock of its own, to keep lock contention between workers low.
 const SHARDS: usize = 32;
 
-/// The ids of requests that await their answer. Clones share one set: an id that is open at one worker counts as open
-/// at all others, so that no request runs at two of them.
+/// The ids of requests that await their answer. Clones share one set: an id that is open at one worker counts
+/// as open at all others, so that no request runs at two of them.
 #[derive(Clone, Debug, Default)]
 pub struct OpenIds(Arc<Shards>);
 
@@ -29,7 +29,8 @@
 impl OpenIds {
     fn shard(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
         let index = self.0.hasher.hash_one(id) as usize % SHARDS;
-        // A worker that panicked while it held the lock left the set consistent: each change is a single call.
+        // A worker that panicked while it held the lock left the set consistent: each change is a single
+        // call.
         self.0.shards[index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -81,8 +81,8 @@
 }
 
 impl<Request, Reply> OpenRequest<Request, Reply> {
-    /// Until when servers still recognize a repeat by its idempotency key. The time starts with the first attempt that
-    /// may have run.
+    /// Until when servers still recognize a repeat by its idempotency key. The time starts with the first
+    /// attempt that may have run.
     pub(crate) fn deduplicated_until(&self, right: Right) -> Option<Instant> {
         let Right::Keyed { span_us, .. } = right else { return None };
         let first = self.attempts.iter().find(|a| !a.never_ran())?.sent;
@@ -95,7 +95,8 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Intent {
     pub(crate) number: u64,
-    /// Whether the ledger has confirmed the intent, so that the attempt may be sent. Before that, nothing has run.
+    /// Whether the ledger has confirmed the intent, so that the attempt may be sent. Before that, nothing has
+    /// run.
     pub(crate) confirmed: bool,
 }
 
@@ -210,7 +211,8 @@
         self.open.get_mut(&id)
     }
 
-    /// Takes the sender of the final answer. From now on the request needs no answer and its id may be reused.
+    /// Takes the sender of the final answer. From now on the request needs no answer and its id may be
+    /// reused.
     pub(crate) fn close(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer<Reply>>> {
         let open = self.open.get_mut(&id)?;
         let sender = open.answer.take()?;
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -49,8 +49,8 @@
     name: String,
     endpoint: Endpoint,
     state: ListedState,
-    /// When this incarnation started, by the policy's clock. Computed once: it must stay the same for the lifetime of
-    /// the incarnation.
+    /// When this incarnation started, by the policy's clock. Computed once: it must stay the same for the
+    /// lifetime of the incarnation.
     started: Option<Millis>,
     /// The remaining fields of the entry, for a decision module that is created later.
     zone: u64,
@@ -67,8 +67,8 @@
     pub(crate) version: Option<u64>,
 }
 
-/// A hash of a name that is the same at every node and after every restart: FNV-1a, mixed so that names that differ
-/// only in their last digit do not stay neighbours.
+/// A hash of a name that is the same at every node and after every restart: FNV-1a, mixed so that names that
+/// differ only in their last digit do not stay neighbours.
 pub fn stable_hash(name: &str) -> u64 {
     let hash =
         name.bytes().fold(0xCBF2_9CE4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01B3));
@@ -132,8 +132,8 @@
             );
             self.known.retain(|_, k| k.state != ListedState::Gone);
         } else {
-            // The cost of a change depends on its own size, not on the length of the list. If it names a server twice,
-            // as gone and as up again, the last entry wins.
+            // The cost of a change depends on its own size, not on the length of the list. If it names a
+            // server twice, as gone and as up again, the last entry wins.
             for entry in &entries {
                 if self.known.get(&entry.server).is_some_and(|k| k.state == ListedState::Gone) {
                     self.known.remove(&entry.server);
@@ -144,7 +144,8 @@
         (entries, stale)
     }
 
-    /// Updates the table from one entry. The change takes effect at once, also for attempts that are not written yet.
+    /// Updates the table from one entry. The change takes effect at once, also for attempts that are not
+    /// written yet.
     fn update(
         &mut self,
         listed: ListedServer,
--- a/crates/core/src/servers/tests.rs
+++ b/crates/core/src/servers/tests.rs
@@ -24,8 +24,8 @@
     assert_eq!(table.len(), 0);
 }
 
-/// Discovery reports a restart in one message. The policy uses the last entry, and the table must do the same:
-/// otherwise the policy would send to a server that has no endpoint.
+/// Discovery reports a restart in one message. The policy uses the last entry, and the table must do the
+/// same: otherwise the policy would send to a server that has no endpoint.
 #[test]
 fn a_change_that_names_a_server_as_gone_and_as_up_again_keeps_the_last_entry() {
     let mut table = ServerTable::default();
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -1,5 +1,5 @@
-//! The servers' part of a status line. Few servers are listed one by one; for many there is a summary, and only
-//! outliers are listed, so that the line's length does not grow with the number of servers.
+//! The servers' part of a status line. Few servers are listed one by one; for many there is a summary, and
+//! only outliers are listed, so that the line's length does not grow with the number of servers.
 
 use std::fmt::Write;
 
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -37,7 +37,8 @@
     pub server: ServerId,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// When the attempt must have been written: after that the servers may no longer know its idempotency key.
+    /// When the attempt must have been written: after that the servers may no longer know its idempotency
+    /// key.
     pub send_by: Option<Instant>,
 }
 
@@ -65,15 +66,16 @@
 
 /// Moves bytes for a core: attempts, probes, and the server list.
 ///
-/// The futures run on the core's thread. Dropping one cancels it: an attempt's connection must be closed with it.
+/// The futures run on the core's thread. Dropping one cancels it: an attempt's connection must be closed with
+/// it.
 pub trait UpstreamTransport: Sized + 'static {
     /// What is sent to a server.
     type Request: Payload;
     /// What a server responds.
     type Reply: 'static;
 
-    /// Makes one attempt. It must call [`Core::endpoint_for_attempt`] when it begins, and again once it is connected: a
-    /// drain takes effect as soon as it is announced, and the client may leave in the meantime.
+    /// Makes one attempt. It must call [`Core::endpoint_for_attempt`] when it begins, and again once it is
+    /// connected: a drain takes effect as soon as it is announced, and the client may leave in the meantime.
     fn attempt(
         core: Rc<Core<Self>>,
         to: Target,
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A carrier that only notes what it is told to send, settings to run it by, and how tests wait.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A transport that only records the attempts, settings for it, and helpers to run and wait.
+#![allow(dead_code)] // Each test file uses only a part.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -15,11 +15,11 @@
 };
 use tokio::task::LocalSet;
 
-pub const LOOK: usize = 0;
-pub const PAY: usize = 1;
-pub const SLIP: usize = 2;
+pub const SAFE: usize = 0;
+pub const KEYED: usize = 1;
+pub const UNSAFE: usize = 2;
 
-/// A request: its key.
+/// A request with its idempotency key.
 pub struct Request(pub &'static str);
 
 impl Payload for Request {
@@ -32,23 +32,24 @@
     }
 }
 
-/// Notes each send; answers after a while, by the outcomes that the test has laid out, then well.
+/// Records each attempt. Responds after `delay` with the outcomes that the test has set, the last one first,
+/// and with success once they are used up.
 #[derive(Default)]
-pub struct Boxes {
+pub struct TestTransport {
     pub sent: RefCell<Vec<(Instant, ServerId)>>,
     pub outcomes: RefCell<Vec<Outcome>>,
-    pub lasts: Cell<Duration>,
+    pub delay: Cell<Duration>,
 }
 
-impl UpstreamTransport for Boxes {
+impl UpstreamTransport for TestTransport {
     type Request = Request;
     type Reply = ();
 
     async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> AttemptResult<()> {
-        let boxes = core.transport();
-        boxes.sent.borrow_mut().push((Instant::now(), to.server));
-        let outcome = boxes.outcomes.borrow_mut().pop().unwrap_or(Outcome::Done);
-        tokio::time::sleep(boxes.lasts.get()).await;
+        let transport = core.transport();
+        transport.sent.borrow_mut().push((Instant::now(), to.server));
+        let outcome = transport.outcomes.borrow_mut().pop().unwrap_or(Outcome::Done);
+        tokio::time::sleep(transport.delay.get()).await;
         AttemptResult {
             outcome,
             reply: (outcome == Outcome::Done).then_some(()),
@@ -102,9 +103,9 @@
     }
 }
 
-/// A node with three servers, with neither ledger nor gate.
+/// A node with three servers, without ledger or admission control.
 pub fn setup(settings: Settings) -> Setup {
-    let member = |n: u16| ListedServer {
+    let server = |n: u16| ListedServer {
         name: format!("app-{n}"),
         address: Some(([127, 0, 0, 1], 1 + n).into()),
         zone: "a".into(),
@@ -120,7 +121,7 @@
         classes: ["look", "pay", "slip"].map(String::from).to_vec(),
         tenants: Vec::new(),
         open_cap: 100,
-        saved_list: Some(ServerListing { version: 1, complete: true, servers: (0..3).map(member).collect() }),
+        saved_list: Some(ServerListing { version: 1, complete: true, servers: (0..3).map(server).collect() }),
         process: Process::new(3, Lifecycle::new(60_000.0, false)),
         label: String::new(),
         admission: None,
@@ -128,15 +129,15 @@
     }
 }
 
-pub fn run<F: std::future::Future>(what: F) -> F::Output {
+pub fn run<F: std::future::Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new()
-        .block_on(&runtime, async { tokio::time::timeout(Duration::from_secs(30), what).await })
-        .expect("it ends")
+        .block_on(&runtime, async { tokio::time::timeout(Duration::from_secs(30), test).await })
+        .expect("the test timed out")
 }
 
-pub async fn until(holds: impl Fn() -> bool) {
-    while !holds() {
+pub async fn until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/core/tests/late.rs
+++ b/crates/core/tests/late.rs
@@ -1,4 +1,4 @@
-//! Attempts that are decided in time and could be written too late.
+//! Attempts that are decided in time but could be written too late.
 
 mod common;
 
@@ -6,41 +6,42 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{run, settings, setup, until, Boxes, Request, SLIP};
+use common::{run, settings, setup, until, Request, TestTransport, UNSAFE};
 use magpietally_core::{
     Answer, AttemptResult, ClientRequest, Core, ListStreamEnd, ListedServer, ServerListing, Target,
     UpstreamTransport,
 };
 use magpietally_policy::{DedupScope, Effect, ListedState, Outcome, RequestId, ServerId, Settings};
 
-/// Keeps each attempt until it is told to go on, and notes whether it might be written when it began, and then.
+/// Holds each attempt until the test releases it. Records whether the attempt may be written, when it begins
+/// and when it is released.
 #[derive(Default)]
-struct Slow {
-    asked: RefCell<Vec<(Target, bool, Option<bool>)>>,
-    /// The first attempts end so, at once.
+struct HoldingTransport {
+    attempts: RefCell<Vec<(Target, bool, Option<bool>)>>,
+    /// If set, the first attempt ends with this outcome at once.
     first: Cell<Option<Outcome>>,
-    go_on: Cell<usize>,
+    released: Cell<usize>,
 }
 
-impl UpstreamTransport for Slow {
+impl UpstreamTransport for HoldingTransport {
     type Request = Request;
     type Reply = ();
 
     async fn attempt(core: Rc<Core<Self>>, to: Target, _: Rc<Request>) -> AttemptResult<()> {
-        let slow = core.transport();
-        let number = slow.asked.borrow().len();
-        slow.asked.borrow_mut().push((to, core.endpoint_for_attempt(&to).is_some(), None));
-        let ended = |outcome| AttemptResult { outcome, reply: None, idle_before: None, took: None };
-        if let Some(outcome) = slow.first.take() {
-            return ended(outcome);
+        let transport = core.transport();
+        let number = transport.attempts.borrow().len();
+        transport.attempts.borrow_mut().push((to, core.endpoint_for_attempt(&to).is_some(), None));
+        let result = |outcome| AttemptResult { outcome, reply: None, idle_before: None, took: None };
+        if let Some(outcome) = transport.first.take() {
+            return result(outcome);
         }
-        until(|| slow.go_on.get() > number).await;
-        let may = core.endpoint_for_attempt(&to).is_some();
-        slow.asked.borrow_mut()[number].2 = Some(may);
-        if may {
-            AttemptResult { reply: Some(()), ..ended(Outcome::Done) }
+        until(|| transport.released.get() > number).await;
+        let may_write = core.endpoint_for_attempt(&to).is_some();
+        transport.attempts.borrow_mut()[number].2 = Some(may_write);
+        if may_write {
+            AttemptResult { reply: Some(()), ..result(Outcome::Done) }
         } else {
-            ended(Outcome::NotSent)
+            result(Outcome::NotSent)
         }
     }
 
@@ -59,20 +60,20 @@
     }
 }
 
-fn core(settings: Settings) -> Rc<Core<Slow>> {
-    Core::new(setup(settings), Slow::default()).expect("good settings")
+fn core(settings: Settings) -> Rc<Core<HoldingTransport>> {
+    Core::new(setup(settings), HoldingTransport::default()).expect("good settings")
 }
 
-fn asked(class: usize) -> ClientRequest<Request> {
+fn request(class: usize) -> ClientRequest<Request> {
     ClientRequest { id: "t1".into(), class, tenant: None, request: Request("k1") }
 }
 
-fn soon() -> Instant {
+fn in_20_s() -> Instant {
     Instant::now() + Duration::from_secs(20)
 }
 
-/// A node that had no processor time from the decision to the moment in which the connection stands: the servers have
-/// forgotten the key by then, and the repeat is not written. The one that comes in time is.
+/// A node gets no CPU time between the decision and the established connection. If the servers may have
+/// forgotten the idempotency key by then, the repeat must not be written; a repeat that is in time must be.
 #[test]
 fn a_keyed_repeat_is_not_written_once_its_key_is_forgotten() {
     for late in [false, true] {
@@ -82,52 +83,55 @@
             settings.classes[1].effect = Effect::Keyed { scope: DedupScope::All, memory };
             let core = core(settings);
             core.transport().first.set(Some(Outcome::Reset));
-            let (_, answered) = core.submit(asked(1), soon()).expect("it is taken");
-            until(|| core.transport().asked.borrow().len() == 2).await;
+            let (_, answered) = core.submit(request(1), in_20_s()).expect("accepted");
+            until(|| core.transport().attempts.borrow().len() == 2).await;
             std::thread::sleep(Duration::from_millis(1010));
-            core.transport().go_on.set(usize::MAX);
+            core.transport().released.set(usize::MAX);
             let answer = answered.await.expect("an answer");
-            let asked = core.transport().asked.borrow().clone();
-            assert!(asked[0].0.send_by.is_none() && asked[0].1, "nothing had run before the first");
-            assert!(asked[1].0.send_by.is_some() && asked[1].1, "the repeat began in time");
-            assert_eq!(asked[1].2, Some(!late));
+            let attempts = core.transport().attempts.borrow().clone();
+            assert!(
+                attempts[0].0.send_by.is_none() && attempts[0].1,
+                "nothing can have run before the first attempt"
+            );
+            assert!(attempts[1].0.send_by.is_some() && attempts[1].1, "the repeat began in time");
+            assert_eq!(attempts[1].2, Some(!late));
             assert_eq!(matches!(answer, Answer::Served(())), !late);
-            assert_eq!(asked.len(), 2, "and there is no other after it");
+            assert_eq!(attempts.len(), 2, "there is no further attempt");
         });
     }
 }
 
-/// What proves that nothing ran begins no key's time.
+/// An attempt that certainly did not run does not start the lifetime of the key.
 #[test]
-fn the_time_for_a_key_begins_with_what_may_have_run() {
+fn the_lifetime_of_a_key_starts_with_the_first_attempt_that_may_have_run() {
     run(async {
         let core = core(settings(10_000.0));
         core.transport().first.set(Some(Outcome::ConnectFailed));
-        let (_, answered) = core.submit(asked(1), soon()).expect("it is taken");
-        until(|| core.transport().asked.borrow().len() == 2).await;
-        core.transport().go_on.set(usize::MAX);
+        let (_, answered) = core.submit(request(1), in_20_s()).expect("accepted");
+        until(|| core.transport().attempts.borrow().len() == 2).await;
+        core.transport().released.set(usize::MAX);
         assert!(matches!(answered.await, Ok(Answer::Served(()))));
-        assert!(core.transport().asked.borrow()[1].0.send_by.is_none());
+        assert!(core.transport().attempts.borrow()[1].0.send_by.is_none());
     });
 }
 
-/// Where attempts may not be called off, one that was not written when its client left, or when its server began to drain,
-/// is not written later.
+/// Even if attempts may not be cancelled, an attempt that was not written when its client left, or when its
+/// server began to drain, is not written later.
 #[test]
-fn what_was_not_written_when_its_client_left_is_never_written() {
+fn an_attempt_not_written_before_its_client_left_is_never_written() {
     for (cancel, leaves) in [(false, true), (false, false), (true, false)] {
         run(async move {
             let mut settings = settings(10_000.0);
             settings.limits.cancel = cancel;
             let core = core(settings);
-            let (id, answered) = core.submit(asked(2), soon()).expect("it is taken");
-            until(|| core.transport().asked.borrow().len() == 1).await;
-            assert!(core.transport().asked.borrow()[0].1);
+            let (id, answered) = core.submit(request(2), in_20_s()).expect("accepted");
+            until(|| core.transport().attempts.borrow().len() == 1).await;
+            assert!(core.transport().attempts.borrow()[0].1);
             if leaves {
                 drop(answered);
                 core.client_gone(id);
             } else {
-                let members = (0..3).map(|n| ListedServer {
+                let servers = (0..3).map(|n| ListedServer {
                     name: format!("app-{n}"),
                     address: Some(([127, 0, 0, 1], 1 + n).into()),
                     zone: "a".into(),
@@ -137,33 +141,38 @@
                     weight: 1.0,
                     start_ms: 0.0,
                 });
-                core.list_received(ServerListing { version: 2, complete: true, servers: members.collect() });
+                core.list_received(ServerListing { version: 2, complete: true, servers: servers.collect() });
             }
-            core.transport().go_on.set(usize::MAX);
-            until(|| core.transport().asked.borrow()[0].2.is_some()).await;
-            assert_eq!(core.transport().asked.borrow()[0].2, Some(false), "cancel {cancel}, leaves {leaves}");
+            core.transport().released.set(usize::MAX);
+            until(|| core.transport().attempts.borrow()[0].2.is_some()).await;
+            assert_eq!(
+                core.transport().attempts.borrow()[0].2,
+                Some(false),
+                "cancel {cancel}, leaves {leaves}"
+            );
         });
     }
 }
 
-/// Settings that let nothing be called off leave attempts out when their request is over; what is not written then is wanted by
-/// nobody, whether its client has left or been answered.
+/// If attempts may not be cancelled, some are in flight when their request ends. One that is not written by
+/// then must not be written, whether the client has left or has been answered.
 #[test]
-fn nobody_waits_for_what_goes_out_when_its_request_is_over() {
+fn no_attempt_is_written_after_its_request_has_ended() {
     run(async {
         for leaves in [true, false] {
             let mut settings = settings(20_000.0);
             settings.limits.cancel = false;
-            let boxes = Boxes { lasts: Duration::from_secs(600).into(), ..Boxes::default() };
-            let core = Core::new(setup(settings), boxes).expect("good settings");
+            let transport =
+                TestTransport { delay: Duration::from_secs(600).into(), ..TestTransport::default() };
+            let core = Core::new(setup(settings), transport).expect("good settings");
             let end = Instant::now() + Duration::from_secs(20);
-            let (id, answered) = core.submit(asked(SLIP), end).expect("it is taken");
+            let (id, answered) = core.submit(request(UNSAFE), end).expect("accepted");
             until(|| core.transport().sent.borrow().len() == 1).await;
             let server = core.transport().sent.borrow()[0].1;
-            let wanted = |id| {
+            let may_write = |id| {
                 core.endpoint_for_attempt(&Target { id, server, deadline: end, send_by: None }).is_some()
             };
-            assert!(wanted(id));
+            assert!(may_write(id));
             if leaves {
                 core.client_gone(id);
                 assert!(answered.await.is_err());
@@ -171,9 +180,9 @@
                 core.fail_open_requests();
                 assert!(answered.await.is_ok());
             }
-            assert!(!wanted(id), "leaves: {leaves}");
-            assert!(!wanted(RequestId(id.0 + 1)), "nor for one that never came");
-            assert!(core.endpoint(server).is_some(), "the server itself may be sent to");
+            assert!(!may_write(id), "leaves: {leaves}");
+            assert!(!may_write(RequestId(id.0 + 1)), "nor for an unknown request");
+            assert!(core.endpoint(server).is_some(), "the server itself is available");
         }
     });
 }
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -32,15 +32,15 @@
     Options { directory: "simulated".into(), keeping, queue: 16, stall: Duration::from_secs(20) }
 }
 
-struct Site {
-    core: Rc<Core<Boxes>>,
+struct TestNode {
+    core: Rc<Core<TestTransport>>,
     disk: SimDisk,
     ledger: Ledger,
     running: Running,
 }
 
-impl Site {
-    /// Aims far beyond what a test waits, so that no attempt is given up for being late.
+impl TestNode {
+    /// With a latency target far beyond what a test waits, so that no attempt times out.
     fn new(disk: SimDisk, options: Options) -> Self {
         Self::with_aim(disk, options, 20_000.0)
     }
@@ -50,17 +50,17 @@
             Journal::open(disk.clone(), OWNER, options.keeping).expect("names can be read");
         let (ledger, running) = Ledger::run(journal, &recovered, options, None).expect("a thread");
         let setup = Setup { ledger: Some(ledger.clone()), ..setup(settings(aim)) };
-        let core = Core::new(setup, Boxes::default()).expect("good settings");
+        let core = Core::new(setup, TestTransport::default()).expect("good settings");
         Self { core, disk, ledger, running }
     }
 
-    fn ask(
+    fn submit(
         &self,
         class: usize,
         id: &str,
     ) -> Result<impl std::future::Future<Output = Answer<()>>, Rejection> {
-        let asked = ClientRequest { id: id.into(), class, tenant: None, request: Request("k") };
-        let (_, answered) = self.core.submit(asked, Instant::now() + Duration::from_secs(60))?;
+        let request = ClientRequest { id: id.into(), class, tenant: None, request: Request("k") };
+        let (_, answered) = self.core.submit(request, Instant::now() + Duration::from_secs(60))?;
         Ok(async { answered.await.expect("a final answer") })
     }
 
@@ -68,19 +68,19 @@
         self.core.transport().sent.borrow().len()
     }
 
-    /// Ends the writer: what was noted, by request.
-    fn end(self) -> BTreeMap<String, Vec<String>> {
-        assert!(self.running.close(Duration::from_secs(20)), "the writer ends");
-        let (mut all, mut whose) = (BTreeMap::<String, Vec<String>>::new(), BTreeMap::new());
-        let mut note = |id: &str, what: String| all.entry(id.to_string()).or_default().push(what);
+    /// Stops the ledger's writer and returns what was recorded, by request.
+    fn close(self) -> BTreeMap<String, Vec<String>> {
+        assert!(self.running.close(Duration::from_secs(20)), "the writer stops");
+        let (mut all, mut owners) = (BTreeMap::<String, Vec<String>>::new(), BTreeMap::new());
+        let mut note = |id: &str, entry: String| all.entry(id.to_string()).or_default().push(entry);
         let mut disk = SimDisk::of(self.disk.files());
         recover(&mut disk, OWNER, Bounds::default(), Reach::All, &mut |seen| match seen.record {
             Record::Intent(i) => {
                 note(&i.id, format!("to {}", i.server));
-                whose.insert(i.number, i.id);
+                owners.insert(i.number, i.id);
             }
-            Record::Outcome(o) => note(&whose[&o.intent], format!("{:?}", o.how)),
-            Record::Final(f) => note(&f.id, format!("told {:?}", f.told)),
+            Record::Outcome(o) => note(&owners[&o.intent], format!("{:?}", o.how)),
+            Record::Final(f) => note(&f.id, format!("final {:?}", f.told)),
             _ => {}
         })
         .expect("names can be read");
@@ -89,124 +89,129 @@
 }
 
 #[test]
-fn what_may_not_run_twice_waits_for_its_promise_and_what_may_does_not() {
+fn only_requests_that_must_not_run_twice_wait_for_the_ledger() {
     run(async {
-        let site = Site::new(SimDisk::default(), options());
-        tokio::task::spawn_local(site.core.clone().run_timer());
-        let slow = Duration::from_millis(60);
-        site.disk.slow(slow);
+        let node = TestNode::new(SimDisk::default(), options());
+        tokio::task::spawn_local(node.core.clone().run_timer());
+        let delay = Duration::from_millis(60);
+        node.disk.slow(delay);
         let began = Instant::now();
-        let (pay, slip, look) = (site.ask(PAY, "1"), site.ask(SLIP, "2"), site.ask(LOOK, "3"));
-        let look = look.expect("taken").await;
-        assert!(matches!(look, Answer::Served(())));
-        // Both noted in their turn: a write and a sync at the least come before either.
-        for taken in [pay, slip] {
-            let answer = match taken {
+        let (keyed, unsafe_one, safe) =
+            (node.submit(KEYED, "1"), node.submit(UNSAFE, "2"), node.submit(SAFE, "3"));
+        let safe = safe.expect("accepted").await;
+        assert!(matches!(safe, Answer::Served(())));
+        // Each is preceded by at least one write and one sync of the ledger.
+        for accepted in [keyed, unsafe_one] {
+            let answer = match accepted {
                 Ok(answer) => answer.await,
-                Err(turned) => panic!("{turned:?}"),
+                Err(rejection) => panic!("{rejection:?}"),
             };
             assert!(matches!(answer, Answer::Served(())));
         }
-        let sent = site.core.transport().sent.borrow().clone();
+        let sent = node.core.transport().sent.borrow().clone();
         assert_eq!(sent.len(), 3);
-        assert!(sent[1..].iter().all(|(at, _)| *at - began >= 2 * slow), "sent before the promise");
-        let noted = site.end();
-        assert_eq!(noted.len(), 2, "the safe one is not noted: {noted:?}");
-        assert!(noted.values().all(|n| n.len() == 3 && n[1..] == ["Done", "told Served"]), "{noted:?}");
+        assert!(sent[1..].iter().all(|(at, _)| *at - began >= 2 * delay), "sent before the ledger confirmed");
+        let recorded = node.close();
+        assert_eq!(recorded.len(), 2, "the safe request is not recorded: {recorded:?}");
+        assert!(
+            recorded.values().all(|n| n.len() == 3 && n[1..] == ["Done", "final Served"]),
+            "{recorded:?}"
+        );
     });
 }
 
 #[test]
-fn a_full_disk_refuses_what_needs_it_at_once_serves_the_rest_and_heals() {
+fn a_full_disk_refuses_requests_that_need_it_serves_the_rest_and_recovers() {
     run(async {
-        let site = Site::new(SimDisk::default(), options());
-        tokio::task::spawn_local(site.core.clone().run_timer());
-        site.disk.fail(site.disk.calls()..usize::MAX, Trouble::NoSpace);
-        // The first one meets the full disk with its intent, the next is turned away at the door.
-        let met = site.ask(SLIP, "1").expect("nothing is known yet").await;
-        assert!(matches!(met, Answer::Refused(after) if after > 0.0), "{met:?}");
-        assert_eq!(site.ledger.standing(), Err(magpietally_ledger::Trouble::Down));
-        assert!(site.ledger.line().starts_with("ledger down (write: "), "{}", site.ledger.line());
-        for (class, id) in [(SLIP, "2"), (PAY, "3")] {
-            match site.ask(class, id) {
+        let node = TestNode::new(SimDisk::default(), options());
+        tokio::task::spawn_local(node.core.clone().run_timer());
+        node.disk.fail(node.disk.calls()..usize::MAX, Trouble::NoSpace);
+        // The intent of the first request fails on the full disk; the next requests are rejected on arrival.
+        let first = node.submit(UNSAFE, "1").expect("the failure is not known yet").await;
+        assert!(matches!(first, Answer::Refused(after) if after > 0.0), "{first:?}");
+        assert_eq!(node.ledger.standing(), Err(magpietally_ledger::Trouble::Down));
+        assert!(node.ledger.line().starts_with("ledger down (write: "), "{}", node.ledger.line());
+        for (class, id) in [(UNSAFE, "2"), (KEYED, "3")] {
+            match node.submit(class, id) {
                 Err(Rejection::Refused(after)) => assert!(after > 0.0),
                 Err(other) => panic!("{other:?}"),
-                Ok(_) => panic!("taken while the disk is full"),
+                Ok(_) => panic!("accepted while the disk is full"),
             }
         }
-        assert!(matches!(site.ask(LOOK, "4").expect("taken").await, Answer::Served(())));
-        assert_eq!(site.sent(), 1, "nothing that needs an intent went out");
-        site.disk.repair();
-        until(|| site.ledger.standing().is_ok()).await;
-        assert!(matches!(site.ask(SLIP, "5").expect("taken").await, Answer::Served(())));
-        let noted = site.end();
-        assert!(!noted.contains_key("2") && noted["5"].len() == 3, "{noted:?}");
+        assert!(matches!(node.submit(SAFE, "4").expect("accepted").await, Answer::Served(())));
+        assert_eq!(node.sent(), 1, "no attempt that needs an intent was sent");
+        node.disk.repair();
+        until(|| node.ledger.standing().is_ok()).await;
+        assert!(matches!(node.submit(UNSAFE, "5").expect("accepted").await, Answer::Served(())));
+        let recorded = node.close();
+        assert!(!recorded.contains_key("2") && recorded["5"].len() == 3, "{recorded:?}");
     });
 }
 
 #[test]
-fn a_sync_that_fails_promises_nothing_though_the_bytes_may_be_there() {
+fn a_failed_sync_confirms_nothing_although_the_data_may_be_on_disk() {
     run(async {
-        let site = Site::new(SimDisk::default(), options());
-        tokio::task::spawn_local(site.core.clone().run_timer());
-        // The write goes well; the sync after it does not.
-        site.disk.fail(site.disk.calls() + 1..site.disk.calls() + 2, Trouble::Io);
-        assert!(matches!(site.ask(PAY, "1").expect("taken").await, Answer::Refused(_)));
-        assert_eq!(site.sent(), 0);
-        until(|| site.ledger.standing().is_ok()).await;
-        assert!(matches!(site.ask(PAY, "2").expect("taken").await, Answer::Served(())));
+        let node = TestNode::new(SimDisk::default(), options());
+        tokio::task::spawn_local(node.core.clone().run_timer());
+        // The write succeeds; the sync after it fails.
+        node.disk.fail(node.disk.calls() + 1..node.disk.calls() + 2, Trouble::Io);
+        assert!(matches!(node.submit(KEYED, "1").expect("accepted").await, Answer::Refused(_)));
+        assert_eq!(node.sent(), 0);
+        until(|| node.ledger.standing().is_ok()).await;
+        assert!(matches!(node.submit(KEYED, "2").expect("accepted").await, Answer::Served(())));
     });
 }
 
 #[test]
-fn a_disk_that_hangs_is_slow_and_its_waiters_are_answered_within_their_time() {
+fn a_hanging_disk_is_reported_as_slow_and_waiting_requests_are_answered_in_time() {
     run(async {
         let stall = Duration::from_millis(50);
-        let site = Site::with_aim(SimDisk::default(), Options { stall, ..options() }, 500.0);
-        tokio::task::spawn_local(site.core.clone().run_timer());
-        site.disk.slow(Duration::from_millis(1500));
-        let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
-        let (_, waits) = site.core.submit(asked, Instant::now() + Duration::from_millis(400)).expect("taken");
-        until(|| site.ledger.standing() == Err(magpietally_ledger::Trouble::Slow)).await;
-        assert!(matches!(site.ask(SLIP, "2"), Err(Rejection::Refused(_))));
-        assert!(matches!(site.ask(LOOK, "3").expect("taken").await, Answer::Served(())));
+        let node = TestNode::with_aim(SimDisk::default(), Options { stall, ..options() }, 500.0);
+        tokio::task::spawn_local(node.core.clone().run_timer());
+        node.disk.slow(Duration::from_millis(1500));
+        let request = ClientRequest { id: "1".into(), class: UNSAFE, tenant: None, request: Request("k") };
+        let (_, waits) =
+            node.core.submit(request, Instant::now() + Duration::from_millis(400)).expect("accepted");
+        until(|| node.ledger.standing() == Err(magpietally_ledger::Trouble::Slow)).await;
+        assert!(matches!(node.submit(UNSAFE, "2"), Err(Rejection::Refused(_))));
+        assert!(matches!(node.submit(SAFE, "3").expect("accepted").await, Answer::Served(())));
         let answer = waits.await.expect("a final answer");
         assert!(matches!(answer, Answer::Refused(_) | Answer::Failed), "{answer:?}");
-        assert_eq!(site.sent(), 1, "the safe one alone");
-        site.disk.repair();
-        // The intent that nobody waited for was not sent, and says so.
-        let noted = site.end();
-        assert_eq!(noted["1"][1..], ["NotSent"], "{noted:?}");
+        assert_eq!(node.sent(), 1, "only the safe request");
+        node.disk.repair();
+        // The attempt whose request no longer waited was not sent, and is recorded so.
+        let recorded = node.close();
+        assert_eq!(recorded["1"][1..], ["NotSent"], "{recorded:?}");
     });
 }
 
-/// Two attempts of one request out at once are two intents, each with its own outcome.
+/// Two concurrent attempts of one request have two intents, each with its own outcome.
 #[test]
 fn each_attempt_has_an_intent_of_its_own() {
     run(async {
-        let site = Site::new(SimDisk::default(), options());
-        tokio::task::spawn_local(site.core.clone().run_timer());
-        *site.core.transport().outcomes.borrow_mut() = vec![Outcome::Done, Outcome::Reset, Outcome::Full];
-        assert!(matches!(site.ask(PAY, "1").expect("taken").await, Answer::Served(())));
-        let noted = &site.end()["1"];
-        let outcomes: Vec<&String> = noted.iter().filter(|n| !n.starts_with("to ")).collect();
-        assert_eq!(outcomes, ["Full", "Reset", "Done", "told Served"], "{noted:?}");
+        let node = TestNode::new(SimDisk::default(), options());
+        tokio::task::spawn_local(node.core.clone().run_timer());
+        *node.core.transport().outcomes.borrow_mut() = vec![Outcome::Done, Outcome::Reset, Outcome::Full];
+        assert!(matches!(node.submit(KEYED, "1").expect("accepted").await, Answer::Served(())));
+        let recorded = &node.close()["1"];
+        let outcomes: Vec<&String> = recorded.iter().filter(|n| !n.starts_with("to ")).collect();
+        assert_eq!(outcomes, ["Full", "Reset", "Done", "final Served"], "{recorded:?}");
     });
 }
 
 #[test]
-fn a_client_that_leaves_is_noted_and_so_is_what_was_called_off() {
+fn a_client_that_leaves_and_its_cancelled_attempt_are_recorded() {
     run(async {
-        let site = Site::new(SimDisk::default(), options());
-        tokio::task::spawn_local(site.core.clone().run_timer());
-        site.core.transport().lasts.set(Duration::from_secs(20));
-        let asked = ClientRequest { id: "1".into(), class: SLIP, tenant: None, request: Request("k") };
-        let (id, _) = site.core.submit(asked, Instant::now() + Duration::from_secs(60)).expect("taken");
-        until(|| site.sent() == 1).await;
-        site.core.client_gone(id);
-        let noted = &site.end()["1"];
-        assert!(noted.contains(&format!("told {:?}", Told::Abandoned)), "{noted:?}");
-        let called_off = noted.contains(&format!("{:?}", How::Cancelled));
-        assert!(called_off || noted.len() == 2, "one that goes on is still open: {noted:?}");
+        let node = TestNode::new(SimDisk::default(), options());
+        tokio::task::spawn_local(node.core.clone().run_timer());
+        node.core.transport().delay.set(Duration::from_secs(20));
+        let request = ClientRequest { id: "1".into(), class: UNSAFE, tenant: None, request: Request("k") };
+        let (id, _) = node.core.submit(request, Instant::now() + Duration::from_secs(60)).expect("accepted");
+        until(|| node.sent() == 1).await;
+        node.core.client_gone(id);
+        let recorded = &node.close()["1"];
+        assert!(recorded.contains(&format!("final {:?}", Told::Abandoned)), "{recorded:?}");
+        let cancelled = recorded.contains(&format!("{:?}", How::Cancelled));
+        assert!(cancelled || recorded.len() == 2, "an attempt not cancelled is still open: {recorded:?}");
     });
 }
