--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,58 +1,58 @@
-//! Values of a JSON object, each read with the words that are wanted where it is not what it should be.
+//! Readers for the fields of a JSON object, whose errors name the field and the expected value.
 
 use std::borrow::Cow;
 
 use serde_json::{Map, Value};
 
-/// A value that cannot be understood, in words that name it.
+/// Why a value is missing or invalid: a message that begins with the path of the field.
 pub type FieldError = String;
 
-/// A number.
+/// Reads a number.
 ///
 /// # Errors
-/// Names `what`, and what was expected.
-pub fn number(value: &Value, what: &str) -> Result<f64, FieldError> {
-    value.as_f64().ok_or_else(|| format!("{what}: number expected"))
+/// The value has another type; the message contains `name` and the expected type.
+pub fn number(value: &Value, name: &str) -> Result<f64, FieldError> {
+    value.as_f64().ok_or_else(|| format!("{name}: number expected"))
 }
 
-/// A whole number, also one written as a decimal.
+/// Reads a whole number, which may be written as a decimal.
 ///
 /// # Errors
-/// Names `what`, and what was expected.
-pub fn integer(value: &Value, what: &str) -> Result<u64, FieldError> {
+/// The value has another type; the message contains `name` and the expected type.
+pub fn integer(value: &Value, name: &str) -> Result<u64, FieldError> {
     let float = || value.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64);
-    value.as_u64().or_else(float).ok_or_else(|| format!("{what}: whole number expected"))
+    value.as_u64().or_else(float).ok_or_else(|| format!("{name}: whole number expected"))
 }
 
-/// A number, or null.
+/// Reads a number or null.
 ///
 /// # Errors
-/// Names `what`, and what was expected.
-pub fn optional_number(value: &Value, what: &str) -> Result<Option<f64>, FieldError> {
+/// The value has another type; the message contains `name` and the expected type.
+pub fn optional_number(value: &Value, name: &str) -> Result<Option<f64>, FieldError> {
     if value.is_null() {
         Ok(None)
     } else {
-        number(value, what).map(Some)
+        number(value, name).map(Some)
     }
 }
 
-/// A text.
+/// Reads a string.
 ///
 /// # Errors
-/// Names `what`, and what was expected.
-pub fn string<'a>(value: &'a Value, what: &str) -> Result<&'a str, FieldError> {
-    value.as_str().ok_or_else(|| format!("{what}: text expected"))
+/// The value has another type; the message contains `name` and the expected type.
+pub fn string<'a>(value: &'a Value, name: &str) -> Result<&'a str, FieldError> {
+    value.as_str().ok_or_else(|| format!("{name}: text expected"))
 }
 
-/// An array.
+/// Reads an array.
 ///
 /// # Errors
-/// Names `what`, and what was expected.
-pub fn list<'a>(value: &'a Value, what: &str) -> Result<&'a Vec<Value>, FieldError> {
-    value.as_array().ok_or_else(|| format!("{what}: array expected"))
+/// The value has another type; the message contains `name` and the expected type.
+pub fn list<'a>(value: &'a Value, name: &str) -> Result<&'a Vec<Value>, FieldError> {
+    value.as_array().ok_or_else(|| format!("{name}: array expected"))
 }
 
-/// What a number may be.
+/// The valid range of a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Range {
     /// Above 0.
@@ -64,9 +64,9 @@
 }
 
 impl Range {
-    /// Why this number is outside; `None` where it is inside.
-    fn outside(self, value: f64) -> Option<&'static str> {
-        let (inside, why) = match self {
+    /// Returns the error for a number outside the range; `None` if it is inside.
+    fn violation(self, value: f64) -> Option<&'static str> {
+        let (inside, message) = match self {
             Self::Positive => (value > 0.0, "must be above 0"),
             Self::NonNegative => (value >= 0.0, "must not be negative"),
             Self::Share => ((0.0..=1.0).contains(&value), "a share is from 0 to 1"),
@@ -74,46 +74,46 @@
         if !value.is_finite() {
             return Some("must be finite");
         }
-        (!inside).then_some(why)
+        (!inside).then_some(message)
     }
 }
 
-/// The fields of one object.
+/// The fields of a JSON object and its path, for error messages.
 pub struct Fields<'a> {
     map: &'a Map<String, Value>,
     path: Cow<'a, str>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of an object.
+    /// Reads an object at a path.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The value is not an object.
     pub fn from_value(value: &'a Value, path: impl Into<Cow<'a, str>>) -> Result<Self, FieldError> {
         let path = path.into();
         let map = value.as_object().ok_or_else(|| format!("{path}: object expected"))?;
         Ok(Self { map, path })
     }
 
-    /// Where a field stands.
+    /// The path of a field.
     pub fn path(&self, key: &str) -> String {
         format!("{}.{key}", self.path)
     }
 
-    /// A field that is there and not null.
+    /// The value of a field; `None` if it is absent or null.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
         self.map.get(key).filter(|v| !v.is_null())
     }
 
-    /// A field that must be there.
+    /// The value of a required field.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is absent or null.
     pub fn require(&self, key: &str) -> Result<&'a Value, FieldError> {
         self.get(key).ok_or_else(|| format!("{} is missing", self.path(key)))
     }
 
-    /// What a reader makes of a field that must be there; its words on what is wrong follow the field's name.
+    /// Passes a required field to `reader`, whose error message must begin with the key that it is given.
     fn read<T>(
         &self,
         key: &str,
@@ -122,105 +122,105 @@
         reader(self.require(key)?, key).map_err(|e| format!("{}.{e}", self.path))
     }
 
-    /// A number that must be there.
+    /// Reads a required number.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn number(&self, key: &str) -> Result<f64, FieldError> {
         self.read(key, number)
     }
 
-    /// A number that must be there and inside a range.
+    /// Reads a required number within a range.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn number_in(&self, key: &str, range: Range) -> Result<f64, FieldError> {
         let value = self.number(key)?;
-        match range.outside(value) {
+        match range.violation(value) {
             None => Ok(value),
-            Some(why) => Err(format!("{}: {value}: {why}", self.path(key))),
+            Some(message) => Err(format!("{}: {value}: {message}", self.path(key))),
         }
     }
 
-    /// The same of one that may be absent.
+    /// Reads a number within a range, if the field is present.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn optional_number_in(&self, key: &str, range: Range) -> Result<Option<f64>, FieldError> {
         self.get(key).map(|_| self.number_in(key, range)).transpose()
     }
 
-    /// A whole number that must be there, `least` or above.
+    /// Reads a required whole number that is at least `min`.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
-    pub fn integer_at_least(&self, key: &str, least: u64) -> Result<u64, FieldError> {
+    /// The field is missing or invalid; the message names it and the expected value.
+    pub fn integer_at_least(&self, key: &str, min: u64) -> Result<u64, FieldError> {
         let value = self.read(key, integer)?;
-        if value < least {
-            return Err(format!("{}: {value}: {least} is needed at least", self.path(key)));
+        if value < min {
+            return Err(format!("{}: {value}: {min} is needed at least", self.path(key)));
         }
         Ok(value)
     }
 
-    /// A flag that must be there.
+    /// Reads a required boolean.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn flag(&self, key: &str) -> Result<bool, FieldError> {
         let flag = |v: &Value, key: &str| v.as_bool().ok_or_else(|| format!("{key}: true or false expected"));
         self.read(key, flag)
     }
 
-    /// A text that must be there.
+    /// Reads a required string.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn string(&self, key: &str) -> Result<&'a str, FieldError> {
         self.read(key, string)
     }
 
-    /// What a word that must be there stands for.
+    /// Reads a required string that must be one of `choices`, and returns what it stands for.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
-    pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, FieldError> {
-        let word = self.string(key)?;
-        words.iter().find(|(name, _)| *name == word).map(|(_, meaning)| *meaning).ok_or_else(|| {
-            let known: Vec<&str> = words.iter().map(|(name, _)| *name).collect();
-            format!("{}: {word} is unknown, known are {}", self.path(key), known.join(", "))
+    /// The field is missing or invalid; the message names it and the expected value.
+    pub fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, FieldError> {
+        let choice = self.string(key)?;
+        choices.iter().find(|(name, _)| *name == choice).map(|(_, meaning)| *meaning).ok_or_else(|| {
+            let known: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
+            format!("{}: {choice} is unknown, known are {}", self.path(key), known.join(", "))
         })
     }
 
-    /// An array; one that is absent is empty.
+    /// Reads an array; an absent one counts as empty.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn list(&self, key: &str) -> Result<&'a [Value], FieldError> {
         self.get(key).map_or(Ok(&[]), |_| self.read(key, list).map(Vec::as_slice))
     }
 
-    /// The objects of an array, with their places; one that is absent is empty.
+    /// Reads an array of objects; an absent one counts as empty.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn objects(&self, key: &str) -> Result<Vec<Fields<'a>>, FieldError> {
         let of = |(n, value)| Fields::from_value(value, format!("{}[{n}]", self.path(key)));
         self.list(key)?.iter().enumerate().map(of).collect()
     }
 
-    /// An object that must be there.
+    /// Reads a required object.
     ///
     /// # Errors
-    /// Names the field, and what was expected.
+    /// The field is missing or invalid; the message names it and the expected value.
     pub fn object(&self, key: &str) -> Result<Fields<'a>, FieldError> {
         Fields::from_value(self.require(key)?, self.path(key))
     }
 }
 
-/// The names of some objects, by their field `Name`: none is empty and none comes twice.
+/// Reads the field `Name` of each object.
 ///
 /// # Errors
-/// Names the field.
+/// A name is missing, empty or a duplicate; the message names the field.
 pub fn names(objects: &[Fields]) -> Result<Vec<String>, FieldError> {
     let mut names: Vec<String> = Vec::with_capacity(objects.len());
     for object in objects {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings object that the platform hands a node and the simulator an instance, read into the policy's
-//! [`Settings`] and what only a node on sockets needs. Unknown keys are passed over. What is missing, of another type, out of
-//! range or an unknown word is named by its path in the object: no figure of one deployment stands in for what another was
-//! not told.
+//! Reads the settings object that the platform passes to a node, and the simulator to an instance, into the//! policy's [`Settings`] and the values that only a node with sockets needs. Unknown keys are ignored. A
+//! value that is missing, of another type, out of range or an unknown word is an error that names its path in
+//! the object. There are no defaults, so that no value of one deployment applies to another that does not set
+//! it.
 
 mod fields;
 
@@ -12,22 +12,23 @@
 
 pub use fields::{integer, list, number, optional_number, string, FieldError, Fields, Range};
 
-/// The most nodes that are believed: what is shared out among them is counted in products with their number.
-const NODES_MOST: u64 = 1_000_000;
+/// The maximum number of nodes. Larger values are rejected because shares are computed from products with it.
+const NODES_MAX: u64 = 1_000_000;
 
 fn class(f: &Fields) -> Result<(Class, Millis), FieldError> {
     let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
     #[derive(Clone, Copy)]
-    enum Word {
+    enum EffectKind {
         Safe,
         Keyed,
         Unsafe,
     }
-    let words = [("pure", Word::Safe), ("token", Word::Keyed), ("side_effect", Word::Unsafe)];
-    let effect = match f.choice("Idempotency", &words)? {
-        Word::Safe => Effect::Safe,
-        Word::Unsafe => Effect::Unsafe,
-        Word::Keyed => Effect::Keyed {
+    let effects =
+        [("pure", EffectKind::Safe), ("token", EffectKind::Keyed), ("side_effect", EffectKind::Unsafe)];
+    let effect = match f.choice("Idempotency", &effects)? {
+        EffectKind::Safe => Effect::Safe,
+        EffectKind::Unsafe => Effect::Unsafe,
+        EffectKind::Keyed => Effect::Keyed {
             scope: f.choice("DedupScope", &groups)?,
             memory: f.number_in("MemorySpan", Range::Positive)?,
         },
@@ -42,53 +43,53 @@
 }
 
 fn tenant(f: &Fields) -> Result<Tenant, FieldError> {
-    // The rate is what counts; a share that is no share says that the two were mixed up.
+    // Only the rate is used; an invalid share means that the two were mixed up.
     if f.optional_number_in("Share", Range::Share)? == Some(0.0) {
         return Err(format!("{}: 0: must be above 0", f.path("Share")));
     }
     Ok(Tenant { quota_per_s: f.number_in("QuotaPerS", Range::NonNegative)? })
 }
 
-fn limits(l: &Fields) -> Result<Limits, FieldError> {
+fn limits(f: &Fields) -> Result<Limits, FieldError> {
     Ok(Limits {
-        attempts: usize::try_from(l.integer_at_least("AttemptsCap", 1)?).unwrap_or(usize::MAX),
-        second_copies: l.flag("MayDuplicate")?,
-        cancel: l.flag("Cancel")?,
-        probes: l.flag("Probes")?,
-        connect_timeout: l.number_in("ConnectTimeout", Range::Positive)?,
-        max_retry_after: if l.flag("RetryAfter")? {
-            l.number_in("MaxRetryAfter", Range::NonNegative)?
+        attempts: usize::try_from(f.integer_at_least("AttemptsCap", 1)?).unwrap_or(usize::MAX),
+        second_copies: f.flag("MayDuplicate")?,
+        cancel: f.flag("Cancel")?,
+        probes: f.flag("Probes")?,
+        connect_timeout: f.number_in("ConnectTimeout", Range::Positive)?,
+        max_retry_after: if f.flag("RetryAfter")? {
+            f.number_in("MaxRetryAfter", Range::NonNegative)?
         } else {
             0.0
         },
     })
 }
 
-fn rules(r: &Fields) -> Result<Rules, FieldError> {
+fn rules(f: &Fields) -> Result<Rules, FieldError> {
     Ok(Rules {
-        ask_within: r.number_in("AskWithin", Range::Positive)?,
-        cold_share: r.number_in("ColdShare", Range::Share)?,
-        warm_within: r.number_in("WarmWithin", Range::NonNegative)?,
-        fall_multiple: r.number_in("FallMultiple", Range::Positive)?,
-        fall_window: r.number_in("Fall", Range::Positive)?,
-        drain_grace: r.number_in("DrainGrace", Range::NonNegative)?,
+        ask_within: f.number_in("AskWithin", Range::Positive)?,
+        cold_share: f.number_in("ColdShare", Range::Share)?,
+        warm_within: f.number_in("WarmWithin", Range::NonNegative)?,
+        fall_multiple: f.number_in("FallMultiple", Range::Positive)?,
+        fall_window: f.number_in("Fall", Range::Positive)?,
+        drain_grace: f.number_in("DrainGrace", Range::NonNegative)?,
     })
 }
 
-/// What the settings object says: the module's part, and what only a node on sockets needs.
+/// The contents of the settings object: the policy's settings, and what only a node with sockets needs.
 #[derive(Clone, Debug)]
 pub struct ReceivedSettings {
-    /// The module's settings.
+    /// The policy's settings.
     pub settings: Settings,
     /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// How long a client of each class waits in all, by index.
+    /// The deadline of each class, by index: how long its clients wait in total.
     pub deadlines: Vec<Millis>,
     /// The names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// Servers close connections that have been idle for this long.
+    /// How long a connection may be idle before servers close it.
     pub keepalive: Millis,
-    /// The most requests that may be open at a node.
+    /// The maximum number of open requests of a node.
     pub open_cap: usize,
 }
 
@@ -99,18 +100,18 @@
     }
 }
 
-/// Reads the settings object that a node on sockets is given.
+/// Parses the settings object of a node with sockets.
 ///
 /// # Errors
-/// Names the first field that is missing or malformed, as `settings.Classes[1].Deadline`.
+/// The first field that is missing or invalid, as in `settings.Classes[1].Deadline is missing`.
 pub fn parse(value: &Value) -> Result<ReceivedSettings, FieldError> {
     parse_named(value, "settings")
 }
 
-/// The same where the object goes by another name.
+/// Parses a settings object that error messages call `name`.
 ///
 /// # Errors
-/// Names the first field that is missing or malformed.
+/// The first field that is missing or invalid.
 pub fn parse_named(value: &Value, name: &str) -> Result<ReceivedSettings, FieldError> {
     let f = Fields::from_value(value, name)?;
     let classes = f.objects("Classes")?;
@@ -123,14 +124,15 @@
     let tenant_names = fields::names(&tenants)?;
     let tenants = tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
     let (number, nodes) = (f.integer_at_least("Me", 0)?, f.integer_at_least("PeersTotal", 1)?);
-    if nodes > NODES_MOST {
-        return Err(format!("{}: {nodes} is more than {NODES_MOST}", f.path("PeersTotal")));
+    if nodes > NODES_MAX {
+        return Err(format!("{}: {nodes} is more than {NODES_MAX}", f.path("PeersTotal")));
     }
     if number >= nodes {
         return Err(format!("{}: {number}: own number must be below the count of nodes", f.path("Me")));
     }
-    let (l, r, g) = (f.object("Limits")?, f.object("Contract")?, f.object("Goal")?);
-    let goal = |key| g.number_in(key, Range::NonNegative);
+    let (limits_object, rules_object, goal_object) =
+        (f.object("Limits")?, f.object("Contract")?, f.object("Goal")?);
+    let goal = |key| goal_object.number_in(key, Range::NonNegative);
     let discovery =
         f.choice("Discovery", &[("subscribe", Discovery::Polled), ("automatic", Discovery::Pushed)])?;
     let weights = [
@@ -150,8 +152,8 @@
             worst_class: goal("WorstClass")?,
             worst_tenant: goal("WorstTenant")?,
         },
-        limits: limits(&l)?,
-        rules: rules(&r)?,
+        limits: limits(&limits_object)?,
+        rules: rules(&rules_object)?,
         discovery,
         weights: f.choice("Weights", &weights)?,
         tick: f.number_in("Tick", Range::NonNegative)?,
@@ -162,7 +164,7 @@
         classes: class_names,
         deadlines,
         tenants: tenant_names,
-        keepalive: l.number_in("Keepalive", Range::NonNegative)?,
-        open_cap: usize::try_from(l.integer_at_least("OpenCap", 1)?).unwrap_or(usize::MAX),
+        keepalive: limits_object.number_in("Keepalive", Range::NonNegative)?,
+        open_cap: usize::try_from(limits_object.integer_at_least("OpenCap", 1)?).unwrap_or(usize::MAX),
     })
 }
--- a/crates/settings/tests/fields.rs
+++ b/crates/settings/tests/fields.rs
@@ -1,11 +1,11 @@
-//! Every field of the settings that is read, spoilt in every way: one error that names it by its path.
+//! Makes every field of the settings invalid in every way and checks for a one-line error that names its//! path.
 
 use magpietally_policy::{DedupScope, Discovery, Effect, Weights};
 use magpietally_settings::{parse, parse_named};
 use serde_json::{json, Value};
 
-/// Two classes that are keyed and unsafe, one tenant, and a key that no page names in each object.
-fn good() -> Value {
+/// A keyed and an unsafe class, one tenant, and in each object an unknown key.
+fn valid() -> Value {
     json!({
         "Classes": [
             {"Name": "seat", "Slo": 100, "Deadline": 500, "Idempotency": "token", "DedupScope": "zone",
@@ -24,26 +24,26 @@
     })
 }
 
-/// What is set in place of a field.
+/// How a field is changed.
 #[derive(Clone)]
-enum To {
-    Gone,
-    This(Value),
+enum Change {
+    Remove,
+    Set(Value),
 }
 
-fn spoilt(path: &str, to: &To) -> Value {
-    let mut settings = good();
+fn changed(path: &str, change: &Change) -> Value {
+    let mut settings = valid();
     let (parent, key) = path.rsplit_once('/').expect("a path");
     let parent = settings.pointer_mut(parent).expect("an object").as_object_mut().expect("an object");
-    match to {
-        To::Gone => drop(parent.remove(key)),
-        To::This(value) => drop(parent.insert(key.to_string(), value.clone())),
+    match change {
+        Change::Remove => drop(parent.remove(key)),
+        Change::Set(value) => drop(parent.insert(key.to_string(), value.clone())),
     }
     settings
 }
 
-/// How a field is named: `/Classes/1/Slo` is `settings.Classes[1].Slo`.
-fn named(path: &str) -> String {
+/// The path of a field in error messages: for `/Classes/1/Slo` it is `settings.Classes[1].Slo`.
+fn error_path(path: &str) -> String {
     let mut name = "settings".to_string();
     for part in path.split('/').skip(1) {
         match part.parse::<usize>() {
@@ -54,22 +54,22 @@
     name
 }
 
-/// What a field may not be, by its kind.
+/// The kind of a field, which determines the invalid values.
 #[derive(Clone, Copy)]
 enum Kind {
     Positive,
-    Amount,
+    NonNegative,
     Share,
-    /// A whole number, this at least.
+    /// A whole number with this minimum.
     Count(u64),
     Flag,
-    Word,
+    Choice,
     Name,
     Object,
 }
 
 impl Kind {
-    fn wrong(self) -> Vec<(Value, &'static str)> {
+    fn invalid_values(self) -> Vec<(Value, &'static str)> {
         let number = [
             (json!("5"), "number expected"),
             (json!(true), "number expected"),
@@ -77,27 +77,27 @@
         ];
         let own: Vec<(Value, &str)> = match self {
             Self::Positive => vec![(json!(0), "must be above 0"), (json!(-0.5), "must be above 0")],
-            Self::Amount => {
+            Self::NonNegative => {
                 vec![(json!(-0.5), "must not be negative"), (json!(-1e300), "must not be negative")]
             }
             Self::Share => {
                 vec![(json!(-0.01), "a share is from 0 to 1"), (json!(1.01), "a share is from 0 to 1")]
             }
-            Self::Count(least) => {
-                let mut wrong: Vec<(Value, &str)> =
+            Self::Count(min) => {
+                let mut invalid: Vec<(Value, &str)> =
                     [json!(1.5), json!(-1), json!("1"), json!({}), json!(false)]
                         .into_iter()
                         .map(|v| (v, "whole number expected"))
                         .collect();
-                if least > 0 {
-                    wrong.push((json!(0), "1 is needed at least"));
+                if min > 0 {
+                    invalid.push((json!(0), "1 is needed at least"));
                 }
-                return wrong;
+                return invalid;
             }
             Self::Flag => {
                 return [json!(1), json!("true"), json!({})].map(|v| (v, "true or false expected")).into()
             }
-            Self::Word => {
+            Self::Choice => {
                 return vec![
                     (json!("other"), "other is unknown, known are "),
                     (json!("Pure"), "Pure is unknown, known are "),
@@ -116,32 +116,32 @@
     ("/Classes/0/Name", Kind::Name),
     ("/Classes/0/Slo", Kind::Positive),
     ("/Classes/0/Deadline", Kind::Positive),
-    ("/Classes/0/Idempotency", Kind::Word),
-    ("/Classes/0/DedupScope", Kind::Word),
+    ("/Classes/0/Idempotency", Kind::Choice),
+    ("/Classes/0/DedupScope", Kind::Choice),
     ("/Classes/0/MemorySpan", Kind::Positive),
-    ("/Classes/0/Value", Kind::Amount),
+    ("/Classes/0/Value", Kind::NonNegative),
     ("/Classes/0/LateValue", Kind::Share),
     ("/Classes/1/Name", Kind::Name),
     ("/Classes/1/Slo", Kind::Positive),
     ("/Classes/1/Deadline", Kind::Positive),
-    ("/Classes/1/Idempotency", Kind::Word),
-    ("/Classes/1/Value", Kind::Amount),
+    ("/Classes/1/Idempotency", Kind::Choice),
+    ("/Classes/1/Value", Kind::NonNegative),
     ("/Classes/1/LateValue", Kind::Share),
     ("/Customers/0/Name", Kind::Name),
-    ("/Customers/0/QuotaPerS", Kind::Amount),
+    ("/Customers/0/QuotaPerS", Kind::NonNegative),
     ("/Contract", Kind::Object),
     ("/Contract/AskWithin", Kind::Positive),
     ("/Contract/ColdShare", Kind::Share),
-    ("/Contract/WarmWithin", Kind::Amount),
+    ("/Contract/WarmWithin", Kind::NonNegative),
     ("/Contract/FallMultiple", Kind::Positive),
     ("/Contract/Fall", Kind::Positive),
-    ("/Contract/DrainGrace", Kind::Amount),
-    ("/Discovery", Kind::Word),
+    ("/Contract/DrainGrace", Kind::NonNegative),
+    ("/Discovery", Kind::Choice),
     ("/Goal", Kind::Object),
-    ("/Goal/Whole", Kind::Amount),
-    ("/Goal/WorstWindow", Kind::Amount),
-    ("/Goal/WorstClass", Kind::Amount),
-    ("/Goal/WorstTenant", Kind::Amount),
+    ("/Goal/Whole", Kind::NonNegative),
+    ("/Goal/WorstWindow", Kind::NonNegative),
+    ("/Goal/WorstClass", Kind::NonNegative),
+    ("/Goal/WorstTenant", Kind::NonNegative),
     ("/Limits", Kind::Object),
     ("/Limits/AttemptsCap", Kind::Count(1)),
     ("/Limits/Cancel", Kind::Flag),
@@ -149,24 +149,24 @@
     ("/Limits/MayDuplicate", Kind::Flag),
     ("/Limits/Probes", Kind::Flag),
     ("/Limits/RetryAfter", Kind::Flag),
-    ("/Limits/MaxRetryAfter", Kind::Amount),
-    ("/Limits/Keepalive", Kind::Amount),
+    ("/Limits/MaxRetryAfter", Kind::NonNegative),
+    ("/Limits/Keepalive", Kind::NonNegative),
     ("/Limits/OpenCap", Kind::Count(1)),
     ("/OverShareWorth", Kind::Share),
-    ("/Tick", Kind::Amount),
-    ("/Weights", Kind::Word),
+    ("/Tick", Kind::NonNegative),
+    ("/Weights", Kind::Choice),
 ];
 
 #[test]
-fn every_field_that_is_missing_of_another_type_or_out_of_range_is_named() {
+fn the_error_names_a_field_that_is_missing_of_another_type_or_out_of_range() {
     for (path, kind) in FIELDS {
-        let name = named(path);
-        for gone in [To::Gone, To::This(Value::Null)] {
-            assert_eq!(parse(&spoilt(path, &gone)).err(), Some(format!("{name} is missing")));
+        let name = error_path(path);
+        for change in [Change::Remove, Change::Set(Value::Null)] {
+            assert_eq!(parse(&changed(path, &change)).err(), Some(format!("{name} is missing")));
         }
-        for (value, words) in kind.wrong() {
+        for (value, words) in kind.invalid_values() {
             let error =
-                parse(&spoilt(path, &To::This(value.clone()))).expect_err(&format!("{name}: {value}"));
+                parse(&changed(path, &Change::Set(value.clone()))).expect_err(&format!("{name}: {value}"));
             assert!(error.starts_with(&format!("{name}: ")), "{name}: {value}: {error}");
             assert!(error.contains(words) && error.lines().count() == 1, "{name}: {value}: {error}");
         }
@@ -174,30 +174,30 @@
 }
 
 #[test]
-fn what_does_not_go_together_is_named() {
-    for (path, to, words) in [
-        ("/Classes", To::Gone, "settings.Classes: no classes"),
-        ("/Classes", To::This(json!([])), "settings.Classes: no classes"),
-        ("/Classes", To::This(json!({})), "settings.Classes: array expected"),
-        ("/Classes/1/Name", To::This(json!("seat")), "settings.Classes[1].Name: seat comes twice"),
-        ("/Customers", To::This(json!("west")), "settings.Customers: array expected"),
-        ("/Customers", To::This(json!([7])), "settings.Customers[0]: object expected"),
+fn the_error_names_fields_that_are_inconsistent() {
+    for (path, change, words) in [
+        ("/Classes", Change::Remove, "settings.Classes: no classes"),
+        ("/Classes", Change::Set(json!([])), "settings.Classes: no classes"),
+        ("/Classes", Change::Set(json!({})), "settings.Classes: array expected"),
+        ("/Classes/1/Name", Change::Set(json!("seat")), "settings.Classes[1].Name: seat comes twice"),
+        ("/Customers", Change::Set(json!("west")), "settings.Customers: array expected"),
+        ("/Customers", Change::Set(json!([7])), "settings.Customers[0]: object expected"),
         (
             "/Customers",
-            To::This(json!([{"Name": "a", "QuotaPerS": 1}, {"Name": "a", "QuotaPerS": 1}])),
+            Change::Set(json!([{"Name": "a", "QuotaPerS": 1}, {"Name": "a", "QuotaPerS": 1}])),
             "settings.Customers[1].Name: a comes twice",
         ),
-        ("/Customers/0/Share", To::This(json!(0)), "settings.Customers[0].Share: 0: must be above 0"),
-        ("/Customers/0/Share", To::This(json!(1.5)), "settings.Customers[0].Share: 1.5: a share is"),
-        ("/Customers/0/Share", To::This(json!("all")), "settings.Customers[0].Share: number expected"),
-        ("/Me", To::Gone, "settings.Me is missing"),
-        ("/Me", To::This(json!(-1)), "settings.Me: whole number expected"),
-        ("/Me", To::This(json!(2)), "settings.Me: 2: own number must be below the count of nodes"),
-        ("/PeersTotal", To::This(json!(0)), "settings.PeersTotal: 0: 1 is needed at least"),
-        ("/PeersTotal", To::This(json!(1_000_001)), "settings.PeersTotal: 1000001 is more than"),
-        ("/PeersTotal", To::This(json!(1e300)), "settings.PeersTotal: "),
+        ("/Customers/0/Share", Change::Set(json!(0)), "settings.Customers[0].Share: 0: must be above 0"),
+        ("/Customers/0/Share", Change::Set(json!(1.5)), "settings.Customers[0].Share: 1.5: a share is"),
+        ("/Customers/0/Share", Change::Set(json!("all")), "settings.Customers[0].Share: number expected"),
+        ("/Me", Change::Remove, "settings.Me is missing"),
+        ("/Me", Change::Set(json!(-1)), "settings.Me: whole number expected"),
+        ("/Me", Change::Set(json!(2)), "settings.Me: 2: own number must be below the count of nodes"),
+        ("/PeersTotal", Change::Set(json!(0)), "settings.PeersTotal: 0: 1 is needed at least"),
+        ("/PeersTotal", Change::Set(json!(1_000_001)), "settings.PeersTotal: 1000001 is more than"),
+        ("/PeersTotal", Change::Set(json!(1e300)), "settings.PeersTotal: "),
     ] {
-        let error = parse(&spoilt(path, &to)).expect_err(words);
+        let error = parse(&changed(path, &change)).expect_err(words);
         assert!(error.starts_with(words), "{words}: {error}");
     }
     assert_eq!(parse(&json!([])).err().as_deref(), Some("settings: object expected"));
@@ -207,23 +207,23 @@
     );
 }
 
-/// What a page says may be absent, or what has no meaning beside the rest; keys that are added.
+/// Optional fields may be absent, fields without effect may be null, and unknown keys are ignored.
 #[test]
-fn what_may_be_absent_and_what_is_added_is_no_error() {
+fn optional_fields_and_unknown_keys_are_no_error() {
     let read = |settings: &Value| parse(settings).unwrap_or_else(|e| panic!("{e}"));
-    let plain = read(&good());
-    assert_eq!(plain.classes, ["seat", "scan"]);
-    assert_eq!(plain.deadlines, [500.0, 400.0]);
-    assert_eq!((plain.longest_deadline(), plain.keepalive, plain.open_cap), (500.0, 4000.0, 77));
-    assert_eq!(plain.settings.classes[0].effect, Effect::Keyed { scope: DedupScope::Zone, memory: 700.0 });
-    assert_eq!((plain.settings.discovery, plain.settings.weights), (Discovery::Polled, Weights::Listed));
+    let parsed = read(&valid());
+    assert_eq!(parsed.classes, ["seat", "scan"]);
+    assert_eq!(parsed.deadlines, [500.0, 400.0]);
+    assert_eq!((parsed.longest_deadline(), parsed.keepalive, parsed.open_cap), (500.0, 4000.0, 77));
+    assert_eq!(parsed.settings.classes[0].effect, Effect::Keyed { scope: DedupScope::Zone, memory: 700.0 });
+    assert_eq!((parsed.settings.discovery, parsed.settings.weights), (Discovery::Polled, Weights::Listed));
     let set = |settings: &mut Value, path: &str, to: Value| *settings.pointer_mut(path).expect(path) = to;
     for none in [Value::Null, json!([])] {
-        let mut settings = good();
+        let mut settings = valid();
         set(&mut settings, "/Customers", none);
-        assert!(read(&settings).tenants.is_empty(), "a site may have none");
+        assert!(read(&settings).tenants.is_empty(), "there may be no tenants");
     }
-    let mut settings = good();
+    let mut settings = valid();
     set(&mut settings, "/Classes/0/Idempotency", json!("pure"));
     set(&mut settings, "/Classes/0/DedupScope", Value::Null);
     set(&mut settings, "/Classes/0/MemorySpan", json!(0));
@@ -236,16 +236,16 @@
     assert_eq!(read.classes[0].effect, Effect::Safe);
 }
 
-/// All that two settings differ in comes from them: nothing is left over from one deployment.
+/// A change of any field changes the result: no value is fixed in the code.
 #[test]
-fn each_figure_comes_from_its_own_field() {
-    let figures = |settings: &Value| {
-        let t = parse(settings).expect("good settings");
-        format!("{t:?}")
+fn each_value_comes_from_its_own_field() {
+    let debug_text = |settings: &Value| {
+        let settings = parse(settings).expect("good settings");
+        format!("{settings:?}")
     };
-    let plain = figures(&good());
+    let original = debug_text(&valid());
     for (path, kind) in FIELDS {
-        let old = good().pointer(path).expect(path).clone();
+        let old = valid().pointer(path).expect(path).clone();
         let new = match (&old, kind) {
             (Value::Bool(b), _) => json!(!b),
             (Value::Number(n), Kind::Count(_)) => json!(n.as_u64().expect("whole") + 1),
@@ -259,6 +259,6 @@
             }),
             _ => continue,
         };
-        assert_ne!(figures(&spoilt(path, &To::This(new.clone()))), plain, "{path} as {new}");
+        assert_ne!(debug_text(&changed(path, &Change::Set(new.clone()))), original, "{path} as {new}");
     }
 }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,5 +1,5 @@
-//! The adapter: hosts many instances of [`Balancer`] and translates between their events and actions and lines
-//! of JSON, the simulator's wire. It decides nothing.
+//! The adapter to the simulator: hosts many instances of [`Balancer`] and translates between their events and
+//! actions and the simulator's protocol, lines of JSON. It makes no decisions.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Read, Write};
@@ -11,22 +11,24 @@
 };
 use serde_json::{json, Value};
 
-/// The longest line that is read, in bytes: a batch for thousands of instances is a tenth of it.
-const LINE_MOST: u64 = 64 << 20;
+/// The maximum length of a line, ten times that of a batch for thousands of instances.
+const LINE_BYTES_MAX: u64 = 64 << 20;
 
-/// Answers each line of `from` by one line to `to`, until `from` ends.
+/// Answers each line read from `input` with one line to `output`, until `input` ends.
 ///
 /// # Errors
-/// Says what is malformed, or what broke; nothing after it is answered.
-pub fn serve(mut from: impl BufRead, mut to: impl Write) -> Result<(), FieldError> {
+/// A line is malformed, or reading or writing failed; further lines are not answered.
+pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), FieldError> {
     let mut host = Host::default();
     let mut line = Vec::new();
     loop {
         line.clear();
-        let length = from.by_ref().take(LINE_MOST + 1).read_until(b'\n', &mut line);
+        let length = input.by_ref().take(LINE_BYTES_MAX + 1).read_until(b'\n', &mut line);
         match length.map_err(|e| e.to_string())? as u64 {
             0 => return Ok(()),
-            length if length > LINE_MOST => return Err(format!("a line of more than {LINE_MOST} bytes")),
+            length if length > LINE_BYTES_MAX => {
+                return Err(format!("a line of more than {LINE_BYTES_MAX} bytes"))
+            }
             _ => {}
         }
         let line = std::str::from_utf8(&line).map_err(|e| format!("not UTF-8: {e}"))?;
@@ -34,7 +36,7 @@
             continue;
         }
         let reply = host.handle_line(line)?;
-        writeln!(to, "{reply}").and_then(|()| to.flush()).map_err(|e| e.to_string())?;
+        writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(|e| e.to_string())?;
     }
 }
 
@@ -46,16 +48,18 @@
     tenants: Names,
 }
 
-/// All instances that one process hosts.
+/// All instances hosted by one process.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
+    /// The server lists that events refer to, by number.
     tables: BTreeMap<u64, Vec<ServerEntry>>,
+    /// The names of zones and kinds; the index of a name is its number.
     names: Names,
 }
 
-fn outcome(word: &str) -> Result<Outcome, FieldError> {
-    Ok(match word {
+fn outcome(name: &str) -> Result<Outcome, FieldError> {
+    Ok(match name {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
         "busy" => Outcome::Full,
@@ -68,7 +72,7 @@
     })
 }
 
-/// The place of a name in a list; settings and zones are short.
+/// The index of a name in a list. Linear search: there are few classes, tenants, zones and kinds.
 fn index(names: &[String], value: &Value) -> Option<usize> {
     value.as_str().and_then(|name| names.iter().position(|n| n == name))
 }
@@ -86,10 +90,10 @@
 }
 
 impl Host {
-    /// Reads one batch and gives the reply, without its line end.
+    /// Handles one batch and returns the reply, without a line ending.
     ///
     /// # Errors
-    /// Says what is malformed; the line then has no reply, and the host should not be used any further.
+    /// The line is malformed. It then has no reply, and the host should not be used any more.
     pub fn handle_line(&mut self, line: &str) -> Result<String, FieldError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let f = Fields::from_value(&batch, "batch")?;
@@ -98,13 +102,13 @@
         let mut parts = Vec::new();
         for part in f.list("parts")? {
             let p = Fields::from_value(part, "parts")?;
-            let number = integer(p.require("I")?, "I")?;
+            let instance_id = integer(p.require("I")?, "I")?;
             let mut steps = Vec::new();
             for input in p.list("input")? {
-                self.input(now, number, list(input, "input")?, &mut steps)?;
+                self.input(now, instance_id, list(input, "input")?, &mut steps)?;
             }
             if !steps.is_empty() {
-                parts.push(json!({"I": number, "steps": steps}));
+                parts.push(json!({"I": instance_id, "steps": steps}));
             }
         }
         Ok(json!({"round": round, "parts": parts}).to_string())
@@ -113,7 +117,7 @@
     fn input(
         &mut self,
         now: f64,
-        me: u64,
+        instance_id: u64,
         input: &[Value],
         steps: &mut Vec<Value>,
     ) -> Result<(), FieldError> {
@@ -127,23 +131,23 @@
             "CREATE" => {
                 let ReceivedSettings { settings, classes, tenants, .. } = parse_named(at(2), "Options")?;
                 let balancer = Balancer::new(settings, integer(at(1), "Prng")?).map_err(|e| e.to_string())?;
-                self.instances.insert(me, Instance { balancer, classes, tenants });
+                self.instances.insert(instance_id, Instance { balancer, classes, tenants });
             }
             "HALT" => {
-                self.instances.remove(&me);
+                self.instances.remove(&instance_id);
             }
             _ => {
-                // What comes for an instance that was killed is void.
-                let Some(instance) = self.instances.get_mut(&me) else { return Ok(()) };
+                // Messages for an instance that was stopped are ignored.
+                let Some(instance) = self.instances.get_mut(&instance_id) else { return Ok(()) };
                 let Some(event) = instance.event(&self.tables, input)? else { return Ok(()) };
                 let mut actions = Vec::new();
                 let balancer = &mut instance.balancer;
                 match catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions))) {
                     Ok(()) => steps.extend(actions.iter().map(action)),
-                    Err(fault) => {
-                        let fixed = fault.downcast_ref::<&str>().map(|s| (*s).to_string());
-                        let words = fixed.or_else(|| fault.downcast_ref::<String>().cloned());
-                        steps.push(json!(["EXCEPTION", words.unwrap_or_else(|| "panic".to_string())]));
+                    Err(panic) => {
+                        let literal = panic.downcast_ref::<&str>().map(|s| (*s).to_string());
+                        let message = literal.or_else(|| panic.downcast_ref::<String>().cloned());
+                        steps.push(json!(["EXCEPTION", message.unwrap_or_else(|| "panic".to_string())]));
                     }
                 }
             }
@@ -154,7 +158,7 @@
     fn entry(&mut self, value: &Value) -> Result<ServerEntry, FieldError> {
         let row = list(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
-        // Zones and kinds are only ever compared: any number that is the same for the same name will do.
+        // Zones and kinds are only compared with each other, so any number that is unique for a name will do.
         let mut name = |value: &Value| {
             index(&self.names, value).unwrap_or_else(|| {
                 self.names.push(value.as_str().unwrap_or_default().to_string());
@@ -180,7 +184,7 @@
 }
 
 impl Instance {
-    /// Translates an event; `None` for one that is not known or says nothing.
+    /// Translates a message to an event; `None` if its type is unknown.
     fn event(
         &self,
         tables: &BTreeMap<u64, Vec<ServerEntry>>,
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on lines written by hand, and the limits on the module's text.
+//! The adapter with hand-written lines, and the limits on its input.
 
 use magpietally_simhost::Host;
 use serde_json::{json, Value};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_goes_out_and_comes_back() {
+fn a_request_is_sent_retried_and_given_up() {
     let mut host = Host::default();
     let parts = reply(&mut host, 1, 100.0, json!([{"I": 3, "input": start(two_servers())}]));
     let steps = parts[0]["steps"].as_array().expect("steps");
@@ -59,31 +59,31 @@
     assert_eq!((&send[0], &send[1], &send[2]), (&json!("SUBMIT_TO"), &json!(42), &json!(11)));
     let refused = json!(["RESPONSE", 42, 0, 11, "econnrefused", 0.4, false, null]);
     let parts = reply(&mut host, 3, 102.0, json!([{"I": 3, "input": [refused]}]));
-    assert_eq!(parts[0]["steps"][0][2], 12, "resent to the next: {parts}");
+    assert_eq!(parts[0]["steps"][0][2], 12, "retried at the next server: {parts}");
     let late = json!(["RESPONSE", 42, 1, 12, "etimedout", 97.0, false, null]);
     let parts = reply(&mut host, 4, 199.0, json!([{"I": 3, "input": [late]}]));
-    assert_eq!(parts[0]["steps"][0], json!(["GIVE_UP", 42]), "unsafe, may have run: {parts}");
+    assert_eq!(parts[0]["steps"][0], json!(["GIVE_UP", 42]), "unsafe and may have run: {parts}");
     let again =
         json!([["GONE", 42], ["WAKE", 99], ["RESPONSE", 1, 0, 12, "done", 1.0, true, null], ["NEWS", 1]]);
     reply(&mut host, 5, 200.0, json!([{"I": 3, "input": again}]));
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_all() {
+fn a_restart_within_a_batch_discards_all_state() {
     let mut host = Host::default();
     reply(&mut host, 1, 100.0, json!([{"I": 0, "input": start(two_servers())}]));
     let mut input = vec![json!(["HALT"])];
-    let news = json!([[13, "a", "x", 0, "on", 1, null]]);
-    input.extend(start(news).as_array().expect("events").clone());
+    let servers = json!([[13, "a", "x", 0, "on", 1, null]]);
+    input.extend(start(servers).as_array().expect("events").clone());
     input.push(json!(["SUBMIT", 1, "note", 0, null, 900.0, 0, 0]));
     let parts = reply(&mut host, 2, 200.0, json!([{"I": 0, "input": input}]));
     let steps = parts[0]["steps"].as_array().expect("steps");
     let send = steps.iter().find(|s| s[0] == "SUBMIT_TO").expect("sent");
-    assert_eq!(send[2], 13, "table 0 was given anew and the old servers are gone");
+    assert_eq!(send[2], 13, "table 0 was replaced and the old servers are gone");
 }
 
 #[test]
-fn a_table_used_again_within_a_batch_is_read_in_order() {
+fn a_table_replaced_within_a_batch_applies_to_later_messages() {
     let mut host = Host::default();
     let mut input = start(two_servers()).as_array().expect("events").clone();
     input.push(json!(["ROSTER", 0, [[11, "a", "x", 0, "fading", 1, null]]]));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named() {
+fn the_error_names_what_is_malformed() {
     let no_me = {
         let mut o = options();
         o.as_object_mut().expect("object").remove("Me");
@@ -140,12 +140,12 @@
     }
 }
 
-/// A line without an end is not read into memory without an end.
+/// A line that never ends must not fill the memory.
 #[test]
-fn a_line_that_is_too_long_is_refused() {
+fn a_line_that_is_too_long_is_rejected() {
     let endless = std::io::Read::take(std::io::repeat(b'['), 80 << 20);
-    let refused = magpietally_simhost::serve(std::io::BufReader::new(endless), Vec::new());
-    assert!(refused.as_ref().is_err_and(|e| e.starts_with("a line of more than ")), "{refused:?}");
-    let refused = magpietally_simhost::serve(&b"\xff\xfe\n"[..], Vec::new());
-    assert!(refused.as_ref().is_err_and(|e| e.starts_with("not UTF-8")), "{refused:?}");
+    let rejected = magpietally_simhost::serve(std::io::BufReader::new(endless), Vec::new());
+    assert!(rejected.as_ref().is_err_and(|e| e.starts_with("a line of more than ")), "{rejected:?}");
+    let rejected = magpietally_simhost::serve(&b"\xff\xfe\n"[..], Vec::new());
+    assert!(rejected.as_ref().is_err_and(|e| e.starts_with("not UTF-8")), "{rejected:?}");
 }
