--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -105,7 +105,7 @@
             let instance_id = integer(p.require("I")?, "I")?;
             let mut steps = Vec::new();
             for input in p.list("input")? {
-                self.input(now, instance_id, list(input, "input")?, &mut steps)?;
+                self.handle_input(now, instance_id, list(input, "input")?, &mut steps)?;
             }
             if !steps.is_empty() {
                 parts.push(json!({"I": instance_id, "steps": steps}));
@@ -114,7 +114,7 @@
         Ok(json!({"round": round, "parts": parts}).to_string())
     }
 
-    fn input(
+    fn handle_input(
         &mut self,
         now: f64,
         instance_id: u64,
