--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to servers: which are kept, which are trusted, and how a new one fails.
+//! Pool of connections to servers: reuse, expiry and the outcomes of failed connects.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,29 +15,30 @@
 use crate::body::OutgoingBody;
 use crate::watched_stream::{hyper_io, HyperIo, WatchedStream};
 
-/// The largest head of an answer.
-const HEAD_MOST: usize = 32 * 1024;
-/// The part of the servers' keep-alive after which a connection is not used any more: one that is written to
-/// when its server closes it ends as a reset, and fails what must not be repeated.
-const IDLE_SHARE: f64 = 0.5;
-/// For how long a connection rests after an answer: a second one may come some milliseconds behind the first, and would pass
-/// for the answer to the next request.
-const REST: Duration = Duration::from_millis(8);
-/// So many of a server's rest at once at the most: one that is that busy would else have a connection for each request.
-const RESTING: usize = 4;
+/// Size limit of a response's head.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Share of the servers' keep-alive time after which an idle connection is no longer used. A request written
+/// just as the server closes the connection ends in a reset, which fails a request that must not be repeated.
+const KEEPALIVE_SHARE: f64 = 0.5;
+/// Time for which a connection is not reused after a response. A second, unsolicited response may follow the
+/// first by a few milliseconds and would be taken for the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(8);
+/// Number of a server's idle connections from which on `REUSE_DELAY` no longer holds: a server that busy
+/// would otherwise get a connection for each request.
+const MAX_RESTING: usize = 4;
 
-/// A connection between requests. It is not polled meanwhile: what happened to it is looked up before use.
+/// An idle connection. It is not polled while idle, so its state is checked before use.
 pub(crate) struct PooledConnection {
     pub(crate) stream: Rc<WatchedStream>,
     pub(crate) send: SendRequest<OutgoingBody>,
     pub(crate) conn: Connection<HyperIo, OutgoingBody>,
-    /// Whom it leads to.
+    /// The server's address and incarnation when the connection was opened.
     pub(crate) endpoint: Endpoint,
     pub(crate) idle_since: Instant,
     _descriptor: Descriptor,
 }
 
-/// One of the descriptors that the pool may hold.
+/// Counts one descriptor against the pool's limit for as long as it lives.
 struct Descriptor(Rc<Cell<usize>>);
 
 impl Drop for Descriptor {
@@ -46,7 +47,7 @@
     }
 }
 
-/// An attempt that is noted as unheard; not any more once this is dropped.
+/// Registers an attempt that has received nothing yet; dropping it removes the entry.
 pub(crate) struct TrackedAttempt {
     pool: Rc<Pool>,
     server: ServerId,
@@ -54,13 +55,14 @@
 
 impl Drop for TrackedAttempt {
     fn drop(&mut self) {
-        let mut unheard = self.pool.unheard.borrow_mut();
-        if let Some(attempts) = unheard.get_mut(&self.server) {
+        let mut unanswered = self.pool.unanswered.borrow_mut();
+        if let Some(attempts) = unanswered.get_mut(&self.server) {
             *attempts -= 1;
             if *attempts == 0 {
-                unheard.remove(&self.server);
-                // Nobody is left whom an answer could have overtaken; a server that is gone has no other end.
-                self.pool.answered.borrow_mut().remove(&self.server);
+                unanswered.remove(&self.server);
+                // No attempt is left that a response could overtake, and a removed server is cleaned up
+                // nowhere else.
+                self.pool.last_answered.borrow_mut().remove(&self.server);
             }
         }
     }
@@ -69,201 +71,213 @@
 /// Connections to servers.
 pub struct Pool {
     idle: RefCell<HashMap<ServerId, Vec<PooledConnection>>>,
-    /// How many attempts are out at each server to which no byte has come back.
-    unheard: RefCell<HashMap<ServerId, usize>>,
-    /// When the latest of the attempts was sent that a server has answered, while others there are unheard.
-    answered: RefCell<HashMap<ServerId, Instant>>,
+    /// Number of attempts in progress for each server that have received no byte yet.
+    unanswered: RefCell<HashMap<ServerId, usize>>,
+    /// When the latest answered attempt was sent, for servers that still have unanswered attempts.
+    last_answered: RefCell<HashMap<ServerId, Instant>>,
     open: Rc<Cell<usize>>,
     max_open: usize,
     max_idle: Duration,
     pub(crate) connect_timeout: Duration,
-    /// Where attempts are counted.
+    /// Counts the attempts.
     pub(crate) metrics: Metrics,
-    /// Bounds the log's lines on connects that failed.
+    /// Limits the rate of log lines about failed connects.
     pub sample: LogLimiter,
 }
 
 impl Pool {
-    /// An empty pool of `max_open` connections at the most. Servers close what has been idle for `keepalive`; a
-    /// connection that takes longer than `connect_timeout` has failed; both in milliseconds.
+    /// Creates an empty pool of at most `max_open` connections. Servers close connections that have been idle
+    /// for `keepalive`; a connect that takes longer than `connect_timeout` has failed. Both are in
+    /// milliseconds.
     pub fn new(max_open: usize, keepalive: Millis, connect_timeout: Millis, metrics: Metrics) -> Self {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         Self {
             idle: RefCell::default(),
-            unheard: RefCell::default(),
-            answered: RefCell::default(),
+            unanswered: RefCell::default(),
+            last_answered: RefCell::default(),
             open: Rc::default(),
             max_open,
-            max_idle: ms(keepalive * IDLE_SHARE),
+            max_idle: ms(keepalive * KEEPALIVE_SHARE),
             connect_timeout: ms(connect_timeout),
             metrics,
             sample: LogLimiter::default(),
         }
     }
 
-    /// How many connections there are.
+    /// Returns the number of open connections, in use or idle.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// Closes the idle connections to a server.
     pub fn close_idle_to(&self, server: ServerId) {
-        self.answered.borrow_mut().remove(&server);
+        self.last_answered.borrow_mut().remove(&server);
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes what has been idle for long or was closed by its server; its descriptor is held for nothing.
+    /// Closes idle connections that have expired or were closed by the server, which only occupy descriptors.
     pub fn close_unusable(&self) {
         let mut idle = self.idle.borrow_mut();
-        for links in idle.values_mut() {
-            links.retain(|l| l.idle_since.elapsed() < self.max_idle && l.stream.is_quiet_cached());
+        for connections in idle.values_mut() {
+            connections.retain(|l| l.idle_since.elapsed() < self.max_idle && l.stream.is_quiet_cached());
         }
-        idle.retain(|_, links| !links.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes what has been idle for so long: a process that ends leaves what it does not need to the next one, as both
-    /// together have the descriptors of one node.
+    /// Closes connections that have been idle for at least `idle`. A process that is stopping leaves the
+    /// descriptors that it does not need to its successor, as both share the limit of one node.
     pub fn close_idle_for(&self, idle: Duration) {
         let mut all = self.idle.borrow_mut();
-        for links in all.values_mut() {
-            links.retain(|l| l.idle_since.elapsed() < idle);
+        for connections in all.values_mut() {
+            connections.retain(|l| l.idle_since.elapsed() < idle);
         }
-        all.retain(|_, links| !links.is_empty());
+        all.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Of the connections that still stand and have rested, the one that was used last; where too many rest, the one that has
-    /// for longest. `sure` asks the kernel whether it stands, for what must not be sent in vain.
-    pub(crate) fn take(&self, server: ServerId, sure: bool) -> Option<PooledConnection> {
+    /// Takes the most recently used connection that is still open and past its `REUSE_DELAY`; where too many
+    /// are within that delay, the one that has been idle longest. `ask_kernel` checks the socket with a
+    /// system call, for a request that must not be lost on a closed connection.
+    pub(crate) fn take(&self, server: ServerId, ask_kernel: bool) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&server)?;
+        let connections = idle.get_mut(&server)?;
         loop {
-            let rested = links.partition_point(|l| l.idle_since.elapsed() >= REST);
-            let at = rested.checked_sub(1).or((links.len() >= RESTING).then_some(0))?;
-            let link = links.remove(at);
-            let quiet = if sure { link.stream.is_quiet() } else { link.stream.is_quiet_cached() };
-            if link.idle_since.elapsed() < self.max_idle && quiet {
-                return Some(link);
+            let rested = connections.partition_point(|l| l.idle_since.elapsed() >= REUSE_DELAY);
+            let at = rested.checked_sub(1).or((connections.len() >= MAX_RESTING).then_some(0))?;
+            let connection = connections.remove(at);
+            let quiet =
+                if ask_kernel { connection.stream.is_quiet() } else { connection.stream.is_quiet_cached() };
+            if connection.idle_since.elapsed() < self.max_idle && quiet {
+                return Some(connection);
             }
         }
     }
 
-    /// Notes an attempt until something comes back, or it ends.
+    /// Registers an attempt as unanswered until the returned value is dropped.
     pub(crate) fn track_attempt(self: &Rc<Self>, server: ServerId) -> TrackedAttempt {
-        *self.unheard.borrow_mut().entry(server).or_default() += 1;
+        *self.unanswered.borrow_mut().entry(server).or_default() += 1;
         TrackedAttempt { pool: self.clone(), server }
     }
 
-    /// A server has answered what was sent then.
+    /// Records that a server has answered an attempt sent at `sent`.
     pub(crate) fn note_response(&self, server: ServerId, sent: Instant) {
-        if !self.unheard.borrow().contains_key(&server) {
+        if !self.unanswered.borrow().contains_key(&server) {
             return;
         }
-        let mut answered = self.answered.borrow_mut();
-        let last = answered.entry(server).or_insert(sent);
+        let mut last_answered = self.last_answered.borrow_mut();
+        let last = last_answered.entry(server).or_insert(sent);
         *last = sent.max(*last);
     }
 
-    /// Has a server answered what was sent to it later? Then it is not the server that is silent.
+    /// Returns whether the server has answered an attempt sent after `sent`: then it is not the server that
+    /// is silent.
     pub(crate) fn is_overtaken(&self, server: ServerId, sent: Instant) -> bool {
-        self.answered.borrow().get(&server).is_some_and(|last| *last > sent)
+        self.last_answered.borrow().get(&server).is_some_and(|last| *last > sent)
     }
 
-    /// Closes the idle connections to a server that were last used before an attempt that nothing came back of.
+    /// Closes the idle connections to a server that were last used before `sent`, when an attempt was sent
+
+    /// that received nothing.
     pub(crate) fn close_last_used_before(&self, server: ServerId, sent: Instant) {
-        if let Some(links) = self.idle.borrow_mut().get_mut(&server) {
-            links.retain(|link| link.idle_since >= sent);
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&server) {
+            connections.retain(|connection| connection.idle_since >= sent);
         }
     }
 
-    fn put(&self, server: ServerId, mut link: PooledConnection) {
-        link.idle_since = Instant::now();
-        self.idle.borrow_mut().entry(server).or_default().push(link);
+    fn store(&self, server: ServerId, mut connection: PooledConnection) {
+        connection.idle_since = Instant::now();
+        self.idle.borrow_mut().entry(server).or_default().push(connection);
     }
 
-    /// Keeps a connection on which an answer has come whole, `came` bytes of body or chunks, where it may be used again and
-    /// leads to where its server still is: busy while that moved or restarted, it escaped being forgotten.
+    /// Returns a connection to the pool after a complete response of `body_bytes` bytes of body or chunks, if
+
+    /// it can be reused and `current` is still its endpoint. `close_idle_to` does not close a connection that
+    /// is in use while the server moves or restarts.
     pub(crate) fn give_back(
         &self,
         server: ServerId,
-        link: PooledConnection,
-        came: usize,
+        connection: PooledConnection,
+        body_bytes: usize,
         chunked: bool,
-        now: Option<Endpoint>,
+        current: Option<Endpoint>,
     ) {
-        // One that has more to read than the answer would answer the next request with it.
-        if link.stream.is_message_sent()
-            && link.stream.received_exactly(came, chunked)
-            && link.stream.has_no_unread_bytes()
-            && now == Some(link.endpoint)
+        // Unread bytes would be taken for the response to the next request.
+        if connection.stream.is_message_sent()
+            && connection.stream.received_exactly(body_bytes, chunked)
+            && connection.stream.has_no_unread_bytes()
+            && current == Some(connection.endpoint)
         {
-            self.put(server, link);
+            self.store(server, connection);
         }
     }
 
-    /// Closes the connection that has been idle for longest; false where none is.
+    /// Closes the connection that has been idle longest; returns false if there is none.
     pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let Some(links) = idle
+        let Some(connections) = idle
             .values_mut()
             .filter(|l| !l.is_empty())
-            .min_by_key(|links| links.first().map(|l| l.idle_since))
+            .min_by_key(|connections| connections.first().map(|l| l.idle_since))
         else {
             return false;
         };
-        links.remove(0);
+        connections.remove(0);
         true
     }
 
-    /// A new connection, or how the attempt ends without one. A node that has no descriptor or port left has
-    /// sent nothing, but that says nothing of the server: as a failed connect it would eject a good one.
-    pub(crate) async fn connect(&self, place: Endpoint) -> Result<PooledConnection, Outcome> {
+    /// Opens a connection, or returns the outcome of the attempt that failed. A lack of descriptors or ports
+
+    /// on this node is `NotSent`: it says nothing about the server, and counted as a failed connect it would
+    /// eject a healthy one.
+    pub(crate) async fn connect(&self, endpoint: Endpoint) -> Result<PooledConnection, Outcome> {
         if self.open.get() >= self.max_open && !self.evict_idle() {
             return Err(Outcome::NotSent);
         }
         self.open.set(self.open.get() + 1);
         let descriptor = Descriptor(self.open.clone());
-        let stream = match timeout(self.connect_timeout, magpietally_net::connect(place.address)).await {
+        let stream = match timeout(self.connect_timeout, magpietally_net::connect(endpoint.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(DialError::Lacking(error))) => {
                 self.sample
-                    .log(|| tracing::warn!(target: "connect", "{}: lacking here: {error}", place.address));
+                    .log(|| tracing::warn!(target: "connect", "{}: no local descriptor or port: {error}", endpoint.address));
                 self.evict_idle();
                 return Err(Outcome::NotSent);
             }
             Ok(Err(DialError::Failed(error))) => {
-                self.sample.log(|| tracing::info!(target: "connect", "{}: {error}", place.address));
-                return Err(outcome_of_failed_connect(&error));
+                self.sample.log(|| tracing::info!(target: "connect", "{}: {error}", endpoint.address));
+                return Err(failed_connect(&error));
             }
             Err(_) => return Err(Outcome::ConnectFailed),
         };
         let failed = Outcome::ConnectFailed;
-        let sock = WatchedStream::new(stream);
-        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(hyper_io(sock.clone())).await;
+        let watched = WatchedStream::new(stream);
+        let builder =
+            http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(hyper_io(watched.clone())).await;
         let (send, conn) = builder.map_err(|_| failed)?;
         Ok(PooledConnection {
-            stream: sock,
+            stream: watched,
             send,
             conn,
-            endpoint: place,
+            endpoint,
             idle_since: Instant::now(),
             _descriptor: descriptor,
         })
     }
 }
 
-/// How an attempt ends whose connect failed. One that was taken and broken at once says that something listens: a
-/// process that is down refuses.
-fn outcome_of_failed_connect(error: &std::io::Error) -> Outcome {
+/// Returns the outcome of an attempt whose connect failed. A reset shows that something listens there: a
+/// machine whose server process is down refuses connections.
+fn failed_connect(error: &std::io::Error) -> Outcome {
     match error.kind() {
         ErrorKind::ConnectionReset => Outcome::Unwritten,
         _ => Outcome::ConnectFailed,
     }
 }
 
-/// How an attempt ends whose time was over before its connection stood. Where the time to connect is longer than an
-/// attempt's, a machine that says nothing fails no connect: one that had half of that time tells of it all the same.
-pub(crate) fn outcome_of_unfinished_connect(waited: Duration, connect: Duration) -> Outcome {
-    if waited >= connect / 2 {
+/// Returns the outcome of an attempt whose deadline passed before its connection was open. Where the connect
+/// timeout is longer than the attempts' deadlines, connects to a silent machine never time out; a wait of
+/// half the timeout therefore counts against the server.
+pub(crate) fn unfinished_connect(waited: Duration, connect_timeout: Duration) -> Outcome {
+    if waited >= connect_timeout / 2 {
         Outcome::Unwritten
     } else {
         Outcome::NotSent
