--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: the whole list, and the watch that brings its changes.
+//! Calls to discovery: one for the whole list, and a watch for its changes.
 
 use std::fmt::Display;
 use std::future::{pending, Future};
@@ -18,60 +18,64 @@
 use crate::server_list;
 use crate::watched_stream::{hyper_io, HyperIo, WatchedStream};
 
-/// The longest line that is taken.
-const LINE_MOST: usize = 4 << 20;
-
-// Whatever befell a call, what it has missed counts as told 6 s after discovery could be reached, and 4 s after a reload that
-// began it. All times but SILENCE run from the moment in which a call's connection was there, so that parts that are each just
-// in time do not add up to more, and a connection that came up late takes nothing from the wait in the service's queue.
-// Behind each comes the policy's pause, 0.1 s at most where the call took its time and 0.4 s else, and the next call, which
-// has the rest: 3 s in the queue, where there was nothing but the answer to wait for.
-
-/// How long a connection is waited for before another is tried beside it. The kernel would say its first word again after
-/// 1 s, then after 2 s and 4 s: a link that is back would be found too late.
-const TRY: Duration = Duration::from_millis(500);
-/// Who refuses a connection does it sooner. One that hung so long and is reset then was on a link that is back.
-const REFUSED: Duration = Duration::from_millis(100);
-/// When the whole list must be there: half a second more than its answer may wait (`Reader::patience`), and with the pause behind
-/// it within the 4 s of a reload.
-const WHOLE: Duration = Duration::from_millis(500);
-/// When the first line of a watch must be there: 2 s later than the latest answer, as it may be the first of those that come
-/// while nothing changes; with the pause behind it within 6 s.
-const FIRST_LINE: Duration = Duration::from_millis(2000);
-/// A watch brings a line every 2 s: a longer silence is a dead link, which TCP alone would not notice.
-const SILENCE: Duration = Duration::from_millis(WATCH_SILENCE_TIMEOUT as u64);
-
-/// What comes sooner has not waited in the service's queue.
-const AT_ONCE: Duration = Duration::from_millis(300);
+/// Size limit of a line.
+const MAX_LINE_BYTES: usize = 4 << 20;
+
+// Time budget: a change that a call has missed counts as received by the node 6 s after discovery is
+// reachable, or 4 s after the reload that started the call, whatever went wrong. All limits except
+// MAX_SILENCE therefore count from the moment the call's connection is open: steps that each take just under
+// their limit do not add up to more, and a slow connect takes nothing from the time that the call may wait in
+// the service's queue. A failed call is followed by the policy's pause, at most 0.1 s after a call that took
+
+// long and else 0.4 s, and by the next call, which has the rest: 3 s in the queue, if nothing but the
+// response had to be waited for.
+
+/// How long a connect may take before another one is started beside it. The kernel would retransmit the SYN
+/// after 1 s, then after 2 s and 4 s, and would notice too late that a link is back.
+const PARALLEL_CONNECT_AFTER: Duration = Duration::from_millis(500);
+/// A refusal arrives within this time. A connect that took longer and is then reset was waiting on a link
+/// that has come back.
+const REFUSAL_WITHIN: Duration = Duration::from_millis(100);
+/// Time for the whole list, beyond the time for the response to begin (`ListConsumer::response_timeout`);
+/// with the pause after it, within the 4 s after a reload.
+const LIST_TRANSFER_TIME: Duration = Duration::from_millis(500);
+/// Time for the first line of a watch, beyond the time for the response to begin: it may be the first of the
+/// empty lines sent every 2 s while nothing changes. With the pause after it, within the 6 s.
+const FIRST_LINE_WITHIN: Duration = Duration::from_millis(2000);
+/// A watch sends a line every 2 s, so a longer silence means a dead link, which TCP alone would not notice.
+const MAX_SILENCE: Duration = Duration::from_millis(WATCH_SILENCE_TIMEOUT as u64);
+
+/// A response that arrives sooner has not waited in the service's queue.
+const IMMEDIATE: Duration = Duration::from_millis(300);
 
 /// Why a call ended.
-enum Ended {
-    /// The service has rejected it at once.
+enum CallError {
+    /// The service rejected it at once.
     Rejected(String),
-    /// It failed or broke.
+    /// It failed or was cut off.
     Broken(String),
-    /// It said nothing, or nothing more, and was given up.
+    /// No response, or no further data, arrived in time.
     Silent(String),
-    /// It brought what can't be read; the whole list is needed.
-    Unreadable(String),
+    /// The data was malformed; the whole list is needed.
+    Malformed(String),
 }
 
-/// Who the list is read for.
-trait Reader {
-    /// How long the answer to a call may take to begin.
-    fn patience(&self) -> Duration;
-    /// The version to follow from; `None` where the whole list is needed first.
+/// Receives the list that is read from discovery.
+trait ListConsumer {
+    /// How long the response to a call may take to begin.
+    fn response_timeout(&self) -> Duration;
+    /// The version to watch from; `None` if the whole list is needed first.
     fn version(&self) -> Option<u64>;
-    /// What was read last can't be trusted to follow on what it has.
+    /// Discards the version, as later changes can't be applied to what was read so far.
     fn forget_version(&self);
-    /// The source has answered a call, with no news.
+    /// Discovery has answered a call and reports no change.
     fn list_alive(&self);
-    /// The source has brought a list, or changes.
+    /// Discovery has sent a list, or changes.
     fn listed(&self, listing: ServerListing);
 }
 
-impl<C: UpstreamTransport> Reader for Rc<Core<C>> {
-    fn patience(&self) -> Duration {
+impl<C: UpstreamTransport> ListConsumer for Rc<Core<C>> {
+    fn response_timeout(&self) -> Duration {
         Core::list_timeout(self)
     }
 
@@ -92,12 +96,12 @@
     }
 }
 
-/// Where calls go.
+/// A destination of calls.
 trait Dial: Display {
     /// A connection.
     type Io: rt::Read + rt::Write + Unpin + 'static;
 
-    /// Connects once, for as long as it takes.
+    /// Makes one connection attempt, without a time limit.
     fn dial(&self) -> impl Future<Output = std::io::Result<Self::Io>>;
 }
 
@@ -109,207 +113,225 @@
     }
 }
 
-impl From<hyper::Error> for Ended {
+impl From<hyper::Error> for CallError {
     fn from(error: hyper::Error) -> Self {
         Self::Broken(error.to_string())
     }
 }
 
-/// Watches from the version that the core has, or asks for the whole list first where it has none. Ends when the watch ends.
+/// Watches from the version that the core has, after fetching the whole list if it has none. Returns when the
+/// watch ends.
 pub async fn follow<C: UpstreamTransport>(core: Rc<Core<C>>, to: SocketAddr) -> ListStreamEnd {
-    follow_by(&core, &to).await
+    follow_with(&core, &to).await
 }
 
-async fn follow_by(reader: &impl Reader, to: &impl Dial) -> ListStreamEnd {
-    let (failure, words) = match watch(reader, to).await {
+async fn follow_with(consumer: &impl ListConsumer, to: &impl Dial) -> ListStreamEnd {
+    let (failure, words) = match watch(consumer, to).await {
         Ok(()) => (ListFailure::Broken, "the watch ended".to_string()),
-        Err(Ended::Rejected(words)) => (ListFailure::Rejected, words),
-        Err(Ended::Broken(words)) => (ListFailure::Broken, words),
-        Err(Ended::Silent(words)) => (ListFailure::Silent, words),
-        Err(Ended::Unreadable(words)) => {
-            reader.forget_version();
-            (ListFailure::Broken, format!("unreadable line dropped: {words}"))
+        Err(CallError::Rejected(message)) => (ListFailure::Rejected, message),
+        Err(CallError::Broken(message)) => (ListFailure::Broken, message),
+        Err(CallError::Silent(message)) => (ListFailure::Silent, message),
+        Err(CallError::Malformed(message)) => {
+            consumer.forget_version();
+            (ListFailure::Broken, format!("malformed line dropped: {message}"))
         }
     };
     ListStreamEnd { failure, message: words }
 }
 
-async fn watch(reader: &impl Reader, to: &impl Dial) -> Result<(), Ended> {
-    let version = match reader.version() {
+async fn watch(consumer: &impl ListConsumer, to: &impl Dial) -> Result<(), CallError> {
+    let version = match consumer.version() {
         Some(version) => version,
-        None => whole(reader, to).await?,
+        None => fetch_list(consumer, to).await?,
     };
-    let mut body = call(reader, to, &format!("/v1/endpoints?watch=1&from={version}")).await?;
-    let mut text = Objects::default();
-    let ended = attend(reader, &mut body, &mut text).await;
-    if let (Ok(()) | Err(Ended::Broken(_) | Ended::Silent(_)), Some(listing)) = (&ended, text.rest()) {
-        // What has been written has been told, however it ended.
-        follow_on(reader, listing)?;
+    let mut call = call(consumer, to, &format!("/v1/endpoints?watch=1&from={version}")).await?;
+    let mut objects = ObjectSplitter::default();
+    let ended = read_watch(consumer, &mut call, &mut objects).await;
+    if let (Ok(()) | Err(CallError::Broken(_) | CallError::Silent(_)), Some(listing)) =
+        (&ended, objects.into_unterminated())
+    {
+        // Data that discovery has written counts as received, however the watch ended.
+        apply_update(consumer, listing)?;
     }
     ended
 }
 
-/// Takes what a watch brings, until it ends.
-async fn attend(reader: &impl Reader, body: &mut Call, text: &mut Objects) -> Result<(), Ended> {
-    let mut due = (Instant::now() + SILENCE).min(body.began + body.patience + FIRST_LINE);
-    let mut heard = false;
+/// Reads a watch until it ends.
+async fn read_watch(
+    consumer: &impl ListConsumer,
+    call: &mut Call,
+    objects: &mut ObjectSplitter,
+) -> Result<(), CallError> {
+    let mut due =
+        (Instant::now() + MAX_SILENCE).min(call.connected_at + call.response_timeout + FIRST_LINE_WITHIN);
+    let mut received_any = false;
     loop {
-        let frame = timeout_at(due, body.answer.frame()).await;
-        let Some(frame) = frame.map_err(|_| Ended::Silent("silent watch".into()))? else { return Ok(()) };
+        let frame = timeout_at(due, call.body.frame()).await;
+        let Some(frame) = frame.map_err(|_| CallError::Silent("silent watch".into()))? else { return Ok(()) };
         let Ok(data) = frame?.into_data() else { continue };
-        text.lines.push(&data)?;
-        while let Some(said) = text.next()? {
-            // Bytes that make no line, and lines that make no object, are no sign of life: news waits behind them.
-            due = Instant::now() + SILENCE;
-            match said {
-                Said::News(listing) => follow_on(reader, listing)?,
-                Said::Nothing if !heard => reader.list_alive(),
-                Said::Nothing => {}
+        objects.lines.push(&data)?;
+        while let Some(item) = objects.next()? {
+            // An unfinished line, or a line that completes no object, does not extend the deadline: changes
+            // would wait behind it.
+            due = Instant::now() + MAX_SILENCE;
+            match item {
+                WatchItem::Update(listing) => apply_update(consumer, listing)?,
+                WatchItem::EmptyLine if !received_any => consumer.list_alive(),
+                WatchItem::EmptyLine => {}
             }
-            if !std::mem::replace(&mut heard, true) {
-                tracing::info!(target: "list", "watched, {:.1} ms after the call", body.began.elapsed().as_secs_f64() * 1e3);
+            if !std::mem::replace(&mut received_any, true) {
+                tracing::info!(target: "list", "first line of the watch after {:.1} ms", call.connected_at.elapsed().as_secs_f64() * 1e3);
             }
         }
     }
 }
 
-/// Takes a line of a watch. Changes of an older version than the node has would bring back what has been told to be over.
-fn follow_on(reader: &impl Reader, listing: ServerListing) -> Result<(), Ended> {
-    match reader.version() {
-        Some(had) if !listing.complete && listing.version < had => {
-            Err(Ended::Unreadable(format!("seq: {} after {had}", listing.version)))
+/// Applies a line of a watch. Changes of an older version than the node has would restore a state that is
+
+/// over.
+fn apply_update(consumer: &impl ListConsumer, listing: ServerListing) -> Result<(), CallError> {
+    match consumer.version() {
+        Some(current) if !listing.complete && listing.version < current => {
+            Err(CallError::Malformed(format!("seq: {} after {current}", listing.version)))
         }
         _ => {
-            reader.listed(listing);
+            consumer.listed(listing);
             Ok(())
         }
     }
 }
 
-/// Asks for the whole list once.
-async fn whole(reader: &impl Reader, to: &impl Dial) -> Result<u64, Ended> {
-    let mut body = call(reader, to, "/v1/endpoints").await?;
-    let mut text = Lines::default();
-    let due = body.began + body.patience + WHOLE;
+/// Fetches the whole list once and returns its version.
+async fn fetch_list(consumer: &impl ListConsumer, to: &impl Dial) -> Result<u64, CallError> {
+    let mut call = call(consumer, to, "/v1/endpoints").await?;
+    let mut lines = LineSplitter::default();
+    let due = call.connected_at + call.response_timeout + LIST_TRANSFER_TIME;
     loop {
-        let frame = timeout_at(due, body.answer.frame()).await;
-        let Some(frame) = frame.map_err(|_| Ended::Silent("silent list".into()))? else { break };
+        let frame = timeout_at(due, call.body.frame()).await;
+        let Some(frame) = frame.map_err(|_| CallError::Silent("silent list".into()))? else { break };
         if let Ok(data) = frame?.into_data() {
-            text.push(&data)?;
+            lines.push(&data)?;
         }
     }
-    let listing = read(&text.held)?;
+    let listing = parse(&lines.buffer)?;
     let version = listing.version;
-    reader.listed(listing);
+    consumer.listed(listing);
     Ok(version)
 }
 
-fn read(line: &[u8]) -> Result<ServerListing, Ended> {
-    server_list::parse_line(line).map_err(|e| Ended::Unreadable(e.message()))
+fn parse(line: &[u8]) -> Result<ServerListing, CallError> {
+    server_list::parse_line(line).map_err(|e| CallError::Malformed(e.message()))
 }
 
-/// What moves a call's bytes; the connection ends with it.
-struct Driver(tokio::task::JoinHandle<()>);
+/// The task that drives a call's connection; dropping it closes the connection.
+struct ConnectionTask(tokio::task::JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// A call's answer.
+/// The response to a call.
 struct Call {
-    answer: Incoming,
-    /// When its connection was there.
-    began: Instant,
-    /// How long its answer might have taken to begin.
-    patience: Duration,
-    _driver: Driver,
+    body: Incoming,
+    /// When its connection was open.
+    connected_at: Instant,
+    /// How long its response was allowed to take to begin.
+    response_timeout: Duration,
+    _task: ConnectionTask,
 }
 
-async fn call(reader: &impl Reader, to: &impl Dial, path: &str) -> Result<Call, Ended> {
-    let broken = |words: &str| Ended::Broken(words.to_string());
+async fn call(consumer: &impl ListConsumer, to: &impl Dial, path: &str) -> Result<Call, CallError> {
+    let broken = |message: &str| CallError::Broken(message.to_string());
     let io = connect(to).await?;
-    let began = Instant::now();
+    let connected_at = Instant::now();
     let (mut send, conn) = http1::handshake(io).await?;
-    let driver = Driver(tokio::task::spawn_local(async move {
-        // What breaks the connection breaks the call too, and is seen there.
+    let task = ConnectionTask(tokio::task::spawn_local(async move {
+        // An error of the connection also fails the call, which reports it.
         let _ = conn.await;
     }));
     let request = Request::get(path).header("host", to.to_string()).body(Empty::<Bytes>::new());
     let request = request.map_err(|e| broken(&e.to_string()))?;
-    let patience = reader.patience();
-    let answer = timeout_at(began + patience, send.send_request(request)).await;
-    let answer: Response<Incoming> = answer.map_err(|_| Ended::Silent("no answer".into()))??;
-    if answer.status() != StatusCode::OK {
-        let words = format!("status {}", answer.status());
-        return Err(if began.elapsed() < AT_ONCE { Ended::Rejected(words) } else { Ended::Broken(words) });
+    let response_timeout = consumer.response_timeout();
+    let response = timeout_at(connected_at + response_timeout, send.send_request(request)).await;
+    let response: Response<Incoming> = response.map_err(|_| CallError::Silent("no answer".into()))??;
+    if response.status() != StatusCode::OK {
+        let message = format!("status {}", response.status());
+        return Err(if connected_at.elapsed() < IMMEDIATE {
+            CallError::Rejected(message)
+        } else {
+            CallError::Broken(message)
+        });
     }
-    Ok(Call { answer: answer.into_body(), began, patience, _driver: driver })
+    Ok(Call { body: response.into_body(), connected_at, response_timeout, _task: task })
 }
 
-/// A connection. On a dead link none comes up and none is refused. As the service never hears of these, they need no pause:
-/// another is tried all the time, beside the one before, which may only be late. What is refused has failed.
-async fn connect<D: Dial>(to: &D) -> Result<D::Io, Ended> {
-    let mut before = None;
-    let mut hung = false;
+/// Opens a connection. On a dead link a connect neither succeeds nor is refused. These attempts cost the
+/// service nothing, so they need no pause: a new one starts every PARALLEL_CONNECT_AFTER beside the previous
+/// one, which may only be late. A refusal ends the call.
+async fn connect<D: Dial>(to: &D) -> Result<D::Io, CallError> {
+    let mut earlier = None;
+    let mut link_down = false;
     loop {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut newest = Box::pin(to.dial());
         let late = async {
-            match &mut before {
-                Some((dial, began)) => (std::pin::Pin::as_mut(dial).await, *began),
+            match &mut earlier {
+                Some((dial, started)) => (std::pin::Pin::as_mut(dial).await, *started),
                 None => pending().await,
             }
         };
         let ended = tokio::select! {
-            io = &mut newest => Some((io, began)),
+            io = &mut newest => Some((io, started)),
             late = late => Some(late),
-            () = sleep(TRY) => None,
+            () = sleep(PARALLEL_CONNECT_AFTER) => None,
         };
         match ended {
             Some((Ok(io), _)) => return Ok(io),
-            Some((Err(error), began)) if !hung && began.elapsed() < REFUSED => {
-                return Err(Ended::Broken(error.to_string()));
+            Some((Err(error), started)) if !link_down && started.elapsed() < REFUSAL_WITHIN => {
+                return Err(CallError::Broken(error.to_string()));
             }
-            // The link is back, and says that what hung on it is lost. What is refused from now on has failed.
-            Some((Err(_), _)) => (before, hung) = (None, false),
+            // The link is back, and the connects that waited on it are lost. A refusal from now on ends the
+            // call.
+            Some((Err(_), _)) => (earlier, link_down) = (None, false),
             None => {
-                if !std::mem::replace(&mut hung, true) {
-                    tracing::info!(target: "list", "{to}: no connection comes up, tried on");
+                if !std::mem::replace(&mut link_down, true) {
+                    tracing::info!(target: "list", "{to}: connecting takes long; trying another connection beside it");
                 }
-                before = Some((newest, began));
+                earlier = Some((newest, started));
             }
         }
     }
 }
 
-/// Cuts a stream into lines.
+/// Splits a stream into lines.
 #[derive(Default)]
-struct Lines {
-    held: Vec<u8>,
-    /// How much of it has no line's end.
-    looked: usize,
+struct LineSplitter {
+    buffer: Vec<u8>,
+    /// Number of leading bytes known to contain no end of line.
+    scanned: usize,
 }
 
-impl Lines {
-    fn push(&mut self, data: &[u8]) -> Result<(), Ended> {
-        if self.held.len() + data.len() > LINE_MOST {
-            return Err(Ended::Unreadable("longer than a line may be".into()));
+impl LineSplitter {
+    fn push(&mut self, data: &[u8]) -> Result<(), CallError> {
+        if self.buffer.len() + data.len() > MAX_LINE_BYTES {
+            return Err(CallError::Malformed("line exceeds the size limit".into()));
         }
-        self.held.extend_from_slice(data);
+        self.buffer.extend_from_slice(data);
         Ok(())
     }
 
     fn next(&mut self) -> Option<Vec<u8>> {
-        // A long line comes in many pieces: what was looked through is not looked through again with each.
-        let Some(end) = self.held[self.looked..].iter().position(|b| *b == b'\n') else {
-            self.looked = self.held.len();
+        // A long line arrives in many pieces; bytes that were searched before are not searched again for each
+        // of them.
+        let Some(end) = self.buffer[self.scanned..].iter().position(|b| *b == b'\n') else {
+            self.scanned = self.buffer.len();
             return None;
         };
-        let rest = self.held.split_off(self.looked + end + 1);
-        let mut line = std::mem::replace(&mut self.held, rest);
-        self.looked = 0;
+        let rest = self.buffer.split_off(self.scanned + end + 1);
+        let mut line = std::mem::replace(&mut self.buffer, rest);
+        self.scanned = 0;
         while line.last().is_some_and(u8::is_ascii_whitespace) {
             line.pop();
         }
@@ -317,56 +339,56 @@
     }
 }
 
-/// What a watch says.
-enum Said {
-    /// An empty line.
-    Nothing,
-    /// An object.
-    News(ServerListing),
+/// One item of a watch.
+enum WatchItem {
+    /// An empty line, sent while nothing changes.
+    EmptyLine,
+    /// A list, or changes.
+    Update(ServerListing),
 }
 
-/// Cuts a watch into its objects. Each has a line of its own; one that is indented has several.
+/// Splits a watch into JSON objects. Each has a line of its own, or several if it is indented.
 #[derive(Default)]
-struct Objects {
-    lines: Lines,
-    /// The lines so far of one that is not over.
-    begun: Vec<u8>,
+struct ObjectSplitter {
+    lines: LineSplitter,
+    /// The lines received of an unfinished object.
+    partial: Vec<u8>,
 }
 
-impl Objects {
-    fn next(&mut self) -> Result<Option<Said>, Ended> {
+impl ObjectSplitter {
+    fn next(&mut self) -> Result<Option<WatchItem>, CallError> {
         while let Some(line) = self.lines.next() {
-            if line.is_empty() && self.begun.is_empty() {
-                return Ok(Some(Said::Nothing));
+            if line.is_empty() && self.partial.is_empty() {
+                return Ok(Some(WatchItem::EmptyLine));
             }
-            // No indented object has an empty line: the rest of this one will not come.
+            // An indented object contains no empty line, so the rest of this one will not come.
             let cut_off = line.is_empty();
-            if self.begun.len() + line.len() > LINE_MOST {
-                return Err(Ended::Unreadable("longer than an object may be".into()));
+            if self.partial.len() + line.len() > MAX_LINE_BYTES {
+                return Err(CallError::Malformed("object exceeds the size limit".into()));
             }
-            let first = self.begun.is_empty();
-            self.begun.extend_from_slice(&line);
-            self.begun.push(b'\n');
-            // Of a long one not every line is tried, but each that could be its last.
+            let first = self.partial.is_empty();
+            self.partial.extend_from_slice(&line);
+            self.partial.push(b'\n');
+            // Parses a long object only after lines that could be its last.
             if !(first || cut_off || line.ends_with(b"}")) {
                 continue;
             }
-            match server_list::parse_line(&self.begun) {
+            match server_list::parse_line(&self.partial) {
                 Ok(listing) => {
-                    self.begun.clear();
-                    return Ok(Some(Said::News(listing)));
+                    self.partial.clear();
+                    return Ok(Some(WatchItem::Update(listing)));
                 }
                 Err(server_list::ListError::Truncated(_)) if !cut_off => {}
-                Err(error) => return Err(Ended::Unreadable(error.message())),
+                Err(error) => return Err(CallError::Malformed(error.message())),
             }
         }
         Ok(None)
     }
 
-    /// The object that only lacks its line's end.
-    fn rest(mut self) -> Option<ServerListing> {
-        self.begun.extend_from_slice(&self.lines.held);
-        server_list::parse_line(&self.begun).ok()
+    /// Returns the object that is complete except for the end of its line.
+    fn into_unterminated(mut self) -> Option<ServerListing> {
+        self.partial.extend_from_slice(&self.lines.buffer);
+        server_list::parse_line(&self.partial).ok()
     }
 }
 
--- a/crates/http/src/discovery/timing_tests.rs
+++ b/crates/http/src/discovery/timing_tests.rs
@@ -183,7 +183,7 @@
                 Action::Subscribe => {
                     let node = self.clone();
                     let call = spawn_local(async move {
-                        let ended = follow_by(&node, &Wire(node.service.clone())).await;
+                        let ended = follow_with(&node, &Wire(node.service.clone())).await;
                         node.feed(Event::ListFailed(ended.failure));
                     });
                     if let Some(old) = self.call.borrow_mut().replace(call.abort_handle()) {
@@ -196,8 +196,8 @@
     }
 }
 
-impl Reader for Rc<Node> {
-    fn patience(&self) -> Duration {
+impl ListConsumer for Rc<Node> {
+    fn response_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.policy.borrow().list_response_timeout() / 1000.0)
     }
 
