--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,11 @@
-//! The platform's protocol round the core: HTTP/1.1 clients and servers, discovery, and a node as a process.
+//! HTTP/1.1 around the core: clients, servers, discovery, and a node as a process.
 //!
-//! Sockets in, sockets out, no decisions. [`config`] reads what the platform tells a node, [`run`] runs it, [`run_workers`] on several
-//! cores. Below that, arrows run one way: `workers` → `service` → `clients`, `management` → `carrier` → `upstream`,
-//! `discovery` → `pool` → `sock`. `body` passes on what is too large to hold, within `budget`; `scan` tells where a client's
-//! requests end; `inherited` takes over the platform's socket; `signals` waits for signals.
+//! This crate moves bytes and makes no decisions; those are the core's. [`config`] reads the configuration
+//! that the platform provides, [`run`] runs a node, and [`run_workers`] runs it on several cores. Below these
+//! the modules depend on each other in one direction: `workers` → `node` → `clients`, `management` →
+//! `carrier` → `upstream`, `discovery` → `pool` → `sock`. `body` streams bodies too large to buffer, within
+//! `budget`; `scan` finds the end of a client's requests; `inherited` takes over the platform's socket;
+//! `signals` waits for signals.
 
 mod body;
 mod clients;
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -1,4 +1,4 @@
-//! One node as a process: its listener, its signals, and how it ends.
+//! One node as a process: its listener, its signals and its shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,52 +23,55 @@
 
 type Node = Core<HttpTransport>;
 
-/// How often the node looks whether it can end.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long the last answers may take to be written: a quarter of what is left until SIGKILL.
-const LAST_WORDS: Duration = Duration::from_millis(50);
-/// How long a process that shares its listening socket waits for its list before it accepts: an answer that it is not ready
-/// is better than none where no other process is left.
-const ACCEPT_AFTER: Duration = Duration::from_millis(5000);
-/// How long a connection to a server may be idle in a process whose next one has begun.
-const UNUSED: Duration = Duration::from_millis(100);
-/// How often connections are looked at while the node is drained.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_millis(200);
-/// How often the log says how the node fares.
-const STATUS: Duration = Duration::from_secs(1);
+/// How often the node checks during shutdown whether it can end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// How long the last responses may take to be written: a quarter of the time left until SIGKILL.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(50);
+/// How long a process that shares its listening socket waits for its server list before it accepts. If no
+/// other process is left, a response that the node is not ready is better than none.
+const ACCEPT_WITHIN: Duration = Duration::from_millis(5000);
+/// How long a connection to a server may be idle in a process whose successor has started.
+const HANDOVER_MAX_IDLE: Duration = Duration::from_millis(100);
+/// How often client connections are swept while the node is draining.
+const DRAIN_SWEEP_INTERVAL: Duration = Duration::from_millis(20);
+/// How often idle connections are swept.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
+/// How often a status line is logged.
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a worker is told besides the configuration.
+/// What a worker is given in addition to the configuration.
 pub(crate) struct WorkerSetup {
-    /// Where it accepts; its own, or one of several at the same address.
+    /// The worker's own listener, or one of several at the same address.
     pub(crate) listener: std::net::TcpListener,
-    /// Where calls to the second address come in, at the one worker that answers them.
+    /// The listener of the management address, for the one worker that serves it.
     pub(crate) management: Option<std::net::TcpListener>,
-    /// What it shares with the process's other workers.
+    /// State shared with the process's other workers.
     pub(crate) process: Process,
-    /// What its status lines begin with.
+    /// Prefix of the worker's status lines.
     pub(crate) label: String,
-    /// What operators switched on.
+    /// Options set by operators.
     pub(crate) options: OperatorOptions,
 }
 
-/// What operators may switch on beside the platform's configuration.
+/// Options that operators may set beside the platform's configuration.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorOptions {
-    /// Where what must not run twice is noted before it is sent.
+    /// Records requests that must not run twice before they are sent.
     pub ledger: Option<Ledger>,
-    /// Where the list of servers comes from, in place of discovery.
+    /// The source of the server list, in place of discovery.
     pub server_list: Option<ListFile>,
-    /// What the fleet says of requests.
+    /// Admission decisions of the fleet.
     pub admission: Option<Arc<dyn AdmissionControl>>,
 }
 
-/// Runs one node until a signal ends it. `lost_lines` counts the lines that the log has dropped so far, for the status
-/// lines.
+/// Runs one node until a signal ends it. `lost_lines` returns the number of lines that the log has dropped so
+/// far, for the status lines.
+
+///
 ///
 /// # Errors
-/// What could not be set up, in one line: the runtime, the listener, a signal or the policy's settings.
+/// One line that names what could not be set up: the runtime, the listener, a signal or the policy's
+/// settings.
 pub fn run(
     config: Config,
     options: OperatorOptions,
@@ -78,11 +81,11 @@
     let listener = listeners.pop().ok_or("listen: nowhere")?;
     let address = listener_address(&listener).map_err(|e| format!("listen: {e}"))?;
     let name = config.name.clone();
-    let part = WorkerSetup { listener, management, process, label: String::new(), options };
-    run_worker(config, part, || tracing::info!(target: "node", "{name} listens at {address}"), lost_lines)
+    let setup = WorkerSetup { listener, management, process, label: String::new(), options };
+    run_worker(config, setup, || tracing::info!(target: "node", "{name} listens at {address}"), lost_lines)
 }
 
-/// What a process opens before its first worker begins.
+/// What a process opens before its first worker starts.
 pub(crate) struct OpenedProcess {
     /// One for each worker.
     pub(crate) listeners: Vec<std::net::TcpListener>,
@@ -97,92 +100,94 @@
         if let Some(at) = management.as_ref().and_then(|m| listener_address(m).ok()) {
             tracing::info!(target: "node", "{} is managed at {at}", config.name);
         }
-        let life = Lifecycle::new(config.received.longest_deadline(), config.inherited_fd.is_some());
-        Ok(Self { listeners, management, process: Process::new(config.received.classes.len(), life) })
+        let lifecycle = Lifecycle::new(config.received.longest_deadline(), config.inherited_fd.is_some());
+        Ok(Self { listeners, management, process: Process::new(config.received.classes.len(), lifecycle) })
     }
 }
 
-/// A listener for each worker. All are there before one accepts, so that the kernel spreads what comes from the first on.
-/// Workers that inherited a socket accept from that one, whoever is free.
+/// Opens a listener for each worker, all before the first one accepts, so that the kernel distributes
+/// connections from the first one on. Workers that inherited a socket all accept from that one.
 fn listeners(config: &Config, workers: usize) -> Result<Vec<std::net::TcpListener>, String> {
-    let cannot = |e| format!("listen: {}: {e}", config.listen);
+    let listen_error = |e| format!("listen: {}: {e}", config.listen);
     let first = match config.inherited_fd {
         Some(fd) => inherited_listener::from_fd(fd, config.listen)?,
-        None => listen(config.listen, workers > 1).map_err(cannot)?,
+        None => listen(config.listen, workers > 1).map_err(listen_error)?,
     };
-    let at = listener_address(&first).map_err(cannot)?;
+    let at = listener_address(&first).map_err(listen_error)?;
     let mut all = vec![first];
     for _ in 1..workers {
         all.push(match config.inherited_fd {
-            Some(_) => duplicate_listener(&all[0]).map_err(cannot)?,
-            None => listen(at, true).map_err(cannot)?,
+            Some(_) => duplicate_listener(&all[0]).map_err(listen_error)?,
+            None => listen(at, true).map_err(listen_error)?,
         });
     }
     Ok(all)
 }
 
-/// Where a listener is.
+/// Returns the address of a listener.
 pub(crate) fn listener_address(listener: &std::net::TcpListener) -> std::io::Result<SocketAddr> {
-    retry::at_start(Call::Create, "the address of a listener", || listener.local_addr())
+    retry::at_start(Call::Create, "listener address", || listener.local_addr())
 }
 
-/// Another descriptor of a listener.
+/// Duplicates the descriptor of a listener.
 pub(crate) fn duplicate_listener(listener: &std::net::TcpListener) -> std::io::Result<std::net::TcpListener> {
-    retry::at_start(Call::Create, "another descriptor of a listener", || listener.try_clone())
+    retry::at_start(Call::Create, "duplicate listener descriptor", || listener.try_clone())
 }
 
-/// Runs a worker until a signal ends it or its thread has panicked. `begun` is called once it accepts.
+/// Runs a worker until a signal ends it or its thread has panicked. `on_started` is called once the worker is
+
+/// set up.
 pub(crate) fn run_worker(
     config: Config,
-    part: WorkerSetup,
-    begun: impl FnOnce(),
+    setup: WorkerSetup,
+    on_started: impl FnOnce(),
     lost_lines: impl Fn() -> u64 + 'static,
 ) -> Result<(), String> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = retry::at_start(Call::Create, "runtime", build).map_err(|e| format!("runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(config, part, begun, lost_lines))
+    LocalSet::new().block_on(&runtime, serve(config, setup, on_started, lost_lines))
 }
 
-/// A core with HTTP for its carrier.
+/// Builds a node: a core with HTTP as its carrier.
 pub(crate) fn start_node(
     mut config: Config,
     process: Process,
     label: String,
     options: OperatorOptions,
 ) -> Result<Rc<Node>, SettingsError> {
-    let told = &config.received;
+    let received = &config.received;
     let setup = Setup {
-        settings: told.settings.clone(),
+        settings: received.settings.clone(),
         seed: config.seed,
-        classes: told.classes.clone(),
-        tenants: told.tenants.clone(),
-        open_cap: told.open_cap,
+        classes: received.classes.clone(),
+        tenants: received.tenants.clone(),
+        open_cap: received.open_cap,
         saved_list: config.saved_list.take(),
         process,
         label,
         ledger: options.ledger,
         admission: options.admission,
     };
-    let figures = setup.process.metrics.clone();
-    Core::new(setup, HttpTransport::new(config, options.server_list, figures))
+    let metrics = setup.process.metrics.clone();
+    Core::new(setup, HttpTransport::new(config, options.server_list, metrics))
 }
 
 async fn serve(
     config: Config,
-    part: WorkerSetup,
-    begun: impl FnOnce(),
+    setup: WorkerSetup,
+    on_started: impl FnOnce(),
     lost_lines: impl Fn() -> u64 + 'static,
 ) -> Result<(), String> {
-    let mut to_end = Signals::to_end().map_err(|e| format!("signal: {e}"))?;
-    // Without a handler SIGHUP ends the process, and with it all that it has taken.
-    let to_reload = Signals::to_reload().map_err(|e| format!("signal: {e}"))?;
-    let listener = Listener::new(part.listener).map_err(|e| format!("listen: {e}"))?;
-    let management = part.management.map(Listener::new).transpose();
+    let mut termination = Signals::termination().map_err(|e| format!("signal: {e}"))?;
+    // Without a handler SIGHUP would end the process and lose its open requests.
+    let reload_requests = Signals::reload_requests().map_err(|e| format!("signal: {e}"))?;
+    let listener = Listener::new(setup.listener).map_err(|e| format!("listen: {e}"))?;
+    let management = setup.management.map(Listener::new).transpose();
     let management = management.map_err(|e| format!("management: {e}"))?;
-    let process = part.process;
-    let node = start_node(config, process.clone(), part.label, part.options)
+    let process = setup.process;
+    let node = start_node(config, process.clone(), setup.label, setup.options)
         .map_err(|e| format!("settings: {e}"))?;
-    begun();
+    on_started();
     let clients = ClientConnections::new(node.clone());
     if let Some(listener) = management {
         spawn_local(management::serve(node.clone(), listener));
@@ -190,64 +195,66 @@
     spawn_local(node.clone().run_timer());
     spawn_local(sweep(node.clone(), clients.clone()));
     spawn_local(log_status(node.clone(), lost_lines));
-    spawn_local(reload(node.clone(), to_reload));
+    spawn_local(reload(node.clone(), reload_requests));
     let begin = spawn_local({
         let node = node.clone();
         async move { node.wait_for_list().await }
     });
-    let life = async {
+    let lifecycle = async {
         let accept = async {
             if process.lifecycle().has_shared_socket() {
-                // The process before this one accepts from the same socket, and serves: who came here would be told that
-                // the node is not ready.
-                let _ = timeout(ACCEPT_AFTER, begin).await;
+                // The previous process still accepts from the same socket and serves; clients that came here
+                // would only be told that the node is not ready.
+                let _ = timeout(ACCEPT_WITHIN, begin).await;
             }
             clients.accept(&listener).await;
         };
         tokio::select! {
             () = accept => {}
-            () = to_end.next() => {}
+            () = termination.next() => {}
             () = process.stopped() => {}
         }
         process.stop();
-        log_stage("told to end", &node, &clients);
+        log_stage("stop requested", &node, &clients);
         stop_node(&node, &clients, listener).await;
     };
     tokio::select! {
-        () = life => Ok(()),
+        () = lifecycle => Ok(()),
         () = workers::panicked() => Err("panicked".to_string()),
     }
 }
 
-/// Takes over what a new configuration says of discovery, also while the node stops. All else in it holds from the next start
-/// on: half of a node's state goes by it. A file that makes no sense changes nothing; one that can't be read for the moment is
-/// read again. Signals that come in quick succession are one: the file is read after the last.
-async fn reload(node: Rc<Node>, mut to_reload: Signals) {
+/// Applies the discovery address of a new configuration, also while the node is stopping. Everything else
+
+/// takes effect at the next start, as half of the node's state depends on it. An invalid file changes
+/// nothing; one that can't be read at the moment is retried. Signals in quick succession count as one: the
+/// file is read after the last.
+async fn reload(node: Rc<Node>, mut reload_requests: Signals) {
     loop {
-        to_reload.next().await;
-        match reloaded().await {
+        reload_requests.next().await;
+        match read_new_config().await {
             Ok(config) => {
                 tracing::info!(target: "reload", "discovery is {}", config.discovery);
                 node.transport().discovery_addr.set(config.discovery);
                 node.list_source_moved();
                 if let Some(field) = node.transport().config.changed_restart_only_field(&config) {
-                    tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
+                    tracing::warn!(target: "reload", "{field} has changed in the file; it takes effect at the next start");
                 }
             }
-            Err(words) => tracing::warn!(target: "reload", "{words}; the old configuration stays"),
+            Err(message) => tracing::warn!(target: "reload", "{message}; the old configuration stays"),
         }
     }
 }
 
-/// The new configuration, as soon as its file can be read.
-async fn reloaded() -> Result<Config, ConfigError> {
+/// Reads the new configuration, retrying until its file can be read.
+async fn read_new_config() -> Result<Config, ConfigError> {
     let mut pauses = Pauses::default();
     let mut logged = false;
     loop {
         match config::reload() {
             Err(error) if error.is_transient() => {
                 if !std::mem::replace(&mut logged, true) {
-                    tracing::warn!(target: "reload", "{error}; read again");
+                    tracing::warn!(target: "reload", "{error}; retrying");
                 }
                 tokio::time::sleep(pauses.next_pause()).await;
             }
@@ -257,72 +264,72 @@
 }
 
 async fn log_status(node: Rc<Node>, lost_lines: impl Fn() -> u64) {
-    let mut told = 0;
+    let mut reported = 0;
     loop {
         let lost = lost_lines();
-        node.log_status(node.transport().pool.sample.start_second() + lost.saturating_sub(told));
-        told = lost;
-        tokio::time::sleep(STATUS).await;
+        node.log_status(node.transport().pool.sample.start_second() + lost.saturating_sub(reported));
+        reported = lost;
+        tokio::time::sleep(STATUS_INTERVAL).await;
     }
 }
 
 async fn sweep(node: Rc<Node>, clients: Rc<ClientConnections>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         node.transport().pool.close_unusable();
         clients.close_overdue();
-        // A drained node is looked at more often; one that stops, by whoever ends it.
+        // A draining node is swept more often; `stop_node` does this for a stopping one.
         while node.process().lifecycle().draining_since().is_some() {
             clients.close_idle();
             clients.close_overdue();
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_SWEEP_INTERVAL).await;
         }
     }
 }
 
-/// Finishes all that was taken, by the times that the node's state tells.
+/// Finishes the accepted requests, at the times that the node's lifecycle sets.
 pub(crate) async fn stop_node(node: &Rc<Node>, clients: &Rc<ClientConnections>, listener: Listener) {
-    let life = node.process().lifecycle();
+    let lifecycle = node.process().lifecycle();
     let leave = async {
-        while life.accepts_connections(Instant::now(), clients.count()) {
+        while lifecycle.accepts_connections(Instant::now(), clients.count()) {
             clients.close_idle();
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
     };
     tokio::select! {
-        () = clients.accept(&listener), if !life.has_shared_socket() => {}
+        () = clients.accept(&listener), if !lifecycle.has_shared_socket() => {}
         () = leave => {}
     }
-    if !life.has_shared_socket() {
+    if !lifecycle.has_shared_socket() {
         clients.drain_backlog(&listener).await;
     }
     drop(listener);
-    log_stage("accepts no more", node, clients);
-    let mut failed = false;
-    while !life.must_exit(Instant::now()) && (clients.count() > 0 || node.open_requests() > 0) {
-        if life.fails_open_requests(Instant::now()) {
-            if !std::mem::replace(&mut failed, true) {
-                log_stage("answers what is open", node, clients);
+    log_stage("no longer accepting", node, clients);
+    let mut failing_logged = false;
+    while !lifecycle.must_exit(Instant::now()) && (clients.count() > 0 || node.open_requests() > 0) {
+        if lifecycle.fails_open_requests(Instant::now()) {
+            if !std::mem::replace(&mut failing_logged, true) {
+                log_stage("failing open requests", node, clients);
             }
             node.fail_open_requests();
         }
-        if life.has_shared_socket() {
-            node.transport().pool.close_idle_for(UNUSED);
+        if lifecycle.has_shared_socket() {
+            node.transport().pool.close_idle_for(HANDOVER_MAX_IDLE);
         }
         clients.close_idle();
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    // A process that had no processor time comes here with all that is open unanswered.
+    // A process that got no processor time may arrive here with open requests unanswered.
     node.fail_open_requests();
     let began = Instant::now();
-    while clients.has_pending_responses() && began.elapsed() < LAST_WORDS {
-        tokio::time::sleep(LOOK).await;
+    while clients.has_pending_responses() && began.elapsed() < FINAL_WRITE_TIME {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    log_stage("ends", node, clients);
+    log_stage("ending", node, clients);
 }
 
-/// Logs how far the node's end has come.
-fn log_stage(what: &str, node: &Node, clients: &ClientConnections) {
+/// Logs the progress of the shutdown.
+fn log_stage(stage: &str, node: &Node, clients: &ClientConnections) {
     let (connections, requests) = (clients.count(), node.open_requests());
-    tracing::info!(target: "node", "{what}: {connections} connections, {requests} requests open");
+    tracing::info!(target: "node", "{stage}: {connections} connections, {requests} requests open");
 }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -237,8 +237,9 @@
         let stream = match timeout(self.connect_timeout, magpietally_net::connect(endpoint.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(DialError::Lacking(error))) => {
-                self.sample
-                    .log(|| tracing::warn!(target: "connect", "{}: no local descriptor or port: {error}", endpoint.address));
+                self.sample.log(
+                    || tracing::warn!(target: "connect", "{}: no local resources: {error}", endpoint.address),
+                );
                 self.evict_idle();
                 return Err(Outcome::NotSent);
             }
--- a/crates/http/src/server_list.rs
+++ b/crates/http/src/server_list.rs
@@ -1,4 +1,4 @@
-//! How discovery words the list of servers.
+//! The JSON format in which discovery sends the list of servers.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,25 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// One line of discovery.
+/// One JSON object of discovery: the whole list, or changes.
 #[derive(Deserialize)]
 struct Update {
     /// The list's version.
     #[serde(rename = "seq")]
     version: u64,
-    /// The whole list, not just changes.
+    /// Whether this is the whole list and not only changes.
     #[serde(rename = "whole")]
     whole: bool,
     /// The entries.
     hosts: Vec<Host>,
 }
 
-/// One server of a line.
+/// One entry of the list.
 #[derive(Deserialize)]
 struct Host {
-    /// Its name, the same at every node.
+    /// The server's name, the same at every node.
     host: String,
-    /// Where it listens; one that is gone may have none.
+    /// The address it listens at; a removed server may have none.
     #[serde(default, rename = "dial")]
     dial: Option<SocketAddr>,
     /// Its zone.
@@ -40,14 +40,14 @@
     /// Its state.
     health: Health,
     /// Its weight.
-    #[serde(default = "one", rename = "share")]
+    #[serde(default = "default_weight", rename = "share")]
     weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    born_ms: f64,
+    /// When it last started, as Unix time in milliseconds; 0 if long ago.
+    #[serde(default, rename = "born_ms")]
+    start_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -57,9 +57,9 @@
 enum Health {
     /// In service.
     Active,
-    /// Finishing its work.
+    /// Draining: finishing its requests.
     Leaving,
-    /// Gone.
+    /// Removed.
     Left,
 }
 
@@ -83,38 +83,39 @@
             cell: host.cell,
             state: host.health.into(),
             weight: host.weight,
-            start_ms: host.born_ms,
+            start_ms: host.start_ms,
         }
     }
 }
 
-/// Reads a line's object.
+/// Parses the object of a list.
 ///
 /// # Errors
-/// Names what is missing or malformed.
+/// One line that names what is missing or malformed.
 pub fn parse_value(value: Value) -> Result<ServerListing, String> {
-    checked(serde_json::from_value(value).map_err(|e| e.to_string())?)
+    validate(serde_json::from_value(value).map_err(|e| e.to_string())?)
 }
 
-/// Why a line can't be read.
+/// Why a list can't be parsed.
 #[derive(Debug)]
 pub enum ListError {
-    /// It ends in the middle: what follows may belong to it.
+    /// The data ends too early: what follows may complete it.
     Truncated(String),
-    /// Whatever follows.
+    /// The data is malformed, whatever follows.
     Malformed(String),
 }
 
 impl ListError {
-    /// What is wrong, in words.
+    /// Returns the description of the error.
     pub fn message(self) -> String {
         match self {
-            Self::Truncated(words) | Self::Malformed(words) => words,
+            Self::Truncated(message) | Self::Malformed(message) => message,
         }
     }
 }
 
-/// Reads a line as it came. A list of thousands is read without a tree of values in between.
+/// Parses the bytes of an object. A list of thousands of servers is parsed without an intermediate value
+/// tree.
 ///
 /// # Errors
 /// Names what is missing or malformed.
@@ -123,10 +124,10 @@
         true => ListError::Truncated(error.to_string()),
         false => ListError::Malformed(error.to_string()),
     })?;
-    checked(update).map_err(ListError::Malformed)
+    validate(update).map_err(ListError::Malformed)
 }
 
-fn checked(update: Update) -> Result<ServerListing, String> {
+fn validate(update: Update) -> Result<ServerListing, String> {
     if let Some(host) = update.hosts.iter().find(|h| h.dial.is_none() && h.health != Health::Left) {
         return Err(format!("{}: dial is missing", host.host));
     }
--- a/crates/http/src/signals.rs
+++ b/crates/http/src/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that the process goes by.
+//! The signals that the process responds to.
 //!
-//! A handler sets a flag and writes a byte to a pipe, which wakes the node at once. Where the pipe can't be made, written or
-//! read, the flag is seen at the next look: no signal is lost to a call that fails.
+//! A handler sets a flag and writes a byte to a pipe, which wakes the node at once. If the pipe can't be
+//! created, written or read, the next periodic check sees the flag, so no signal is lost to a failed call.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -17,14 +17,14 @@
 use tokio::io::unix::AsyncFd;
 use tokio::time::{sleep, timeout};
 
-/// How often the flag is looked at whether or not the pipe says something: half of what the node's end has in hand.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a pipe that could not be read is left alone.
-const REST: Duration = Duration::from_millis(5);
+/// How often the flag is checked regardless of the pipe: half of the spare time that the node's shutdown has.
+const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the pipe is left alone after a read from it has failed.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Signals of one kind, as they come to one worker.
+/// Signals of one kind, as delivered to one worker.
 pub(crate) struct Signals {
-    came: Arc<AtomicBool>,
+    received: Arc<AtomicBool>,
     pipe: Option<AsyncFd<UnixStream>>,
     handlers: Vec<SigId>,
 }
@@ -38,35 +38,39 @@
 }
 
 impl Signals {
-    /// SIGTERM and SIGINT.
+    /// Listens for SIGTERM and SIGINT.
     ///
     /// # Errors
-    /// Where the system takes no handler.
-    pub(crate) fn to_end() -> io::Result<Self> {
+    /// If the system refuses a handler.
+    pub(crate) fn termination() -> io::Result<Self> {
         Self::new(&[SIGTERM, SIGINT])
     }
 
-    /// SIGHUP.
+    /// Listens for SIGHUP.
     ///
     /// # Errors
-    /// Where the system takes no handler.
-    pub(crate) fn to_reload() -> io::Result<Self> {
+    /// If the system refuses a handler.
+    pub(crate) fn reload_requests() -> io::Result<Self> {
         Self::new(&[SIGHUP])
     }
 
     fn new(kinds: &[i32]) -> io::Result<Self> {
-        let came = Arc::new(AtomicBool::new(false));
-        let mut signals = Self { came, pipe: None, handlers: Vec::new() };
+        let received = Arc::new(AtomicBool::new(false));
+        let mut signals = Self { received, pipe: None, handlers: Vec::new() };
         for kind in kinds {
-            signals.handlers.push(flag::register(*kind, signals.came.clone())?);
+            signals.handlers.push(flag::register(*kind, signals.received.clone())?);
         }
         if let Err(error) = signals.open_pipe(kinds) {
-            tracing::warn!(target: "signal", "no pipe, looked at every {} ms: {error}", LOOK.as_millis());
+            tracing::warn!(
+                target: "signal",
+                "no wake-up pipe, checking every {} ms: {error}",
+                FLAG_CHECK_INTERVAL.as_millis()
+            );
         }
         Ok(signals)
     }
 
-    /// Makes a pipe that these signals are written to. Its other end is the handlers'.
+    /// Creates the pipe that these signals are written to; the handlers own its write end.
     fn open_pipe(&mut self, kinds: &[i32]) -> io::Result<()> {
         let (read, write) = UnixStream::pair()?;
         read.set_nonblocking(true)?;
@@ -77,29 +81,29 @@
         Ok(())
     }
 
-    /// Waits for the next one. Those that came since the last one are one.
+    /// Waits for the next signal. Signals that arrived since the last call count as one.
     pub(crate) async fn next(&mut self) {
-        while !self.came.swap(false, Ordering::SeqCst) {
-            let _ = timeout(LOOK, self.woken()).await;
+        while !self.received.swap(false, Ordering::SeqCst) {
+            let _ = timeout(FLAG_CHECK_INTERVAL, self.wait_for_pipe()).await;
         }
     }
 
-    /// Waits for a byte in the pipe, and takes what is there.
-    async fn woken(&self) {
+    /// Waits for a byte in the pipe and reads what is there.
+    async fn wait_for_pipe(&self) {
         let Some(pipe) = &self.pipe else { return std::future::pending().await };
-        let Ok(mut ready) = pipe.readable().await else { return sleep(REST).await };
+        let Ok(mut ready) = pipe.readable().await else { return sleep(READ_RETRY_DELAY).await };
         let mut bytes = [0; 64];
         let mut interruptions = Interruptions::default();
         loop {
             let error = match pipe.get_ref().read(&mut bytes) {
-                Ok(0) => return sleep(REST).await,
+                Ok(0) => return sleep(READ_RETRY_DELAY).await,
                 Ok(_) => return,
                 Err(error) => error,
             };
             match interruptions.bound(classify(Call::Stream, &error)) {
                 Class::TryAgain => {}
                 Class::WaitForReadiness => return ready.clear_ready(),
-                _ => return sleep(REST).await,
+                _ => return sleep(READ_RETRY_DELAY).await,
             }
         }
     }
--- a/crates/http/src/workers.rs
+++ b/crates/http/src/workers.rs
@@ -1,6 +1,7 @@
-//! Several workers in one process, for machines with more than one core. Each is a thread with a runtime, a listener, a
-//! connection to discovery and a policy of its own, and a node of its own in the policy's eyes; they share the address, by
-//! SO_REUSEPORT, and the ids that are open. A worker that panics is ended whole and started again; the others go on.
+//! Several workers in one process, for machines with more than one core. Each is a thread with its own
+//! runtime, listener, connection to discovery and policy, and counts as a node of its own for the policy.
+//! They share the address, by SO_REUSEPORT, and the ids of open requests. A worker that panics is torn down
+//! and restarted; the others go on.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,55 +21,56 @@
     duplicate_listener, listener_address, run_worker, OpenedProcess, OperatorOptions, WorkerSetup,
 };
 
-/// How long a worker that died stays down: its clients have turned to others by then.
-const DOWN: Duration = Duration::from_millis(100);
-/// So many deaths within so long end the process: what starts it again sees that something is wrong.
-const DEATHS_MOST: (usize, Duration) = (8, Duration::from_secs(60));
+/// How long a worker that died stays down: its clients have turned to other nodes by then.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
+/// More deaths than this within this time end the process, so that its supervisor notices the fault.
+const MAX_DEATHS: (usize, Duration) = (8, Duration::from_secs(60));
 
 thread_local! {
-    /// This thread is a worker's.
-    static WORKS: Cell<bool> = const { Cell::new(false) };
-    /// Told when a task of this thread's has panicked. The runtime catches that, and would go on half alive.
-    static PANICKED: RefCell<Rc<Notify>> = RefCell::new(Rc::new(Notify::new()));
+    /// Whether this thread belongs to a worker.
+    static IS_WORKER: Cell<bool> = const { Cell::new(false) };
+    /// Notified when a task of this thread has panicked. The runtime catches the panic and would carry on
+    /// with the worker's state incomplete.
+    static PANIC_NOTICE: RefCell<Rc<Notify>> = RefCell::new(Rc::new(Notify::new()));
 }
 
-/// For the panic hook: a worker's thread has panicked, and will be ended. False on any other thread.
+/// Called by the panic hook. Returns whether the panicking thread is a worker's, which is then ended.
 pub fn note_panic() -> bool {
-    // A thread that is ending has no such values any more.
-    let works = WORKS.try_with(Cell::get).unwrap_or(false);
-    if works {
-        let _ = PANICKED.try_with(|told| told.borrow().notify_one());
+    // A thread that is ending has already dropped its thread-local values.
+    let is_worker = IS_WORKER.try_with(Cell::get).unwrap_or(false);
+    if is_worker {
+        let _ = PANIC_NOTICE.try_with(|notice| notice.borrow().notify_one());
     }
-    works
+    is_worker
 }
 
-/// Waits until a task of this thread's has panicked.
+/// Waits until a task of this thread has panicked.
 pub(crate) async fn panicked() {
-    let told = PANICKED.with(|told| told.borrow().clone());
-    told.notified().await;
+    let notice = PANIC_NOTICE.with(|notice| notice.borrow().clone());
+    notice.notified().await;
 }
 
-/// How a worker ended.
-type Ended = (usize, Result<(), String>);
+/// A worker's number and how it ended.
+type WorkerExit = (usize, Result<(), String>);
 
 struct Workers {
     config: Config,
     count: usize,
-    at: SocketAddr,
-    /// The platform's socket, which all accept from; `None` where each has its own.
+    address: SocketAddr,
+    /// The platform's socket, from which all workers accept; `None` where each has its own.
     inherited: Option<TcpListener>,
     management: Option<TcpListener>,
     process: Process,
     options: OperatorOptions,
-    ended: mpsc::Sender<Ended>,
+    exit_sender: mpsc::Sender<WorkerExit>,
 }
 
 impl Workers {
-    /// Where a worker that is started again accepts.
+    /// Opens the listener of a worker that is restarted.
     fn listener(&self) -> std::io::Result<TcpListener> {
         match &self.inherited {
             Some(socket) => duplicate_listener(socket),
-            None => listen(self.at, true),
+            None => listen(self.address, true),
         }
     }
 
@@ -81,28 +83,29 @@
     ) -> Result<(), String> {
         let config = self.config.for_worker(worker, self.count)?;
         let (process, options) = (self.process.clone(), self.options.clone());
-        // The first answers calls to the second address; started again, it goes on with the same listener.
+        // The first worker serves the management address; after a restart it continues with the same
+        // listener.
         let management = self.management.as_ref().filter(|_| worker == 0).map(duplicate_listener);
         let management = management.transpose().map_err(|e| format!("management: {e}"))?;
-        let part =
+        let setup =
             WorkerSetup { listener, management, process, label: format!("worker {worker}: "), options };
-        let ended = self.ended.clone();
+        let exit_sender = self.exit_sender.clone();
         let run = move || {
-            WORKS.set(true);
-            let begun = || tracing::info!(target: "worker", "{worker} has begun");
-            let end = catch_unwind(AssertUnwindSafe(|| run_worker(config, part, begun, lost_lines)));
-            // Where nobody listens any more the process ends.
-            let _ = ended.send((worker, end.unwrap_or_else(|_| Err("panicked".to_string()))));
+            IS_WORKER.set(true);
+            let on_started = || tracing::info!(target: "worker", "{worker} has started");
+            let end = catch_unwind(AssertUnwindSafe(|| run_worker(config, setup, on_started, lost_lines)));
+            // The send fails only when the process is ending.
+            let _ = exit_sender.send((worker, end.unwrap_or_else(|_| Err("panicked".to_string()))));
         };
         let thread = retry::spawn(&format!("worker-{worker}"), run);
         thread.map(drop).map_err(|e| format!("worker {worker}: {e}"))
     }
 }
 
-/// Runs so many workers until a signal ends them all. The first one's status lines tell of lost lines.
+/// Runs `count` workers until a signal ends them all. The first one's status lines report the lost log lines.
 ///
 /// # Errors
-/// What could not be set up, in one line, or that workers died too often.
+/// One line that names what could not be set up, or says that workers died too often.
 pub fn run_workers(
     config: Config,
     count: usize,
@@ -110,42 +113,43 @@
     lost_lines: impl Fn() -> u64 + Clone + Send + 'static,
 ) -> Result<(), String> {
     let OpenedProcess { listeners, management, process } = OpenedProcess::new(&config, count)?;
-    let cannot = |e| format!("listen: {}: {e}", config.listen);
+    let listen_error = |e| format!("listen: {}: {e}", config.listen);
     let Some(first) = listeners.first() else { return Err("workers: none are wanted".into()) };
-    let at = listener_address(first).map_err(cannot)?;
-    let inherited = config.inherited_fd.map(|_| duplicate_listener(first)).transpose().map_err(cannot)?;
-    let (ended, ends) = mpsc::channel();
+    let address = listener_address(first).map_err(listen_error)?;
+    let inherited =
+        config.inherited_fd.map(|_| duplicate_listener(first)).transpose().map_err(listen_error)?;
+    let (exit_sender, exits) = mpsc::channel();
     let name = config.name.clone();
-    let workers = Workers { config, count, at, inherited, management, process, options, ended };
-    let lost = |worker: usize| {
+    let workers = Workers { config, count, address, inherited, management, process, options, exit_sender };
+    let lost_lines_of = |worker: usize| {
         let lost_lines = lost_lines.clone();
         move || if worker == 0 { lost_lines() } else { 0 }
     };
     for (worker, listener) in listeners.into_iter().enumerate() {
-        workers.start(worker, listener, lost(worker))?;
+        workers.start(worker, listener, lost_lines_of(worker))?;
     }
-    tracing::info!(target: "node", "{name} listens at {at}");
+    tracing::info!(target: "node", "{name} listens at {address}");
     let mut deaths = VecDeque::new();
-    let mut left = count;
-    while left > 0 {
-        // This side keeps a sender, so the channel never ends.
-        let Ok((worker, end)) = ends.recv() else { return Err("workers: no word of them".into()) };
-        // Where one has ended as it was told to the process ends: nothing is started again.
-        let Some(words) = end.err().filter(|_| left == count) else {
-            left -= 1;
+    let mut running = count;
+    while running > 0 {
+        // `workers` keeps a sender, so the channel is never closed.
+        let Ok((worker, end)) = exits.recv() else { return Err("workers: no word of them".into()) };
+        // Once a worker has ended because the process is ending, none is restarted.
+        let Some(message) = end.err().filter(|_| running == count) else {
+            running -= 1;
             continue;
         };
-        tracing::error!(target: "worker", "{worker} ended: {words}");
+        tracing::error!(target: "worker", "{worker} ended: {message}");
         deaths.push_back(Instant::now());
-        while deaths.front().is_some_and(|at| at.elapsed() > DEATHS_MOST.1) {
+        while deaths.front().is_some_and(|death| death.elapsed() > MAX_DEATHS.1) {
             deaths.pop_front();
         }
-        if deaths.len() > DEATHS_MOST.0 {
-            return Err(format!("workers died {} times within {} s", deaths.len(), DEATHS_MOST.1.as_secs()));
+        if deaths.len() > MAX_DEATHS.0 {
+            return Err(format!("workers died {} times within {} s", deaths.len(), MAX_DEATHS.1.as_secs()));
         }
-        std::thread::sleep(DOWN);
-        let listener = workers.listener().map_err(|e| format!("listen: {at}: {e}"))?;
-        workers.start(worker, listener, lost(worker))?;
+        std::thread::sleep(RESTART_DELAY);
+        let listener = workers.listener().map_err(|e| format!("listen: {address}: {e}"))?;
+        workers.start(worker, listener, lost_lines_of(worker))?;
     }
     Ok(())
 }
