--- a/crates/http/src/discovery/tests.rs
+++ b/crates/http/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lines_come_out_whole_however_they_came_in() {
+fn lines_are_complete_however_the_stream_is_split() {
     let text = b"one\r\n\ntwo \nthree";
     for piece in 1..=text.len() {
         let (mut lines, mut out) = (LineSplitter::default(), Vec::new());
@@ -13,5 +13,8 @@
     }
     let mut lines = LineSplitter::default();
     assert!(lines.push(&vec![b'x'; MAX_LINE_BYTES]).is_ok());
-    assert!(lines.next().is_none() && lines.push(b"x").is_err(), "a line without an end is bounded");
+    assert!(
+        lines.next().is_none() && lines.push(b"x").is_err(),
+        "the size of a line without an end is limited"
+    );
 }
