--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -255,7 +255,7 @@
     let request = request.map_err(|e| broken(&e.to_string()))?;
     let response_timeout = consumer.response_timeout();
     let response = timeout_at(connected_at + response_timeout, send.send_request(request)).await;
-    let response: Response<Incoming> = response.map_err(|_| CallError::Silent("no answer".into()))??;
+    let response: Response<Incoming> = response.map_err(|_| CallError::Silent("no response".into()))??;
     if response.status() != StatusCode::OK {
         let message = format!("status {}", response.status());
         return Err(if connected_at.elapsed() < IMMEDIATE {
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -67,7 +67,6 @@
 /// Runs one node until a signal ends it. `lost_lines` returns the number of lines that the log has dropped so
 /// far, for the status lines.
 
-///
 ///
 /// # Errors
 /// One line that names what could not be set up: the runtime, the listener, a signal or the policy's
@@ -200,7 +199,7 @@
         let node = node.clone();
         async move { node.wait_for_list().await }
     });
-    let lifecycle = async {
+    let run = async {
         let accept = async {
             if process.lifecycle().has_shared_socket() {
                 // The previous process still accepts from the same socket and serves; clients that came here
@@ -219,7 +218,7 @@
         stop_node(&node, &clients, listener).await;
     };
     tokio::select! {
-        () = lifecycle => Ok(()),
+        () = run => Ok(()),
         () = workers::panicked() => Err("panicked".to_string()),
     }
 }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -133,9 +133,8 @@
             Some(Err(ExchangeError::Connection)) if whole => return (Outcome::Reset, None),
             Some(Err(ExchangeError::Malformed)) if whole => return (Outcome::Error, None),
             Some(Err(_)) => return (Outcome::Unwritten, None),
-            // A dead connection or a lost response must not count as a slow server, which would be ejected
-            // and have its limit lowered for each. A server that is slow with all its requests overtakes none
-            // of them.
+            // A dead connection or a lost response must not count as a slow server: each would eject the
+            // server and lower its limit. A server that is slow with all its requests overtakes none of them.
             None if whole && !connection.stream.has_response_started() && overtaken => {
                 return (Outcome::Unheard, None)
             }
