--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -239,9 +239,7 @@
         let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
         let chunked = |v: &HeaderValue| v.as_bytes().eq_ignore_ascii_case(b"chunked");
         match (lengths.next(), lengths.next(), codings.next(), codings.next()) {
-            (None, None, None, None) if version < Version::HTTP_11 || announces_close(headers) => {
-                Some(Self::Close)
-            }
+            (None, None, None, None) if version < Version::HTTP_11 || closes(headers) => Some(Self::Close),
             (Some(n), None, None, None) => n.to_str().ok()?.trim().parse().ok().map(Self::Length),
             (None, None, Some(coding), None) if chunked(coding) => Some(Self::Chunks),
             _ => None,
@@ -345,8 +343,7 @@
     };
     let (parts, buffered, rest, framing) = drive(conn, exchange).await?;
     let mut headers = parts.headers;
-    let keep =
-        framing != Framing::Close && !announces_close(&headers) && (rest.is_some() || !is_ended(conn).await);
+    let keep = framing != Framing::Close && !closes(&headers) && (rest.is_some() || !is_ended(conn).await);
     let length = headers.get(CONTENT_LENGTH).filter(|_| head).cloned();
     remove_hop_by_hop_headers(&mut headers);
     if let Some(length) = length {
@@ -357,7 +354,7 @@
 }
 
 /// Returns whether the server announces that it will close the connection.
-fn announces_close(headers: &HeaderMap) -> bool {
+fn closes(headers: &HeaderMap) -> bool {
     let tokens = |v: &HeaderValue| {
         v.as_bytes().split(|b| *b == b',').any(|token| token.trim_ascii().eq_ignore_ascii_case(b"close"))
     };
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node's configuration with one class, for tests that run workers in their own process.
+//! The configuration of a node with one class, for tests that run workers in their own process.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use magpietally_http::config::Config;
 use serde_json::json;
 
-/// How long anything is waited for: far longer than it takes.
+/// Time limit for anything that a test waits for: far longer than it takes.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Worker threads that panic tell it here, as in the program.
+/// Installs a panic hook that reports panics of worker threads, as the program does.
 pub fn note_panics() {
     std::panic::set_hook(Box::new(|fault| {
         eprintln!("{fault}");
@@ -18,7 +18,7 @@
     }));
 }
 
-/// A node that listens at a free port. Requests of its class `look` have so many milliseconds.
+/// A node that listens at a free port. Requests of its class `look` have a deadline of `time` milliseconds.
 pub fn config(discovery: SocketAddr, time: f64) -> Config {
     let settings = json!({
         "Classes": [{"Name": "look", "Slo": time, "Deadline": time, "Idempotency": "pure", "Value": 1.0, "LateValue": 0.0}],
