--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -1,24 +1,22 @@
-//! The list of servers, and which of them this node rotates over.
-
-use magpietally_structures::{mix, sorted_difference};
+//! Updates from the list of servers, and the choice of the subset that this node rotates over.
 
 use super::*;
 
-const NODES_PER_SERVER: usize = 8; // Where there are many: enough to even out, few enough connections.
-const SUBSET_LEAST: usize = 2; // So that there is a round, and another server when one fails.
+const NODES_PER_SERVER: usize = 8; // In large fleets: enough for even load with few connections.
+const SUBSET_MIN: usize = 2; // A rotation, and another server when one fails.
 
-const WEIGHTS: (f64, f64) = (1e-6, 1e6); // Beyond these nothing would be added to turns.
+const WEIGHTS: (f64, f64) = (1e-6, 1e6); // Bounds, so that the steps of turns don't vanish in rounding.
 
 impl Balancer {
-    pub(super) fn on_list(&mut self, entries: Vec<ServerEntry>, answer: bool, whole: bool) {
-        if answer {
+    pub(super) fn on_list(&mut self, entries: Vec<ServerEntry>, response: bool, full: bool) {
+        if response {
             self.polling.answered(self.now);
         }
         let mut touched: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
         touched.sort_unstable();
         touched.dedup();
-        if whole {
-            // Those that it names keep their state until it is read: to be named again is no return.
+        if full {
+            // Listed servers keep their state until their entries are applied: listed again is not returned.
             let known: Vec<ServerId> = self.servers.keys().copied().collect();
             let (left_out, _) = sorted_difference(&known, &touched);
             for id in &left_out {
@@ -28,62 +26,62 @@
             touched.sort_unstable();
         }
         for entry in entries {
-            self.take_entry(entry);
+            self.apply_entry(entry);
         }
-        self.note_members(&touched, whole);
-        // Rests and least limits of all sharing nodes add up: kept per node, the looks of a crowd of nodes
-        // alone would keep a slow server from the rest that it needs.
-        self.crowd = (self.sharing() / NODES_PER_SERVER as f64).max(1.0);
-        let limit = self.first_limit();
+        self.update_ring(&touched, full);
+        // Minimum limits and longest send intervals add up over the nodes that share a server: unscaled, the
+        // attempts by which many nodes check a slow server would alone keep it from recovering.
+        self.contention = (self.nodes_per_server() / NODES_PER_SERVER as f64).max(1.0);
+        let limit = self.initial_limit();
         for id in touched {
             match self.servers.get_mut(&id) {
-                // Kept while attempts are out, so that their outcomes still find it.
-                Some(s) if s.entry.state == ListedState::Gone && s.out.is_empty() => {
+                // Kept while attempts are in flight, for their outcomes.
+                Some(s) if s.entry.state == ListedState::Gone && s.open.is_empty() => {
                     drop(self.servers.remove(&id))
                 }
                 Some(s) if s.limit.is_nan() => s.limit = limit,
                 _ => {}
             }
-            self.note(id);
+            self.update_indexes(id);
         }
         self.sizes = None;
         self.choose_subset();
     }
 
-    fn take_entry(&mut self, mut entry: ServerEntry) {
+    fn apply_entry(&mut self, mut entry: ServerEntry) {
         let usable = entry.weight.is_finite() && entry.weight > 0.0;
         entry.weight = if usable { entry.weight.clamp(WEIGHTS.0, WEIGHTS.1) } else { 1.0 };
-        // What it was passed over for so far goes by its size so far.
-        self.wake(entry.server);
-        let classes = self.set.classes.len();
+        // The turns that it was skipped for so far are made up for by its old size.
+        self.resume(entry.server);
+        let classes = self.cfg.classes.len();
         let known = self.servers.contains_key(&entry.server);
         let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(entry.clone(), classes));
-        // Live weights are load in disguise, late and alike for all nodes. The most that a server was ever
-        // listed at, when it held least, is its size.
-        server.size = match self.set.weights {
+        // Live weights follow the load, late and equally for all nodes. The highest weight ever listed, at
+        // the lowest load, is the server's size.
+        server.size = match self.cfg.weights {
             Weights::Listed => entry.weight,
             Weights::Live => entry.weight.max(if known { server.size } else { 0.0 }),
             Weights::None => 1.0,
         };
         let restarted = entry.started != server.entry.started;
         if restarted {
-            // What was seen of the process before says nothing about this one.
-            (server.consecutive_failures, server.ejections, server.ejected, server.returned) =
+            // Observations of the previous process say nothing about this one.
+            (server.consecutive_failures, server.ejections, server.ejected, server.returned_at) =
                 (0, 0, None, None);
             server.down = false;
             server.class_failures.fill((0, f64::NEG_INFINITY));
         }
         if restarted || !server.listed_up() {
             server.turn = f64::NAN;
-            self.newcomers.push(entry.server);
+            self.unplaced.push(entry.server);
         }
         server.entry = entry;
     }
 
-    /// Keeps the ring of those that are up. Of a change only what it names is looked at.
-    fn note_members(&mut self, touched: &[ServerId], whole: bool) {
+    /// Updates the ring of servers that are up; after a change only with the servers that it names.
+    fn update_ring(&mut self, touched: &[ServerId], full: bool) {
         let mut changed = false;
-        if whole {
+        if full {
             let mut ring: Vec<_> = self.up().map(|s| (mix(s.entry.server.0), s.entry.server)).collect();
             ring.sort_unstable();
             (changed, self.ring) = (ring != self.ring, ring);
@@ -99,116 +97,115 @@
             }
         }
         if changed {
-            self.reordered = true;
-            // Limits and rests go by how many there are.
-            for id in self.aside.iter().collect::<Vec<ServerId>>() {
-                self.wake(id);
+            self.ring_changed = true;
+            // Limits and send intervals depend on the number of servers.
+            for id in self.deferred.iter().collect::<Vec<ServerId>>() {
+                self.resume(id);
             }
         }
     }
 
-    /// How many warm servers a node rotates over. All of them, until that would be more nodes to a server
-    /// than it should bear: connections, and what a node must send to learn of each, grow with both.
+    /// How many warm servers a node rotates over: all, unless too many nodes would share one. Connections,
+    /// and the traffic that a node needs to learn about each server, grow with both numbers.
     fn subset_size(&self, up: usize) -> usize {
-        (NODES_PER_SERVER * up).div_ceil(self.set.nodes).max(SUBSET_LEAST).min(up)
+        (NODES_PER_SERVER * up).div_ceil(self.cfg.nodes).max(SUBSET_MIN).min(up)
     }
 
-    /// How many nodes send to a server.
-    pub(super) fn sharing(&self) -> f64 {
+    pub(super) fn nodes_per_server(&self) -> f64 {
         let up = self.ring.len().max(1);
-        (self.set.nodes * self.subset_size(up)) as f64 / up as f64
+        (self.cfg.nodes * self.subset_size(up)) as f64 / up as f64
     }
 
-    /// Which server this node would rather use than all but so many. Nodes stand at even places on the ring
-    /// and prefer what follows their own: first parts cover the fleet evenly, though no node knows another.
-    fn preferred(&self, place: usize) -> ServerId {
+    /// The server of a rank in this node's order of preference. Nodes start at evenly spaced places of the
+    /// ring and prefer what follows: their subsets cover the fleet evenly without coordination.
+    fn preferred(&self, rank: usize) -> ServerId {
         let count = self.ring.len();
-        self.ring[(self.set.number * count / self.set.nodes + place) % count].1
+        self.ring[(self.cfg.number * count / self.cfg.nodes + rank) % count].1
     }
 
-    /// Takes servers as preferred until those not ejected make up enough warm ones: a subset of which
-    /// many are down or cold widens, so that its node's traffic does not fall on the few others.
+    /// Takes servers by rank until the warmth of those not ejected adds up to the wanted size: where many are
+    /// down or cold the subset grows, so that the node's traffic does not fall on the few others.
     pub(super) fn choose_subset(&mut self) {
         let count = self.ring.len();
         let wanted = self.subset_size(count) as f64;
-        let part = |place: usize| {
-            let server = self.servers.get(&self.preferred(place));
-            server.filter(|s| s.ejected.is_none()).map_or(0.0, |s| s.warmth(self.now, &self.set.rules))
+        let warmth = |rank: usize| {
+            let server = self.servers.get(&self.preferred(rank));
+            server.filter(|s| s.ejected.is_none()).map_or(0.0, |s| s.warmth(self.now, &self.cfg.rules))
         };
-        // Where none is cold each is a whole one, and the sum is known without a walk.
+        // Where none is cold each counts as 1, and the sum is known without iterating.
         let (mut taken, mut warm) = (0, 0.0);
         if wanted >= count as f64 {
             taken = count;
-        } else if self.cold.is_empty() && !self.reordered {
+        } else if self.cold.is_empty() && !self.ring_changed {
             (taken, warm) = (self.subset.len(), (self.subset.len() - self.ejected.len()) as f64);
         }
-        while taken > 0 && warm - part(taken - 1) >= wanted {
+        while taken > 0 && warm - warmth(taken - 1) >= wanted {
             taken -= 1;
-            warm -= part(taken);
+            warm -= warmth(taken);
         }
         while taken < count && warm < wanted {
-            warm += part(taken);
+            warm += warmth(taken);
             taken += 1;
         }
-        if self.reordered || taken != self.subset.len() {
-            let mut subset: Vec<ServerId> = (0..taken).map(|place| self.preferred(place)).collect();
+        if self.ring_changed || taken != self.subset.len() {
+            let mut subset: Vec<ServerId> = (0..taken).map(|rank| self.preferred(rank)).collect();
             subset.sort_unstable();
-            let (leaving, coming) = sorted_difference(&self.subset, &subset);
-            (self.subset, self.reordered, self.sizes) = (subset, false, None);
-            for id in leaving.iter().chain(&coming) {
+            let (removed, added) = sorted_difference(&self.subset, &subset);
+            (self.subset, self.ring_changed, self.sizes) = (subset, false, None);
+            for id in removed.iter().chain(&added) {
                 if let Some(server) = self.servers.get_mut(id) {
-                    (server.rotated, server.turn) = (!server.rotated, f64::NAN);
+                    (server.in_subset, server.turn) = (!server.in_subset, f64::NAN);
                 }
                 self.turns.remove(*id);
-                self.aside.remove(*id);
-                self.note(*id);
+                self.deferred.remove(*id);
+                self.update_indexes(*id);
             }
-            self.newcomers.extend(coming);
+            self.unplaced.extend(added);
         }
-        self.chosen = self.now;
-        self.place_newcomers();
+        self.subset_chosen = self.now;
+        self.place_new_servers();
     }
 
-    /// Gives servers that are new to the rotation their place in it. A server of size w has its turns at (p +
-    /// k) / w for k = 0, 1, ..., p being its place after the cursor, from 0 to 1: with equal sizes that is
-    /// the plain cyclic order, with unequal ones an even interleaving. The others keep their turns: were all
-    /// nodes to begin again at each change of the list, the servers after their offsets would get everything
-    /// while the list changes faster than a node gets round.
-    fn place_newcomers(&mut self) {
-        let mut newcomers = std::mem::take(&mut self.newcomers);
-        newcomers.sort_unstable();
-        newcomers.dedup();
+    /// Places servers that are new to the rotation. A server of size w has its turns at (p + k) / w for k =
+    /// 0, 1, ..., where p in [0, 1) is its place after the cursor: with equal sizes the plain cyclic order,
+    /// with unequal ones an even interleaving. The others keep their turns: if all nodes restarted the
+    /// rotation at each change of the list, and it changed faster than a node completes a round, the servers
+    /// right after the nodes' offsets would get all traffic.
+    fn place_new_servers(&mut self) {
+        let mut unplaced = std::mem::take(&mut self.unplaced);
+        unplaced.sort_unstable();
+        unplaced.dedup();
         let count = self.subset.len().max(1);
         let behind = |at: ServerId| self.subset.partition_point(|id| *id <= at);
-        let first = self.cursor_at.map_or(self.set.number, behind) % count;
-        for id in newcomers {
+        let first = self.cursor_server.map_or(self.cfg.number, behind) % count;
+        for id in unplaced {
             let Ok(place) = self.subset.binary_search(&id) else { continue };
-            let stagger = self.random.next_f64() - 1.0 / self.set.nodes as f64;
+            let offset = self.random.next_f64() - 1.0 / self.cfg.nodes as f64;
             let Some(server) = self.servers.get_mut(&id).filter(|s| s.turn.is_nan()) else { continue };
             let after = (place + count - first) % count;
-            let warmth = server.warmth(self.now, &self.set.rules);
-            // Cold ones take a random place: by the cursors alone, many nodes would come at once.
-            let p = if warmth < 1.0 { stagger.max(0.0) } else { after as f64 / count as f64 };
+            let warmth = server.warmth(self.now, &self.cfg.rules);
+            // Cold servers get a random place: by the cursors alone many nodes would send to one at once.
+            let p = if warmth < 1.0 { offset.max(0.0) } else { after as f64 / count as f64 };
             (server.turn, server.turn_warmth) = (self.cursor + p / (server.size * warmth), warmth);
-            (server.borne, server.stagger) = (self.borne, stagger);
+            (server.baseline, server.initial_offset) = (self.served_per_weight, offset);
             self.turns.set(id, server.turn);
-            self.aside.remove(id);
-            self.note(id);
+            self.deferred.remove(id);
+            self.update_indexes(id);
         }
     }
 
-    /// Notes what a server has come to, for all that is kept in place of walks over the subset.
-    pub(super) fn note(&mut self, id: ServerId) {
-        let server = self.servers.get(&id).filter(|s| s.rotated);
-        let cold = server.is_some_and(|s| s.turn_warmth < 1.0 || s.warmth(self.now, &self.set.rules) < 1.0);
+    /// Updates the sets of cold, ejected and probe-due servers, which replace scans of the subset.
+    pub(super) fn update_indexes(&mut self, id: ServerId) {
+        let server = self.servers.get(&id).filter(|s| s.in_subset);
+        let cold = server.is_some_and(|s| s.turn_warmth < 1.0 || s.warmth(self.now, &self.cfg.rules) < 1.0);
         let (ejected, probing) = server.map_or((None, false), |s| (s.ejected, s.probing));
         if if cold { self.cold.insert(id) } else { self.cold.remove(&id) } {
             self.sizes = None;
         }
         let _ = if ejected.is_some() { self.ejected.insert(id) } else { self.ejected.remove(&id) };
         match ejected.filter(|_| !probing) {
-            Some(at) => self.looks.set(id, at),
-            None => drop(self.looks.remove(id)),
+            Some(at) => self.probe_due.set(id, at),
+            None => drop(self.probe_due.remove(id)),
         }
     }
 }
--- a/crates/policy/src/polling.rs
+++ b/crates/policy/src/polling.rs
@@ -224,7 +224,7 @@
     }
 
     /// Is it time to ask?
-    pub(crate) fn look(&mut self, now: Millis, random: &mut SplitMix) -> bool {
+    pub(crate) fn start_call(&mut self, now: Millis, random: &mut SplitMix) -> bool {
         match self.call {
             Call::AskAt(at) if now >= at => {
                 if at == f64::NEG_INFINITY {
