--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,19 +1,19 @@
-//! The interface of the decision module: settings, events, actions. Times are in milliseconds.
+//! The interface of the decision module: settings, events, actions and status. Times are in milliseconds.
 
 use std::fmt;
 
-/// A time or a span, in milliseconds; the clock may start anywhere but never runs backwards.
+/// A point in time or a duration, in milliseconds. The clock may start anywhere but never runs backwards.
 pub type Millis = f64;
 
-/// A server, as the list names it.
+/// The id of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// A client request; never used twice in the life of a node.
+/// The id of a client request; unique over the lifetime of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Which servers drop the repeat of a keyed request.
+/// Which servers deduplicate a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every server.
@@ -24,97 +24,98 @@
     Cell,
 }
 
-/// May a request run again?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     /// Any number of times.
     Safe,
-    /// Repeats are dropped by the servers of one group, for `memory` after the first send.
+    /// The servers of one scope drop repeats, for `memory` after the first send.
     Keyed {
-        /// The servers that know of each other's work.
+        /// The servers that share their memory of keys.
         scope: DedupScope,
-        /// How long they remember it.
+        /// How long they remember a key.
         memory: Millis,
     },
-    /// Never.
+    /// It must not run twice.
     Unsafe,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time has its full worth.
+    /// Latency target: a response within this time has its full worth.
     pub aim: Millis,
-    /// Worth of an answer in time.
+    /// Value of a response in time.
     pub worth: f64,
-    /// Part of the worth that a later answer still has.
+    /// Fraction of the worth that a later response still has.
     pub late_worth: f64,
-    /// May it run again?
+    /// Whether it may run more than once.
     pub effect: Effect,
 }
 
 /// A tenant and its share of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all nodes.
+    /// Requests per second within its share, over all nodes.
     pub quota_per_s: f64,
 }
 
-/// How much each part of the service counts for the operators.
+/// Weights of the parts of the service objective, set by the operators.
 #[derive(Clone, Debug, Default)]
 pub struct Goal {
-    /// The worth served, over all and in the worst stretch.
+    /// The worth served, in total and in the worst window.
     pub worth: f64,
-    /// The class that is served worst.
+    /// The worst served class.
     pub worst_class: f64,
-    /// The tenant that is served worst, within its share.
+    /// The worst served tenant, within its share.
     pub worst_tenant: f64,
 }
 
-/// What the deployment permits.
+/// What the platform permits.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Maximum attempts per request.
     pub attempts: usize,
-    /// Two attempts of a request may be out at the same time.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub second_copies: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probes: bool,
-    /// A connection that takes longer has failed.
+    /// Time after which a connection attempt has failed.
     pub connect_timeout: Millis,
-    /// The longest that a refused client can be told to stay away; 0: it can't be told.
+    /// Longest retry-after that a refused client can be given; 0: none can.
     pub max_retry_after: Millis,
 }
 
-/// The figures of the four rules.
+/// Parameters of the four rules of the platform.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// Where the list is asked for: the longest a node may leave off asking.
+    /// Where the list is polled: longest time between two calls.
     pub ask_within: Millis,
-    /// Part of its capacity that a started server has at least.
+    /// Least fraction of its capacity that a server has right after its start.
     pub cold_share: f64,
-    /// When it has all of it at the latest.
+    /// Time after its start until it has its full capacity at the latest.
     pub warm_within: Millis,
-    /// A cold server falls over when sent more than this many times its present capacity ...
+    /// A cold server fails when it is sent more than this many times its present capacity ...
     pub fall_multiple: f64,
     /// ... for this long.
     pub fall_window: Millis,
-    /// How long after a server has been told to drain, or to be gone, new work may still be sent to it.
+    /// How long after a server is listed as draining or gone it may still be sent new work.
     pub drain_grace: Millis,
 }
 
-/// How freely the module repeats and ejects: what operators may change while a fleet runs. The platform sets none of it.
+/// Limits of retries and ejections. Operators may change them while a fleet runs; the platform sets none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// Further attempts that may have cost work, as a part of the first ones.
+    /// Retries that may cost work, as a fraction of first attempts.
     pub retry_share: f64,
-    /// The retry budget that may be saved up, in attempts.
+    /// Maximum of the retry budget, in attempts.
     pub retry_most: f64,
-    /// Failures in a row that make an outlier; a single one proves nothing.
+    /// Failures in a row that make a server an outlier; a single one proves nothing.
     pub outlier_failures: u32,
-    /// The part of a node's servers that may be ejected by time-outs: more is likelier the work or the fleet.
+    /// Fraction of a node's servers that may be ejected for timeouts: more failures than that are more likely
+    /// caused by the requests or the whole fleet.
     pub eject_at_most: f64,
 }
 
@@ -124,33 +125,34 @@
     }
 }
 
-/// How news of the servers arrives.
+/// How changes of the list arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// By itself.
+    /// Without a call by the node.
     #[default]
     Pushed,
-    /// Once the node has subscribed or asked.
+    /// After the node has called discovery, and over the watch that the call opens.
     Polled,
-    /// To an agent beside the node, whose subscription the node keeps. What the agent has counts as told at once.
+    /// From an agent beside the node, to which the node keeps a subscription. What the agent has counts as
+    /// known to the node at once.
     Agent,
 }
 
-/// How long a watch has said nothing that is given up as [`ListFailure::Silent`], in milliseconds. It brings a line every 2 s.
+/// Time without data after which a watch is closed as [`ListFailure::Silent`]. A watch has a line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Millis = 3200.0;
 
-/// How asking for the list failed, or a subscription ended.
+/// How a call for the list failed, or a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFailure {
-    /// Discovery could not be reached, failed after a while, or broke off.
+    /// Discovery could not be reached, failed after some time, or closed the connection.
     Broken,
-    /// It was reached, and said nothing, or nothing more, for so long that it was given up.
+    /// Discovery was reached but sent nothing, or nothing more, until a timeout.
     Silent,
-    /// Discovery is there and rejected the call at once: it has more callers than it can serve.
+    /// Discovery rejected the call immediately: it has more callers than it can serve.
     Rejected,
 }
 
-/// What the listed weights stand for.
+/// Meaning of the listed weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
     /// Nothing.
@@ -158,76 +160,76 @@
     None,
     /// The size of the server, exact or nearly so.
     Listed,
-    /// Size divided by one more than the requests a core held a while ago.
+    /// Size divided by one more than the requests in flight per core some time ago.
     Live,
 }
 
-/// What a node is told at its start. The default is empty, and refused.
+/// Settings of a node. The default is empty and invalid.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Its own number, from 0.
+    /// Index of this node, from 0.
     pub number: usize,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
     /// The request classes; events name them by their index.
     pub classes: Vec<Class>,
-    /// The tenants, by index; may be empty.
+    /// The tenants; events name them by their index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's.
+    /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
     pub over_share_worth: f64,
-    /// What counts how much.
+    /// Weights of the service objective.
     pub goal: Goal,
-    /// What is permitted.
+    /// What the platform permits.
     pub limits: Limits,
-    /// The figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: Rules,
-    /// How the list arrives.
+    /// How changes of the list arrive.
     pub discovery: Discovery,
-    /// What its weights mean.
+    /// Meaning of the listed weights.
     pub weights: Weights,
-    /// Events come in at most this often.
+    /// Shortest interval between two events.
     pub tick: Millis,
-    /// How freely it repeats and ejects.
+    /// Limits of retries and ejections.
     pub tuning: Tuning,
 }
 
-/// The most nodes that are believed: what is shared out among them is counted in products with their number.
-const NODES_MOST: usize = 1_000_000;
+/// Maximum number of nodes: shares per node are computed from products with it.
+const NODES_MAX: usize = 1_000_000;
 
-/// Why settings were refused.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad settings: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// Names the first field that does not, and its bound: no classes, a time or amount that is negative or
-    /// not finite, an own number not below the count of nodes, a share outside 0 to 1.
+    /// Names the first invalid field and its bound: no classes, a time or amount that is negative or not
+    /// finite, an own number that is not below the number of nodes, a share outside 0 to 1.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
-            return fail("classes: no classes, one is needed at least".into());
+            return fail("classes: no classes, at least one is required".into());
         }
-        if self.nodes > NODES_MOST {
-            return fail(format!("nodes: {} is more than {NODES_MOST}", self.nodes));
+        if self.nodes > NODES_MAX {
+            return fail(format!("nodes: {} is more than {NODES_MAX}", self.nodes));
         }
         if self.number >= self.nodes {
             return fail("number: own number must be below the count of nodes".into());
         }
         if self.tuning.outlier_failures == 0 {
-            return fail("tuning.outlier_failures: no failure can't make an outlier".into());
+            return fail("tuning.outlier_failures: must be above 0".into());
         }
         if self.limits.attempts == 0 {
-            return fail("limits.attempts: no attempts allowed, one is needed at least".into());
+            return fail("limits.attempts: no attempts allowed, at least one is required".into());
         }
         let (l, r, g) = (&self.limits, &self.rules, &self.goal);
         let mut amounts = vec![
@@ -273,34 +275,34 @@
     }
 }
 
-/// What the list says of a server.
+/// The listed state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedState {
     /// In service.
     Up,
-    /// Finishing its work; nothing new may be sent.
+    /// Finishing its work; it must get no new requests.
     Draining,
-    /// Gone.
+    /// Not in service.
     #[default]
     Gone,
 }
 
-/// One entry of the list.
+/// A server's entry in the list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Its zone, as a number.
+    /// Its zone.
     pub zone: u64,
-    /// The cell that it shares its memory of keys with.
+    /// Its cell, whose servers share their memory of keys.
     pub cell: u64,
-    /// Its kind of machine, as a number.
+    /// Its machine kind.
     pub kind: u64,
     /// Its state.
     pub state: ListedState,
-    /// A figure to compare with other servers'.
+    /// Its weight relative to the other servers; see [`Weights`].
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if long ago.
     pub started: Option<Millis>,
 }
 
@@ -309,67 +311,68 @@
 pub enum Outcome {
     /// Served.
     Done,
-    /// Answered by an error; it may have run.
+    /// Answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the server without work, as it is full; it never ran.
     Full,
-    /// No answer in time; it may have run, or may still.
+    /// No response in time; it may have run, or may still run.
     TimedOut,
-    /// No byte in time, while the server answered what was sent later; it may have run.
+    /// No byte in time, though the server answered requests sent later; it may have run.
     Unheard,
-    /// No connection; it never ran.
+    /// The connection failed; it never ran.
     ConnectFailed,
-    /// The connection broke, or did not stand in the attempt's time, before the request's last byte was written; it
-    /// never ran.
+    /// The connection broke, or was not established within the timeout, before the request's last byte was
+    /// written; it never ran.
     Unwritten,
-    /// The connection broke; it may have run.
+    /// The connection broke after the request was written; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled by this node; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// The server finds the request itself bad; its client has been told so.
+    /// The server found the request invalid; its client has that response.
     Rejected,
 }
 
 impl Outcome {
-    /// Does this outcome prove that the request never ran?
+    /// Returns whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Unwritten | Self::NotSent)
     }
 }
 
-/// What happens to a node.
+/// An input of the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The whole list: what it leaves out is gone.
+    /// The whole list: servers that it leaves out are gone.
     List {
         /// Its entries.
         entries: Vec<ServerEntry>,
-        /// As last seen before a restart: perhaps out of date, and no answer to a call.
+        /// Whether it was saved before a restart: perhaps out of date, and no response to a call.
         saved: bool,
     },
-    /// The entries that changed.
+    /// Entries that have changed.
     ListChange(Vec<ServerEntry>),
-    /// Asking failed, or the subscription dropped.
+    /// A call for the list failed, or the watch ended.
     ListFailed(ListFailure),
-    /// Discovery is elsewhere from now on: what was asked of it so far is void.
+    /// Discovery has a new address: calls to the old one are void.
     DiscoveryMoved,
-    /// A client asks for something; one final answer is owed from now on.
+    /// A client request arrived; it must get exactly one final answer.
     Request {
         /// The request.
         id: RequestId,
-        /// Its class, an index into the settings'.
+        /// Its class, an index into [`Settings::classes`].
         class: usize,
-        /// Its tenant, if any.
+        /// Its tenant, an index into [`Settings::tenants`], if any.
         tenant: Option<usize>,
-        /// When the client gives up. A repeat of a refused request whose client still counts from its first
-        /// asking comes with less time than a new one, and is treated as the older one that it is.
+        /// When the client gives up. Where the client of a refused request keeps its first deadline, its
+        /// repeat arrives with less time left than a new request, and is treated as the older one that it is.
         deadline: Millis,
-        /// It is passed on while it comes, and can be sent again only where nothing of it went out.
+        /// Whether its body is relayed while it arrives, so that it can be sent again only if no part of it
+        /// was sent.
         non_replayable: bool,
     },
-    /// A streamed answer has begun; the client is bound to this attempt.
+    /// A streamed response has begun; the client is bound to this attempt.
     Streaming {
         /// The request.
         id: RequestId,
@@ -382,16 +385,16 @@
         id: RequestId,
         /// The attempt's number, from 0.
         attempt: usize,
-        /// Where it was sent.
+        /// The server that it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         took: Millis,
-        /// The client has its final answer.
+        /// Whether the client has its final answer.
         finished: bool,
     },
-    /// A probe came back.
+    /// A probe ended.
     Probed {
         /// The server.
         server: ServerId,
@@ -400,76 +403,76 @@
         /// Time since it was sent.
         took: Millis,
     },
-    /// The client left; nothing is owed any more.
+    /// The client disconnected; it needs no answer any more.
     ClientGone(RequestId),
-    /// The timer asked for is due.
+    /// The timer set by [`Action::SetTimer`] fired.
     Timer,
 }
 
-/// What a node does.
+/// What the node must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the request's next attempt; attempts are numbered from 0.
+    /// Start the next attempt of a request; attempts are numbered from 0.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Give it up after this; `None`: when the client does.
+        /// The attempt times out after this; `None`: at the client's deadline.
         timeout: Option<Millis>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: usize,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused; a retry by the client is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0: no advice.
+        /// How long the client should wait before a retry; 0: not given.
         stay_away: Millis,
     },
     /// Final answer: failed.
     Fail(RequestId),
-    /// Send [`Event::Timer`] after this time; an earlier one still holds.
+    /// Send [`Event::Timer`] after this time; a timer set earlier stays.
     SetTimer(Millis),
-    /// Ask for the list's changes from now on.
+    /// Call discovery for the list and watch its changes.
     Subscribe,
     /// Probe a server.
     Probe(ServerId),
 }
 
-/// What the module holds at a moment, for the node's log.
+/// The state of the module, for the node's log.
 #[derive(Clone, Debug)]
 pub struct BalancerStatus {
-    /// Requests held at the node.
+    /// Requests in the queue.
     pub queued: usize,
-    /// Requests that have no final answer yet.
+    /// Requests without a final answer, including queued ones.
     pub open: usize,
-    /// Factor to all limits where it is below 1.
+    /// Scales all limits while below 1: how far the whole fleet has slowed down.
     pub fleet_factor: f64,
-    /// Attempts that the retry budget still allows.
+    /// Retries that the budget still allows.
     pub retry_budget: f64,
     /// The servers that are up.
     pub servers: Vec<ServerStatus>,
 }
 
-/// What the module holds of one server.
+/// The state of one server.
 #[derive(Clone, Debug)]
 pub struct ServerStatus {
     /// The server.
     pub server: ServerId,
-    /// Own attempts that are out.
+    /// This node's attempts in flight.
     pub in_flight: usize,
-    /// How many may be.
+    /// Limit of these attempts.
     pub limit: f64,
-    /// Learned factor to its size.
+    /// Learned factor on its size.
     pub learned_weight: f64,
-    /// The part of its capacity that it is taken to have.
+    /// Fraction of its capacity that it is assumed to have.
     pub warmth: f64,
-    /// Ejected.
+    /// Whether it is ejected.
     pub ejected: bool,
 }
--- a/crates/policy/src/balance/turns.rs
+++ b/crates/policy/src/balance/turns.rs
@@ -14,7 +14,7 @@
     /// their limit or pausing are deferred: they are not checked until they may be ready, and are then
     /// advanced past the turns that they were skipped for.
     pub(super) fn next_turn(&mut self, passes: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
-        if self.polling.out_of_date(self.now) {
+        if self.polling.is_stale(self.now) {
             return None;
         }
         while let Some(id) = self.deferred.due(self.now, self.throttle.min(1.0)) {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of a load-balancing proxy in front of a fleet of HTTP servers.
+//! The decisions of a load balancer in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] takes [`Event`]s and answers with [`Action`]s; it does no I/O and reads no clock. [`api`] is
-//! its whole interface.
+//! [`Balancer`] takes [`Event`]s and returns [`Action`]s; it does no I/O and reads no clock. [`api`] is its
+//! whole interface.
 //!
 //! ```
 //! use magpietally_policy::*;
