--- a/crates/structures/src/accounting.rs
+++ b/crates/structures/src/accounting.rs
@@ -1,8 +1,8 @@
-//! How well each of some kinds is served, and how much is left of an allowance.
+//! Accounting of demand and service, and a token bucket.
 
 use crate::DecayingRate;
 
-/// What was asked for and what was served, for each of some kinds, both forgotten by a factor e in each span.
+/// Decaying rates of demand and service of each kind.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLevels {
     kinds: Vec<(DecayingRate, DecayingRate)>,
@@ -10,70 +10,71 @@
 }
 
 impl ServiceLevels {
-    /// Nothing asked for or served yet; the span is in milliseconds.
+    /// Starts without demand or service. The rates lose a factor e in each `span` in milliseconds.
     pub fn new(kinds: usize, span: f64) -> Self {
         Self { kinds: vec![(DecayingRate::default(), DecayingRate::default()); kinds], span }
     }
 
-    /// So much more of a kind has been asked for.
+    /// Adds demand of a kind.
     pub fn add_demand(&mut self, kind: usize, now: f64, amount: f64) {
-        if let Some((asked, _)) = self.kinds.get_mut(kind) {
-            asked.add(now, self.span, amount);
+        if let Some((demand, _)) = self.kinds.get_mut(kind) {
+            demand.add(now, self.span, amount);
         }
     }
 
-    /// So much more of a kind has been served.
+    /// Adds service of a kind.
     pub fn add_served(&mut self, kind: usize, now: f64, amount: f64) {
         if let Some((_, served)) = self.kinds.get_mut(kind) {
             served.add(now, self.span, amount);
         }
     }
 
-    /// What is asked for a second, of all kinds.
+    /// Total demand per second, over all kinds.
     pub fn demand_rate(&self, now: f64) -> f64 {
-        self.kinds.iter().map(|(asked, _)| asked.at(now, self.span)).sum()
+        self.kinds.iter().map(|(demand, _)| demand.at(now, self.span)).sum()
     }
 
-    /// What serving one unit of each kind adds to `goal` times the part of the worst kind that is served: all of it for
-    /// the worst, less by a factor e for each `near` that a kind is above it. Nothing for what nobody asks for.
+    /// How much serving one unit of each kind adds to `goal` times the served fraction of the worst kind.
+    /// Kinds count less by a factor e for each `near` that their fraction is above the worst; kinds without
+    /// demand add nothing.
     pub fn marginal_gains(&self, now: f64, goal: f64, near: f64) -> Vec<f64> {
-        let asked: Vec<f64> = self.kinds.iter().map(|(asked, _)| asked.at(now, self.span)).collect();
-        let part = |((_, served), a): (&(DecayingRate, DecayingRate), &f64)| {
-            if *a > 0.0 {
-                served.at(now, self.span) / a
+        let demand: Vec<f64> = self.kinds.iter().map(|(demand, _)| demand.at(now, self.span)).collect();
+        let fraction = |((_, served), d): (&(DecayingRate, DecayingRate), &f64)| {
+            if *d > 0.0 {
+                served.at(now, self.span) / d
             } else {
                 1.0
             }
         };
-        let parts: Vec<f64> = self.kinds.iter().zip(&asked).map(part).collect();
-        let worst = parts.iter().copied().fold(f64::INFINITY, f64::min);
-        let near: Vec<f64> = parts.iter().map(|p| (-(p - worst) / near).exp()).collect();
-        let sum: f64 = near.iter().sum();
-        let weight = |(n, a): (&f64, &f64)| if *a > 0.0 { goal * n / sum / a } else { 0.0 };
-        near.iter().zip(&asked).map(weight).collect()
+        let fractions: Vec<f64> = self.kinds.iter().zip(&demand).map(fraction).collect();
+        let worst = fractions.iter().copied().fold(f64::INFINITY, f64::min);
+        let weights: Vec<f64> = fractions.iter().map(|f| (-(f - worst) / near).exp()).collect();
+        let sum: f64 = weights.iter().sum();
+        let gain = |(w, d): (&f64, &f64)| if *d > 0.0 { goal * w / sum / d } else { 0.0 };
+        weights.iter().zip(&demand).map(gain).collect()
     }
 }
 
-/// An allowance that fills with time, up to what one second brings or one, whichever is more.
+/// A token bucket that holds the tokens of one second, or one token if that is more.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    left: f64,
-    since: f64,
+    tokens: f64,
+    updated: f64,
 }
 
 impl Default for TokenBucket {
     fn default() -> Self {
-        Self { left: 0.0, since: f64::NEG_INFINITY }
+        Self { tokens: 0.0, updated: f64::NEG_INFINITY }
     }
 }
 
 impl TokenBucket {
-    /// Takes one, where one is left; the time is in milliseconds.
+    /// Takes a token and returns whether there was one. `now` is in milliseconds.
     pub fn try_take(&mut self, now: f64, per_s: f64) -> bool {
-        let left = (self.left + per_s * (now - self.since) / 1000.0).min(per_s.max(1.0));
-        let within = left >= 1.0;
-        *self = Self { left: if within { left - 1.0 } else { left }, since: now };
-        within
+        let tokens = (self.tokens + per_s * (now - self.updated) / 1000.0).min(per_s.max(1.0));
+        let available = tokens >= 1.0;
+        *self = Self { tokens: if available { tokens - 1.0 } else { tokens }, updated: now };
+        available
     }
 }
 
--- a/crates/structures/src/grouped_queue.rs
+++ b/crates/structures/src/grouped_queue.rs
@@ -1,15 +1,15 @@
-//! Things that wait, found by their group, their age and their ends without a walk over all.
+//! A queue whose items are found by group, age and deadline without a scan.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::priority_map::{number, ordered};
+use crate::priority_map::{from_ordered, to_ordered};
 
-/// How young something is: what came later is greater, of what came together what has the later place.
+/// The order of arrival: later arrivals are greater; of simultaneous ones, those with the later place.
 pub type ArrivalOrder = (u64, u64);
 
-/// Things that wait, each with its place in a list. Places are those of a vector from which things are taken anywhere: by
-/// [`GroupedQueue::remove`] the others keep their order, by [`GroupedQueue::swap_remove`] the last one takes the place that falls free.
-/// Every call, and each step of an iterator, takes a time that grows with the logarithm of how many there are.
+/// A queue of keys with groups and deadlines. Places are those of a vector: [`GroupedQueue::remove`] keeps
+/// the order of the other items, [`GroupedQueue::swap_remove`] moves the last item to the free place. Every
+/// call, and each step of an iterator, takes logarithmic time.
 #[derive(Clone, Debug)]
 pub struct GroupedQueue<G, K> {
     items: BTreeMap<K, Item<G>>,
@@ -21,14 +21,14 @@
 struct Item<G> {
     group: G,
     place: u64,
-    came: u64,
-    ends: [u64; 2],
+    arrived: u64,
+    deadlines: [u64; 2],
 }
 
 #[derive(Clone, Debug)]
 struct Group<K> {
-    by_age: BTreeSet<(ArrivalOrder, K)>,
-    by_end: [BTreeSet<(u64, K)>; 2],
+    by_arrival: BTreeSet<(ArrivalOrder, K)>,
+    by_deadline: [BTreeSet<(u64, K)>; 2],
 }
 
 impl<G, K> Default for GroupedQueue<G, K> {
@@ -38,32 +38,32 @@
 }
 
 impl<G: Copy + Ord, K: Copy + Ord> GroupedQueue<G, K> {
-    /// Adds a thing at the end of the list. One that is there already stays as it is. Groups are kept when they become
+    /// Appends an item. An item that is already queued stays as it is. Groups are kept when they become
     /// empty: there should be few.
-    pub fn push(&mut self, key: K, group: G, came: f64, ends: [f64; 2]) {
+    pub fn push(&mut self, key: K, group: G, arrived: f64, deadlines: [f64; 2]) {
         if self.items.contains_key(&key) {
             return;
         }
         let place = self.places.last_key_value().map_or(0, |(place, _)| place + 1);
-        let item = Item { group, place, came: ordered(came), ends: ends.map(ordered) };
-        let all = self
-            .groups
-            .entry(group)
-            .or_insert_with(|| Group { by_age: BTreeSet::new(), by_end: [BTreeSet::new(), BTreeSet::new()] });
-        all.by_age.insert(((item.came, place), key));
-        for (by_end, end) in all.by_end.iter_mut().zip(item.ends) {
-            by_end.insert((end, key));
+        let item = Item { group, place, arrived: to_ordered(arrived), deadlines: deadlines.map(to_ordered) };
+        let all = self.groups.entry(group).or_insert_with(|| Group {
+            by_arrival: BTreeSet::new(),
+            by_deadline: [BTreeSet::new(), BTreeSet::new()],
+        });
+        all.by_arrival.insert(((item.arrived, place), key));
+        for (by_deadline, deadline) in all.by_deadline.iter_mut().zip(item.deadlines) {
+            by_deadline.insert((deadline, key));
         }
         self.places.insert(place, key);
         self.items.insert(key, item);
     }
 
-    /// Takes a thing out; the others keep their order.
+    /// Removes an item; the others keep their order.
     pub fn remove(&mut self, key: K) {
         self.take(key);
     }
 
-    /// Takes a thing out; the last of the list takes its place.
+    /// Removes an item; the last one takes its place.
     pub fn swap_remove(&mut self, key: K) {
         let Some(place) = self.take(key) else { return };
         let Some((last, moved)) = self.places.last_key_value().map(|(l, k)| (*l, *k)).filter(|l| l.0 > place)
@@ -75,8 +75,8 @@
         if let Some(item) = self.items.get_mut(&moved) {
             item.place = place;
             if let Some(group) = self.groups.get_mut(&item.group) {
-                group.by_age.remove(&((item.came, last), moved));
-                group.by_age.insert(((item.came, place), moved));
+                group.by_arrival.remove(&((item.arrived, last), moved));
+                group.by_arrival.insert(((item.arrived, place), moved));
             }
         }
     }
@@ -85,54 +85,54 @@
         let item = self.items.remove(&key)?;
         self.places.remove(&item.place);
         if let Some(group) = self.groups.get_mut(&item.group) {
-            group.by_age.remove(&((item.came, item.place), key));
-            for (by_end, end) in group.by_end.iter_mut().zip(item.ends) {
-                by_end.remove(&(end, key));
+            group.by_arrival.remove(&((item.arrived, item.place), key));
+            for (by_deadline, deadline) in group.by_deadline.iter_mut().zip(item.deadlines) {
+                by_deadline.remove(&(deadline, key));
             }
         }
         Some(item.place)
     }
 
-    /// How many wait.
+    /// Number of queued items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Does nothing wait?
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Does this wait?
+    /// Returns whether an item is queued.
     pub fn contains(&self, key: K) -> bool {
         self.items.contains_key(&key)
     }
 
-    /// The groups that have ever had anything, in order.
+    /// All groups that have ever had an item, in order.
     pub fn groups(&self) -> impl Iterator<Item = &G> {
         self.groups.keys()
     }
 
-    /// A group's, the youngest first.
+    /// The items of a group, the newest first.
     pub fn newest_first(&self, group: &G) -> impl Iterator<Item = (ArrivalOrder, K)> + '_ {
-        self.groups.get(group).into_iter().flat_map(|g| g.by_age.iter().rev().copied())
+        self.groups.get(group).into_iter().flat_map(|g| g.by_arrival.iter().rev().copied())
     }
 
-    /// A group's with the times when they came, the oldest first.
+    /// The items of a group with their arrival times, the oldest first.
     pub fn oldest_first(&self, group: &G) -> impl Iterator<Item = (f64, K)> + '_ {
         self.groups
             .get(group)
             .into_iter()
-            .flat_map(|g| g.by_age.iter().map(|((came, _), k)| (number(*came), *k)))
+            .flat_map(|g| g.by_arrival.iter().map(|((arrived, _), k)| (from_ordered(*arrived), *k)))
     }
 
-    /// A group's by one of their two ends, the earliest first.
+    /// The items of a group by one of their two deadlines, the earliest first.
     pub fn by_deadline(&self, group: &G, which: usize) -> impl Iterator<Item = (f64, K)> + '_ {
-        let ends = self.groups.get(group).and_then(|g| g.by_end.get(which));
-        ends.into_iter().flatten().map(|(end, k)| (number(*end), *k))
+        let deadlines = self.groups.get(group).and_then(|g| g.by_deadline.get(which));
+        deadlines.into_iter().flatten().map(|(deadline, k)| (from_ordered(*deadline), *k))
     }
 
-    /// Puts keys into the order of the list, each once; those that do not wait are left out.
+    /// Sorts keys by their place in the queue, without duplicates and without keys that are not queued.
     pub fn in_queue_order(&self, keys: impl IntoIterator<Item = K>) -> Vec<K> {
         let placed = keys.into_iter().filter_map(|key| Some((self.items.get(&key)?.place, key)));
         let sorted: BTreeMap<u64, K> = placed.collect();
