--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, and a referee that knows the four rules.
+//! A node under test, and a referee that checks the four rules.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
-pub const MEMORY: f64 = 600.0;
-pub const PATIENCE: f64 = 500.0;
-/// The module stops at once, which keeps any grace; the referee allows none.
+pub const KEY_MEMORY: f64 = 600.0;
+pub const CLIENT_TIMEOUT: f64 = 500.0;
+/// The module stops sending to a draining server at once; the referee permits no grace.
 pub const DRAIN_GRACE: f64 = 0.0;
 
 pub fn settings() -> Settings {
@@ -20,7 +20,7 @@
         nodes: 2,
         classes: vec![
             class(100.0, 1.0, Effect::Safe),
-            class(200.0, 3.0, Effect::Keyed { scope: DedupScope::Cell, memory: MEMORY }),
+            class(200.0, 3.0, Effect::Keyed { scope: DedupScope::Cell, memory: KEY_MEMORY }),
             class(100.0, 10.0, Effect::Unsafe),
         ],
         tenants: Vec::new(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// A balancer with a clock, that remembers what it did.
+/// A balancer with a clock that records its attempts.
 pub struct Node {
     pub balancer: Balancer,
     pub now: f64,
@@ -97,29 +97,34 @@
         actions
     }
 
-    pub fn ask(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.ask_for(class, None)
+    pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+        self.request_for(class, None)
     }
 
-    pub fn ask_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
-        self.ask_with(class, tenant, PATIENCE)
+    pub fn request_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
+        self.request_with(class, tenant, CLIENT_TIMEOUT)
     }
 
-    /// A request whose client gives up after `left`.
-    pub fn ask_with(&mut self, class: usize, tenant: Option<usize>, left: f64) -> (RequestId, Vec<Action>) {
+    /// Feeds a request whose client gives up after `left`.
+    pub fn request_with(
+        &mut self,
+        class: usize,
+        tenant: Option<usize>,
+        left: f64,
+    ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
         let deadline = self.now + left;
         (id, self.event(Event::Request { id, class, tenant, deadline, non_replayable: false }))
     }
 
-    /// Ends the request's newest attempt.
+    /// Ends the newest attempt of a request.
     pub fn end(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
         let took = self.now - self.attempts[&id].last().map_or(self.now, |(_, at)| *at);
         self.end_after(id, outcome, took)
     }
 
-    /// The same with a time of its own, though no time passes.
+    /// The same with a given duration; the clock does not move.
     pub fn end_after(&mut self, id: RequestId, outcome: Outcome, took: f64) -> Vec<Action> {
         let sent = &self.attempts[&id];
         let attempt = sent.len() - 1;
@@ -128,22 +133,22 @@
         self.event(Event::Ended { id, attempt, server, outcome, took, finished })
     }
 
-    /// One request that is served after `took`; gives its server.
+    /// Serves one request after `took` and returns its server.
     pub fn serve(&mut self, class: usize, took: f64) -> Option<ServerId> {
-        let asked = self.ask(class);
-        self.serve_asked(asked, took)
+        let request = self.request(class);
+        self.serve_request(request, took)
     }
 
-    /// The same, waiting where it is held.
-    pub fn serve_held(&mut self, class: usize, took: f64) -> Option<ServerId> {
-        let (id, mut actions) = self.ask(class);
+    /// The same, waiting while the request is queued.
+    pub fn serve_queued(&mut self, class: usize, took: f64) -> Option<ServerId> {
+        let (id, mut actions) = self.request(class);
         while sent_to(&actions).is_none() && !refused(&actions, id) && !failed(&actions, id) {
             actions = self.wait(5.0);
         }
-        self.serve_asked((id, actions), took)
+        self.serve_request((id, actions), took)
     }
 
-    fn serve_asked(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
+    fn serve_request(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
         let server = sent_to(&actions);
         self.now += took;
         if server.is_some() {
@@ -152,7 +157,7 @@
         server
     }
 
-    /// Lets time pass, with the timers due in it.
+    /// Advances the clock, with a timer event every 5 ms.
     pub fn wait(&mut self, span: f64) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -168,7 +173,7 @@
     actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
-/// The requests that were sent.
+/// The ids of the requests that were sent.
 pub fn sends(actions: &[Action]) -> Vec<RequestId> {
     actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None }).collect()
 }
@@ -181,17 +186,17 @@
     actions.iter().any(|a| matches!(a, Action::Fail(id) if *id == request))
 }
 
-struct Held {
+struct TrackedRequest {
     class: usize,
     deadline: f64,
-    over: bool,
+    finished: bool,
     attempts: Vec<(ServerId, u64, f64, Option<Outcome>)>,
 }
 
-/// Watches what a node is told and does, and notes each breach of a rule.
+/// Observes the events and actions of a node, and records each breach of a rule.
 #[derive(Default)]
 pub struct Referee {
-    requests: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     servers: BTreeMap<ServerId, (ServerEntry, Option<f64>)>,
     warm_sends: Vec<(ServerId, f64)>,
     cold_sends: Vec<(ServerId, f64)>,
@@ -199,58 +204,67 @@
 }
 
 impl Referee {
-    pub fn told(&mut self, now: f64, event: &Event) {
+    pub fn on_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { entries, .. } => {
-                for (entry, gone) in self.servers.values_mut() {
+                for (entry, gone_at) in self.servers.values_mut() {
                     entry.state = ListedState::Gone;
-                    gone.get_or_insert(now);
+                    gone_at.get_or_insert(now);
                 }
-                self.listed(now, entries);
+                self.on_entries(now, entries);
             }
-            Event::ListChange(entries) => self.listed(now, entries),
+            Event::ListChange(entries) => self.on_entries(now, entries),
             Event::Request { id, class, deadline, .. } => {
-                let held = Held { class: *class, deadline: *deadline, over: false, attempts: Vec::new() };
-                self.requests.insert(*id, held);
+                let request = TrackedRequest {
+                    class: *class,
+                    deadline: *deadline,
+                    finished: false,
+                    attempts: Vec::new(),
+                };
+                self.requests.insert(*id, request);
             }
             Event::Ended { id, attempt, outcome, finished, .. } => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    held.attempts[*attempt].3 = Some(*outcome);
-                    held.over |= *finished;
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.attempts[*attempt].3 = Some(*outcome);
+                    request.finished |= *finished;
                 }
             }
             Event::ClientGone(id) => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    held.over = true;
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.finished = true;
                 }
             }
             _ => {}
         }
     }
 
-    fn listed(&mut self, now: f64, entries: &[ServerEntry]) {
+    fn on_entries(&mut self, now: f64, entries: &[ServerEntry]) {
         for entry in entries {
-            let gone = (entry.state != ListedState::Up).then_some(now);
-            let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
-            known.1 = if gone.is_some() { known.1.or(gone) } else { None };
+            let gone_at = (entry.state != ListedState::Up).then_some(now);
+            let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone_at));
+            known.1 = if gone_at.is_some() { known.1.or(gone_at) } else { None };
             known.0 = entry.clone();
         }
     }
 
-    pub fn did(&mut self, settings: &Settings, now: f64, action: &Action) {
-        let mut note = |words: String| self.breaches.push(words);
+    pub fn on_action(&mut self, settings: &Settings, now: f64, action: &Action) {
+        let mut note = |breach: String| self.breaches.push(breach);
         match action {
             Action::Send { id, server, .. } => {
-                let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
-                let Some((entry, gone)) = self.servers.get(server) else { return note("no server".into()) };
-                if held.over {
+                let Some(request) = self.requests.get_mut(id) else {
+                    return note(format!("{id:?} is unknown"));
+                };
+                let Some((entry, gone_at)) = self.servers.get(server) else {
+                    return note("no server".into());
+                };
+                if request.finished {
                     note(format!("rule 1: {id:?} sent after its end"));
                 }
-                if gone.is_some_and(|at| now > at + DRAIN_GRACE) {
+                if gone_at.is_some_and(|at| now > at + DRAIN_GRACE) {
                     note(format!("rule 3: {server:?} got work after its drain"));
                 }
-                let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
-                let harmless = match settings.classes[held.class].effect {
+                let mut ran = request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
+                let harmless = match settings.classes[request.class].effect {
                     Effect::Safe => true,
                     Effect::Unsafe => ran.next().is_none(),
                     Effect::Keyed { memory, .. } => ran.all(|a| a.1 == entry.cell && now < a.2 + memory),
@@ -258,7 +272,7 @@
                 if !harmless {
                     note(format!("rule 2: {id:?} sent again"));
                 }
-                held.attempts.push((*server, entry.cell, now, None));
+                request.attempts.push((*server, entry.cell, now, None));
                 let age = entry.started.map_or(f64::INFINITY, |t| now - t);
                 let cold = age < settings.rules.warm_within;
                 let sends = if cold { &mut self.cold_sends } else { &mut self.warm_sends };
@@ -268,33 +282,41 @@
                 }
             }
             Action::Refuse { id, .. } => {
-                let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
-                let ran = held.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && settings.classes[held.class].effect != Effect::Safe {
+                let Some(request) = self.requests.get_mut(id) else {
+                    return note(format!("{id:?} is unknown"));
+                };
+                let ran = request.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
+                if ran && settings.classes[request.class].effect != Effect::Safe {
                     note(format!("rule 2: {id:?} refused though it may have run"));
                 }
-                Self::answered(held, settings, now, *id, &mut self.breaches);
+                Self::check_answer(request, settings, now, *id, &mut self.breaches);
             }
             Action::Fail(id) => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    Self::answered(held, settings, now, *id, &mut self.breaches);
+                if let Some(request) = self.requests.get_mut(id) {
+                    Self::check_answer(request, settings, now, *id, &mut self.breaches);
                 }
             }
             _ => {}
         }
     }
 
-    fn answered(held: &mut Held, settings: &Settings, now: f64, id: RequestId, breaches: &mut Vec<String>) {
-        if held.over {
+    fn check_answer(
+        request: &mut TrackedRequest,
+        settings: &Settings,
+        now: f64,
+        id: RequestId,
+        breaches: &mut Vec<String>,
+    ) {
+        if request.finished {
             breaches.push(format!("rule 1: {id:?} answered twice"));
         }
-        if now > held.deadline + 2.0 * settings.tick {
+        if now > request.deadline + 2.0 * settings.tick {
             breaches.push(format!("rule 1: {id:?} answered late"));
         }
-        held.over = true;
+        request.finished = true;
     }
 
-    /// Rule 4 by what the busiest warm server got: this node's part of a cold server's budget.
+    /// Rule 4: this node's part of a cold server's budget, by the sends to the busiest warm server.
     fn check_cold(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
         let rules = &settings.rules;
         let recent = |sends: &[(ServerId, f64)], s: ServerId| {
@@ -304,14 +326,14 @@
         let share = rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within;
         let budget = rules.fall_multiple * share * warm as f64;
         if recent(&self.cold_sends, server) as f64 > budget.max(1.0) + 1.0 {
-            self.breaches.push(format!("rule 4: {server:?} pushed"));
+            self.breaches.push(format!("rule 4: {server:?} overloaded"));
         }
     }
 
-    /// To be called when all deadlines have passed.
+    /// Must be called after all deadlines have passed.
     pub fn finish(&mut self) {
-        for (id, held) in &self.requests {
-            if !held.over {
+        for (id, request) in &self.requests {
+            if !request.finished {
                 self.breaches.push(format!("rule 1: {id:?} has no answer"));
             }
         }
--- a/crates/policy/tests/rotation.rs
+++ b/crates/policy/tests/rotation.rs
@@ -1,4 +1,4 @@
-//! The rotation: evenness, offset, interleaving, what restarts it and what does not.
+//! The rotation: evenness, offset, interleaving, and which changes restart it.
 
 mod common;
 use common::*;
@@ -49,8 +49,8 @@
     assert_eq!(turns(&mut node, 2), [2, 3]);
 }
 
-/// Guards the change that outruns the round: with all nodes back at their offsets at each change of the list,
-/// the servers after the offsets got everything.
+/// Guards against list changes that come faster than a round: when each change sent all nodes back to their
+/// offsets, the servers after the offsets got all traffic.
 #[test]
 fn a_change_of_members_keeps_the_place() {
     let mut node = Node::fleet(Settings { number: 1, ..settings() }, 3);
@@ -62,19 +62,19 @@
 }
 
 #[test]
-fn an_unready_server_is_passed_over_in_place() {
+fn a_server_that_is_not_ready_is_skipped_in_place() {
     let mut node = Node::fleet(settings(), 4);
     turns(&mut node, 1);
-    let (id, actions) = node.ask(SAFE);
+    let (id, actions) = node.request(SAFE);
     assert_eq!(sent_to(&actions), Some(ServerId(1)));
     let actions = node.end(id, Outcome::ConnectFailed);
-    assert_eq!(sent_to(&actions), Some(ServerId(2)), "a further attempt takes the next turn");
+    assert_eq!(sent_to(&actions), Some(ServerId(2)), "a retry takes the next turn");
     node.end(id, Outcome::Done);
     assert_eq!(turns(&mut node, 6), [3, 0, 2, 3, 0, 2]);
 }
 
 #[test]
-fn live_weights_do_not_steer_by_load() {
+fn live_weights_do_not_shift_load() {
     let live = Settings { weights: Weights::Live, ..settings() };
     let mut node = Node::new(live, vec![entry(0, 1.0), entry(1, 1.0)]);
     node.event(Event::ListChange(vec![entry(0, 0.1)]));
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn a_server_with_late_answers_loses_turns_slowly() {
+fn a_server_with_late_responses_loses_turns_slowly() {
     let mut node = Node::fleet(settings(), 4);
     let mut sent = [0; 4];
     for round in 0..400 {
-        let (id, actions) = node.ask(SAFE);
+        let (id, actions) = node.request(SAFE);
         let server = sent_to(&actions).expect("sent");
-        // The listed sizes are alike, yet server 0 takes most of the aim.
+        // The listed sizes are equal, but server 0 takes most of the latency target.
         node.now += if server.0 == 0 { 90.0 } else { 10.0 };
         node.end(id, Outcome::Done);
         if round >= 300 {
@@ -102,35 +102,36 @@
 fn subsets(nodes: usize, servers: &[ServerEntry]) -> Vec<Vec<u64>> {
     let of = |number| {
         let mut node = Node::new(Settings { number, nodes, ..settings() }, servers.to_vec());
-        let mut met = turns(&mut node, 12);
-        met.sort_unstable();
-        met.dedup();
-        met
+        let mut servers_used = turns(&mut node, 12);
+        servers_used.sort_unstable();
+        servers_used.dedup();
+        servers_used
     };
     (0..nodes).map(of).collect()
 }
 
-/// Guards full size: with each node on every server, connections were nodes times servers and full tables
-/// looked like dead processes, while no node saw any server often enough to learn from it.
+/// Guards against nodes that each send to all servers in a large fleet: there were nodes times servers
+/// connections, full connection tables looked like dead processes, and no node saw a server often enough to
+/// learn from it.
 #[test]
-fn many_nodes_share_the_fleet_out_evenly() {
-    // The fewer the servers, the oftener one stands twice in what a node reads and a neighbour's is taken.
+fn many_nodes_cover_the_fleet_evenly() {
+    // With fewer servers, a node more often finds a server twice in its part and takes the next one instead.
     for (nodes, servers, even) in [(305, 60, 0.75), (751, 123, 0.75), (49, 13, 0.55), (1800, 276, 0.75)] {
         let fleet: Vec<_> = (0..servers).map(|id| entry(id * id + 7, 1.0)).collect();
-        let met = subsets(nodes, &fleet);
+        let servers_used = subsets(nodes, &fleet);
         let mut count = std::collections::BTreeMap::new();
-        for id in met.iter().flatten() {
+        for id in servers_used.iter().flatten() {
             *count.entry(*id).or_insert(0usize) += 1;
         }
         assert_eq!(count.len(), servers as usize, "every server has nodes");
-        let (least, most) = (count.values().min().expect("some"), count.values().max().expect("some"));
-        assert!(met.iter().all(|m| m.len() <= 6), "small parts");
-        assert!(*least as f64 > even * *most as f64, "{nodes} nodes, {servers} servers: {least} to {most}");
+        let (min, max) = (count.values().min().expect("some"), count.values().max().expect("some"));
+        assert!(servers_used.iter().all(|m| m.len() <= 6), "small subsets");
+        assert!(*min as f64 > even * *max as f64, "{nodes} nodes, {servers} servers: {min} to {max}");
     }
 }
 
 #[test]
-fn a_change_of_the_list_moves_few_subsets() {
+fn a_list_change_moves_few_connections() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id * id + 7, 1.0)).collect();
     let (before, after) = (subsets(300, &fleet), subsets(300, &fleet[1..]));
     let kept: usize =
@@ -145,16 +146,17 @@
     assert!(subsets(4, &fleet).iter().all(|m| m.len() == 12));
 }
 
-/// Guards a subset that is wholly down: its node would refuse everything with the rest of the fleet idle.
+/// Guards against a subset that is down as a whole: its node would refuse everything while the other servers
+/// are idle.
 #[test]
-fn a_subset_that_is_down_widens() {
+fn a_subset_that_is_down_grows() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id, 1.0)).collect();
     let mut node = Node::new(Settings { nodes: 300, ..settings() }, fleet);
     let first = turns(&mut node, 8);
     let mut served = 0;
     for _ in 0..40 {
         node.wait(20.0);
-        let (id, mut actions) = node.ask(UNSAFE);
+        let (id, mut actions) = node.request(UNSAFE);
         while let Some(server) = sent_to(&actions) {
             node.now += 0.3;
             let down = first.contains(&server.0);
@@ -165,9 +167,9 @@
     assert!(served >= 38, "{served} of 40");
 }
 
-/// A file that is replaced under load, or a source that is asked anew, brings the whole list each time.
+/// A list file that is replaced under load, or a source that is polled, sends the whole list each time.
 #[test]
-fn whole_lists_that_come_often_keep_weights_and_the_turns_of_cold_servers() {
+fn frequent_whole_lists_keep_weights_and_the_turns_of_cold_servers() {
     let weighted = || vec![entry(0, 3.0), entry(1, 1.0)];
     let mut node = Node::new(settings(), weighted());
     let mut first = 0;
@@ -185,5 +187,5 @@
         node.event(Event::List { entries: cold(started), saved: false });
         sent += usize::from(turns(&mut node, 1) == [1]);
     }
-    assert!(sent > 3, "{sent} of 300 went to the cold one");
+    assert!(sent > 3, "{sent} of 300 went to the cold server");
 }
