--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -70,8 +70,6 @@
 /// The same seed gives exactly the same run.
 #[test]
 fn a_run_is_reproducible() {
-    let of = |report: fleet::Report| {
-        (report.sends, report.budget.to_bits(), report.served.to_bits(), report.used.to_bits())
-    };
+    let of = |r: fleet::Report| (r.sends, r.budget.to_bits(), r.served.to_bits(), r.used.to_bits());
     assert_eq!(of(run(SCENARIOS[0], 20, 5)), of(run(SCENARIOS[0], 20, 5)));
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -207,31 +207,31 @@
     pub fn on_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { entries, .. } => {
-                for (entry, gone_at) in self.servers.values_mut() {
+                for (entry, gone) in self.servers.values_mut() {
                     entry.state = ListedState::Gone;
-                    gone_at.get_or_insert(now);
+                    gone.get_or_insert(now);
                 }
                 self.on_entries(now, entries);
             }
             Event::ListChange(entries) => self.on_entries(now, entries),
             Event::Request { id, class, deadline, .. } => {
-                let request = TrackedRequest {
+                let req = TrackedRequest {
                     class: *class,
                     deadline: *deadline,
                     finished: false,
                     attempts: Vec::new(),
                 };
-                self.requests.insert(*id, request);
+                self.requests.insert(*id, req);
             }
             Event::Ended { id, attempt, outcome, finished, .. } => {
-                if let Some(request) = self.requests.get_mut(id) {
-                    request.attempts[*attempt].3 = Some(*outcome);
-                    request.finished |= *finished;
+                if let Some(req) = self.requests.get_mut(id) {
+                    req.attempts[*attempt].3 = Some(*outcome);
+                    req.finished |= *finished;
                 }
             }
             Event::ClientGone(id) => {
-                if let Some(request) = self.requests.get_mut(id) {
-                    request.finished = true;
+                if let Some(req) = self.requests.get_mut(id) {
+                    req.finished = true;
                 }
             }
             _ => {}
@@ -240,9 +240,9 @@
 
     fn on_entries(&mut self, now: f64, entries: &[ServerEntry]) {
         for entry in entries {
-            let gone_at = (entry.state != ListedState::Up).then_some(now);
-            let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone_at));
-            known.1 = if gone_at.is_some() { known.1.or(gone_at) } else { None };
+            let gone = (entry.state != ListedState::Up).then_some(now);
+            let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
+            known.1 = if gone.is_some() { known.1.or(gone) } else { None };
             known.0 = entry.clone();
         }
     }
@@ -251,20 +251,16 @@
         let mut note = |breach: String| self.breaches.push(breach);
         match action {
             Action::Send { id, server, .. } => {
-                let Some(request) = self.requests.get_mut(id) else {
-                    return note(format!("{id:?} is unknown"));
-                };
-                let Some((entry, gone_at)) = self.servers.get(server) else {
-                    return note("no server".into());
-                };
-                if request.finished {
+                let Some(req) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
+                let Some((entry, gone)) = self.servers.get(server) else { return note("no server".into()) };
+                if req.finished {
                     note(format!("rule 1: {id:?} sent after its end"));
                 }
-                if gone_at.is_some_and(|at| now > at + DRAIN_GRACE) {
+                if gone.is_some_and(|at| now > at + DRAIN_GRACE) {
                     note(format!("rule 3: {server:?} got work after its drain"));
                 }
-                let mut ran = request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
-                let harmless = match settings.classes[request.class].effect {
+                let mut ran = req.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
+                let harmless = match settings.classes[req.class].effect {
                     Effect::Safe => true,
                     Effect::Unsafe => ran.next().is_none(),
                     Effect::Keyed { memory, .. } => ran.all(|a| a.1 == entry.cell && now < a.2 + memory),
@@ -272,7 +268,7 @@
                 if !harmless {
                     note(format!("rule 2: {id:?} sent again"));
                 }
-                request.attempts.push((*server, entry.cell, now, None));
+                req.attempts.push((*server, entry.cell, now, None));
                 let age = entry.started.map_or(f64::INFINITY, |t| now - t);
                 let cold = age < settings.rules.warm_within;
                 let sends = if cold { &mut self.cold_sends } else { &mut self.warm_sends };
@@ -282,18 +278,16 @@
                 }
             }
             Action::Refuse { id, .. } => {
-                let Some(request) = self.requests.get_mut(id) else {
-                    return note(format!("{id:?} is unknown"));
-                };
-                let ran = request.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && settings.classes[request.class].effect != Effect::Safe {
+                let Some(req) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
+                let ran = req.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
+                if ran && settings.classes[req.class].effect != Effect::Safe {
                     note(format!("rule 2: {id:?} refused though it may have run"));
                 }
-                Self::check_answer(request, settings, now, *id, &mut self.breaches);
+                Self::check_answer(req, settings, now, *id, &mut self.breaches);
             }
             Action::Fail(id) => {
-                if let Some(request) = self.requests.get_mut(id) {
-                    Self::check_answer(request, settings, now, *id, &mut self.breaches);
+                if let Some(req) = self.requests.get_mut(id) {
+                    Self::check_answer(req, settings, now, *id, &mut self.breaches);
                 }
             }
             _ => {}
@@ -301,19 +295,19 @@
     }
 
     fn check_answer(
-        request: &mut TrackedRequest,
+        req: &mut TrackedRequest,
         settings: &Settings,
         now: f64,
         id: RequestId,
         breaches: &mut Vec<String>,
     ) {
-        if request.finished {
+        if req.finished {
             breaches.push(format!("rule 1: {id:?} answered twice"));
         }
-        if now > request.deadline + 2.0 * settings.tick {
+        if now > req.deadline + 2.0 * settings.tick {
             breaches.push(format!("rule 1: {id:?} answered late"));
         }
-        request.finished = true;
+        req.finished = true;
     }
 
     /// Rule 4: this node's part of a cold server's budget, by the sends to the busiest warm server.
@@ -332,8 +326,8 @@
 
     /// Must be called after all deadlines have passed.
     pub fn finish(&mut self) {
-        for (id, request) in &self.requests {
-            if !request.finished {
+        for (id, req) in &self.requests {
+            if !req.finished {
                 self.breaches.push(format!("rule 1: {id:?} has no answer"));
             }
         }
