--- a/crates/policy/examples/common/mod.rs
+++ b/crates/policy/examples/common/mod.rs
@@ -1,11 +1,11 @@
-//! What the measurements share: a node's settings, its boxes, and what the process holds of memory.
+//! Shared by the measurements: a node's settings, its servers, and the memory of the process.
 
 use magpietally_policy::{
     Class, Discovery, Goal, Limits, ListedState, Millis, Rules, ServerEntry, ServerId, Settings, Weights,
 };
 use magpietally_structures::GOLDEN_GAMMA;
 
-/// The first of so many nodes, with the platform's usual rules.
+/// Settings of the first of so many nodes, with the platform's usual rules.
 pub fn settings(nodes: usize, classes: Vec<Class>) -> Settings {
     Settings {
         number: 0,
@@ -37,13 +37,13 @@
     }
 }
 
-/// A box by its number; their ids are in no order.
+/// The entry of a server by its number; the ids are in no order.
 pub fn entry(n: u64, state: ListedState, started: Option<Millis>) -> ServerEntry {
     let server = ServerId(n.wrapping_mul(GOLDEN_GAMMA));
     ServerEntry { server, zone: n % 3, cell: n % 3, kind: 0, state, weight: 1.0, started }
 }
 
-/// What the process holds of memory, in KiB; 0 where the system does not tell.
+/// Resident memory of the process in KiB; 0 if unknown.
 pub fn memory() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
--- a/crates/policy/examples/decision.rs
+++ b/crates/policy/examples/decision.rs
@@ -1,8 +1,10 @@
-//! The cost of a decision against the number of servers and of held requests: one request that comes and one answer, with
-//! every server full and so many requests waiting (with 0: with room everywhere).
+//! The cost of a decision by the number of servers and of queued requests: one arriving request and one
+//! response, with every server at its limit and so many requests queued (with 0: with all servers below their
+//! limits).
 //!
-//! `decision BOXES HELD PAIRS` prints the nanoseconds of a pair, and what an open request holds of memory on standard error; under callgrind two runs with different PAIRS give the
-//! instructions of one. `docs/measurements/decision.sh` does both.
+//! `decision SERVERS QUEUED PAIRS` prints the nanoseconds of a pair, and the memory of an open request on
+//! standard error; under callgrind two runs with different PAIRS give the instructions of one pair.
+//! `docs/measurements/decision.sh` does both.
 
 mod common;
 
@@ -15,17 +17,17 @@
     Tenant,
 };
 
-/// Long aims, so that what is held stays held while it is measured.
-const AIM: f64 = 1e6;
-/// Such a part of its aim each answer takes that no limit moves.
-const TAKES: f64 = 0.35;
+/// Long latency targets, so that requests stay queued during the measurement.
+const TARGET: f64 = 1e6;
+/// Response time over the latency target at which no limit changes.
+const PACE: f64 = 0.35;
 
 struct Node {
     balancer: Balancer,
     now: f64,
-    asked: u64,
+    requests: u64,
     actions: Vec<Action>,
-    out: VecDeque<(RequestId, ServerId)>,
+    in_flight: VecDeque<(RequestId, ServerId)>,
 }
 
 impl Node {
@@ -34,36 +36,36 @@
         self.balancer.handle(self.now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::Send { id, server, .. } = action {
-                self.out.push_back((id, server));
+                self.in_flight.push_back((id, server));
             }
         }
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
-        let class = (self.asked % 3) as usize;
-        let tenant = Some((self.asked % 2) as usize);
+    fn request(&mut self) {
+        self.requests += 1;
+        let class = (self.requests % 3) as usize;
+        let tenant = Some((self.requests % 2) as usize);
         self.feed(Event::Request {
-            id: RequestId(self.asked),
+            id: RequestId(self.requests),
             class,
             tenant,
-            deadline: self.now + 4.0 * AIM,
+            deadline: self.now + 4.0 * TARGET,
             non_replayable: false,
         });
     }
 
-    fn answer(&mut self) {
-        if let Some((id, server)) = self.out.pop_front() {
-            let (outcome, took) = (Outcome::Done, TAKES * AIM);
+    fn respond(&mut self) {
+        if let Some((id, server)) = self.in_flight.pop_front() {
+            let (outcome, took) = (Outcome::Done, PACE * TARGET);
             self.feed(Event::Ended { id, attempt: 0, server, outcome, took, finished: true });
         }
     }
 }
 
-/// A class of each right to run again, and two tenants.
+/// One class of each effect, and two tenants.
 fn node_settings() -> Settings {
-    let class = |effect| Class { aim: AIM, worth: 1.0, late_worth: 0.0, effect };
-    let keyed = Effect::Keyed { scope: DedupScope::Zone, memory: AIM };
+    let class = |effect| Class { aim: TARGET, worth: 1.0, late_worth: 0.0, effect };
+    let keyed = Effect::Keyed { scope: DedupScope::Zone, memory: TARGET };
     let classes = vec![class(Effect::Safe), class(Effect::Unsafe), class(keyed)];
     let tenants = vec![Tenant { quota_per_s: 1e9 }, Tenant { quota_per_s: 1e9 }];
     Settings { tenants, ..settings(1, classes) }
@@ -71,42 +73,42 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let numbers: Vec<u64> = std::env::args().skip(1).map(|w| w.parse()).collect::<Result<_, _>>()?;
-    let [boxes, held, pairs] = numbers[..] else { return Err("BOXES HELD PAIRS".into()) };
+    let [servers, wanted, pairs] = numbers[..] else { return Err("SERVERS QUEUED PAIRS".into()) };
     let balancer = Balancer::new(node_settings(), 7)?;
-    let mut node = Node { balancer, now: 1.0, asked: 0, actions: Vec::new(), out: VecDeque::new() };
+    let mut node = Node { balancer, now: 1.0, requests: 0, actions: Vec::new(), in_flight: VecDeque::new() };
     node.feed(Event::List {
-        entries: (1..=boxes).map(|n| entry(n, ListedState::Up, None)).collect(),
+        entries: (1..=servers).map(|n| entry(n, ListedState::Up, None)).collect(),
         saved: false,
     });
     let before = memory();
-    if held > 0 {
-        // Until nothing is sent any more every server is full; then so many more are held.
+    if wanted > 0 {
+        // Once nothing is sent any more, every server is at its limit; further requests are queued.
         loop {
-            let sent = node.out.len();
-            node.ask();
-            if node.out.len() == sent {
+            let sent = node.in_flight.len();
+            node.request();
+            if node.in_flight.len() == sent {
                 break;
             }
         }
-        (1..held).for_each(|_| node.ask());
+        (1..wanted).for_each(|_| node.request());
     }
-    let waiting = node.balancer.status().queued as u64;
-    if waiting != held {
-        return Err(format!("{waiting} requests are held, not {held}").into());
+    let queued = node.balancer.status().queued as u64;
+    if queued != wanted {
+        return Err(format!("{queued} requests are queued, not {wanted}").into());
     }
     let grown = memory().saturating_sub(before);
     let began = Instant::now();
     for _ in 0..pairs {
-        node.ask();
-        node.answer();
+        node.request();
+        node.respond();
     }
     let spent = began.elapsed();
-    let waiting = node.balancer.status().queued as u64;
-    if waiting != held {
-        return Err(format!("{waiting} requests are held in the end, not {held}").into());
+    let queued = node.balancer.status().queued as u64;
+    if queued != wanted {
+        return Err(format!("{queued} requests are queued at the end, not {wanted}").into());
     }
     let open = node.balancer.status().open.max(1) as f64;
     eprintln!("{open} open requests, {:.0} bytes each", grown as f64 * 1024.0 / open);
-    println!("{boxes} {held} {pairs} {:.0}", spent.as_nanos() as f64 / pairs.max(1) as f64);
+    println!("{servers} {wanted} {pairs} {:.0}", spent.as_nanos() as f64 / pairs.max(1) as f64);
     Ok(())
 }
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,4 +1,5 @@
-//! A node in small: one request served, one after a failed connection, one past a server that drains.
+//! A minimal node: one request served, one retried after a failed connection, one sent past a draining
+//! server.
 
 use magpietally_policy::*;
 
@@ -37,8 +38,8 @@
     ServerEntry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
 }
 
-/// Hands over one event and prints what is to be done; gives the server of a send.
-fn tell(balancer: &mut Balancer, now: Millis, event: Event) -> Option<ServerId> {
+/// Feeds one event, prints the actions, and returns the server of a send.
+fn feed(balancer: &mut Balancer, now: Millis, event: Event) -> Option<ServerId> {
     let mut actions = Vec::new();
     balancer.handle(now, event, &mut actions);
     for action in actions.iter().filter(|a| !matches!(a, Action::SetTimer(_))) {
@@ -54,25 +55,25 @@
 fn main() -> Result<(), SettingsError> {
     let mut balancer = Balancer::new(settings(), 42)?;
     let entries = (1..=3).map(|id| entry(id, ListedState::Up)).collect();
-    tell(&mut balancer, 0.0, Event::List { entries, saved: false });
+    feed(&mut balancer, 0.0, Event::List { entries, saved: false });
 
-    let ask =
+    let request =
         |id, now| Event::Request { id, class: 0, tenant: None, deadline: now + 500.0, non_replayable: false };
     let first = RequestId(1);
-    let server = tell(&mut balancer, 10.0, ask(first, 10.0)).expect("three servers are ready");
-    tell(&mut balancer, 22.0, ended(first, 0, server, Outcome::Done));
+    let server = feed(&mut balancer, 10.0, request(first, 10.0)).expect("three servers are ready");
+    feed(&mut balancer, 22.0, ended(first, 0, server, Outcome::Done));
 
-    // The second request meets a dead server: it never ran, so it goes to the next turn.
+    // The connection of the second request fails: it never ran, so it is sent to the next server.
     let second = RequestId(2);
-    let server = tell(&mut balancer, 30.0, ask(second, 30.0)).expect("three servers are ready");
-    let server = tell(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
-    tell(&mut balancer, 54.0, ended(second, 1, server, Outcome::Done));
+    let server = feed(&mut balancer, 30.0, request(second, 30.0)).expect("three servers are ready");
+    let server = feed(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
+    feed(&mut balancer, 54.0, ended(second, 1, server, Outcome::Done));
 
-    // Server 1 drains: the third goes past it.
-    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ListedState::Draining)]));
+    // Server 1 is draining: the third request skips it.
+    feed(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ListedState::Draining)]));
     let third = RequestId(3);
-    let server = tell(&mut balancer, 70.0, ask(third, 70.0)).expect("one server is left");
+    let server = feed(&mut balancer, 70.0, request(third, 70.0)).expect("one server is left");
     assert_eq!(server, ServerId(3));
-    tell(&mut balancer, 82.0, ended(third, 0, server, Outcome::Done));
+    feed(&mut balancer, 82.0, ended(third, 0, server, Outcome::Done));
     Ok(())
 }
--- a/crates/policy/examples/lists.rs
+++ b/crates/policy/examples/lists.rs
@@ -1,5 +1,5 @@
-//! Lists at size: a whole list, one that renames every box, changes of one box, and an hour of a release that replaces 1%
-//! of the boxes each second, while requests come. Prints the time of each and what is held of memory.
+//! Large lists: a whole list, one that renames every server, changes of one server, and an hour of a release
+//! that replaces 1% of the servers each second under traffic. Prints the time of each and the memory.
 
 mod common;
 
@@ -12,15 +12,15 @@
     Settings,
 };
 
-const BOXES: u64 = 5_000;
+const SERVERS: u64 = 5_000;
 
 struct Node {
     balancer: Balancer,
     now: f64,
-    asked: u64,
+    requests: u64,
     served: u64,
     actions: Vec<Action>,
-    out: VecDeque<(f64, RequestId, usize, ServerId)>,
+    in_flight: VecDeque<(f64, RequestId, usize, ServerId)>,
 }
 
 impl Node {
@@ -29,7 +29,14 @@
         let settings = settings(nodes, vec![class]);
         let limits = Limits { second_copies: true, ..settings.limits };
         let balancer = Balancer::new(Settings { limits, ..settings }, 7)?;
-        Ok(Self { balancer, now: 1.0, asked: 0, served: 0, actions: Vec::new(), out: VecDeque::new() })
+        Ok(Self {
+            balancer,
+            now: 1.0,
+            requests: 0,
+            served: 0,
+            actions: Vec::new(),
+            in_flight: VecDeque::new(),
+        })
     }
 
     /// Feeds an event, and the end of each attempt 20 ms after its send; probes succeed at once.
@@ -40,7 +47,7 @@
         let mut probes = Vec::new();
         for action in self.actions.drain(..) {
             match action {
-                Action::Send { id, server, .. } => self.out.push_back((self.now, id, 0, server)),
+                Action::Send { id, server, .. } => self.in_flight.push_back((self.now, id, 0, server)),
                 Action::Probe(server) => probes.push(server),
                 _ => {}
             }
@@ -51,17 +58,17 @@
         spent
     }
 
-    fn ask(&mut self) -> Duration {
-        self.asked += 1;
-        let (id, deadline) = (RequestId(self.asked), self.now + 1000.0);
+    fn request(&mut self) -> Duration {
+        self.requests += 1;
+        let (id, deadline) = (RequestId(self.requests), self.now + 1000.0);
         self.feed(Event::Request { id, class: 0, tenant: None, deadline, non_replayable: false })
     }
 
-    fn answers(&mut self) {
+    fn respond(&mut self) {
         while let Some((at, id, attempt, server)) =
-            self.out.front().copied().filter(|o| o.0 + 20.0 <= self.now)
+            self.in_flight.front().copied().filter(|o| o.0 + 20.0 <= self.now)
         {
-            self.out.pop_front();
+            self.in_flight.pop_front();
             self.served += 1;
             let (outcome, took) = (Outcome::Done, self.now - at);
             self.feed(Event::Ended { id, attempt, server, outcome, took, finished: true });
@@ -70,56 +77,57 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("{BOXES} boxes; milliseconds, but for memory");
+    println!("{SERVERS} servers; times in milliseconds");
     for nodes in [1, 20, 200] {
         let mut node = Node::new(nodes)?;
         let all = |from: u64| -> Vec<ServerEntry> {
-            (from..from + BOXES).map(|n| entry(n, ListedState::Up, None)).collect()
+            (from..from + SERVERS).map(|n| entry(n, ListedState::Up, None)).collect()
         };
         let before = memory();
         let ms = |spent: Duration| spent.as_secs_f64() * 1e3;
         let whole = ms(node.feed(Event::List { entries: all(0), saved: false }));
-        let per_box = (memory() - before) as f64 * 1024.0 / BOXES as f64;
-        let renamed = ms(node.feed(Event::List { entries: all(BOXES), saved: false }));
+        let per_server = (memory() - before) as f64 * 1024.0 / SERVERS as f64;
+        let renamed = ms(node.feed(Event::List { entries: all(SERVERS), saved: false }));
         let one = |node: &mut Node, state| {
-            let spans =
-                (0..200).map(|n| ms(node.feed(Event::ListChange(vec![entry(BOXES + 25 * n, state, None)]))));
+            let spans = (0..200)
+                .map(|n| ms(node.feed(Event::ListChange(vec![entry(SERVERS + 25 * n, state, None)]))));
             spans.sum::<f64>() / 200.0
         };
-        let (leaves, comes) = (one(&mut node, ListedState::Draining), one(&mut node, ListedState::Up));
+        let (drains, returns) = (one(&mut node, ListedState::Draining), one(&mut node, ListedState::Up));
         println!(
-            "{nodes:>4} nodes: whole list {whole:.2}, all renamed {renamed:.2}, one box leaves {leaves:.3}, one comes \
-             {comes:.3}; {per_box:.0} bytes a box"
+            "{nodes:>4} nodes: whole list {whole:.2}, all renamed {renamed:.2}, one server drains {drains:.3}, one \
+             returns {returns:.3}; {per_server:.0} bytes a server"
         );
     }
-    // An hour: each second 1% of the boxes are replaced by new ones, cold at first; 200 requests a second come.
+    // An hour in which 1% of the servers are replaced each second by new, cold ones, at 200 requests per
+    // second.
     let mut node = Node::new(20)?;
-    let first: Vec<ServerEntry> = (0..BOXES).map(|n| entry(n, ListedState::Up, None)).collect();
+    let first: Vec<ServerEntry> = (0..SERVERS).map(|n| entry(n, ListedState::Up, None)).collect();
     node.feed(Event::List { entries: first, saved: false });
-    let (mut oldest, mut worst_list, mut worst_ask) = (0, Duration::ZERO, Duration::ZERO);
+    let (mut oldest, mut worst_list, mut worst_request) = (0, Duration::ZERO, Duration::ZERO);
     let began = Instant::now();
     let hour = std::env::args().nth(1).map_or(Ok(3600u64), |w| w.parse())?;
     for second in 0..hour {
-        let (count, now) = (BOXES / 100, node.now);
+        let (count, now) = (SERVERS / 100, node.now);
         let gone = (oldest..oldest + count).map(|n| entry(n, ListedState::Gone, None));
-        let new = (oldest + BOXES..oldest + BOXES + count).map(|n| entry(n, ListedState::Up, Some(now)));
+        let new = (oldest + SERVERS..oldest + SERVERS + count).map(|n| entry(n, ListedState::Up, Some(now)));
         let change: Vec<ServerEntry> = gone.chain(new).collect();
         oldest += count;
         worst_list = worst_list.max(node.feed(Event::ListChange(change)));
         for _ in 0..200 {
             node.now += 5.0;
-            node.answers();
-            worst_ask = worst_ask.max(node.ask());
+            node.respond();
+            worst_request = worst_request.max(node.request());
         }
         if second % (hour / 6).max(1) == 0 || second + 1 == hour {
-            println!("{second:>5} s: {} KiB, {} served of {}", memory(), node.served, node.asked);
+            println!("{second:>5} s: {} KiB, {} served of {}", memory(), node.served, node.requests);
         }
     }
-    let each = began.elapsed().as_secs_f64() * 1e6 / node.asked as f64;
+    let each = began.elapsed().as_secs_f64() * 1e6 / node.requests as f64;
     println!(
-        "worst change {:.2} ms, worst request {:.3} ms, {each:.2} us a request with its answer",
+        "worst change {:.2} ms, worst request {:.3} ms, {each:.2} us per request and response",
         worst_list.as_secs_f64() * 1e3,
-        worst_ask.as_secs_f64() * 1e3
+        worst_request.as_secs_f64() * 1e3
     );
     Ok(())
 }
--- a/crates/policy/tests/size.rs
+++ b/crates/policy/tests/size.rs
@@ -1,4 +1,4 @@
-//! The cap on the module that decides.
+//! The size limit of the decision module.
 
 /// The files that `deploy/balancer.toml` names as the policy.
 const FILES: [(&str, &str); 7] = [
@@ -27,7 +27,7 @@
     );
 }
 
-/// A file that decides and is not counted would be a way round the cap.
+/// Otherwise a decision file that is not counted could evade the limit.
 #[test]
 fn all_of_its_files_are_named_in_deploy() {
     let deploy = include_str!("../../../deploy/balancer.toml");
