--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -39,7 +39,7 @@
     ring_changed: bool,         // Whether the ring has changed since the subset was chosen.
     unplaced: Vec<ServerId>,    // Servers without a turn yet.
     turns: PriorityMap<ServerId>, // Next turns of the servers that may be ready.
-    deferred: DeferredSet<ServerId>, // The others, until a time or a fleet factor at which each may be.
+    deferred: DeferredSet<ServerId>, // The others, until a time or a throttle at which each may be.
     ejected: BTreeSet<ServerId>, // The ejected servers of the subset.
     probe_due: PriorityMap<ServerId>, // When each of these is probed, without those being probed now.
     cold: BTreeSet<ServerId>,   // Servers of the subset that are cold, or were when their turn was set.
@@ -79,7 +79,7 @@
     turn: f64,                     // Its next turn; the rotation takes the lowest.
     turn_warmth: f64,              // Its warmth when the turn was set.
     open: Vec<(RequestId, usize)>, // This node's attempts: request, attempt number.
-    limit: f64,                    // Limit of in-flight attempts while the fleet factor is 1 or more.
+    limit: f64,                    // Limit of in-flight attempts while the throttle is 1 or more.
     last_sent: Millis,
     last_duration: Millis, // How long its last response took.
     consecutive_failures: u32,
@@ -112,7 +112,7 @@
     zone: u64,
     cell: u64,
     sent: Millis,
-    at_limit: bool, // The server was at half its limit or more, or sent to within twice its send interval.
+    at_limit: bool, // The server was at half its limit or more, or sent to within twice its pause.
     alone: bool,    // The server had no other attempt of this node.
     outcome: Option<Outcome>, // `None` while in flight.
 }
@@ -168,9 +168,9 @@
         }
     }
 
-    /// Limit of this node's in-flight attempts, with the fleet factor and the minimum applied.
-    fn allowed(&self, fleet_factor: f64, min: f64) -> f64 {
-        (self.limit * fleet_factor.min(1.0)).max(min)
+    /// Limit of this node's in-flight attempts, with the throttle and the minimum applied.
+    fn allowed(&self, throttle: f64, min: f64) -> f64 {
+        (self.limit * throttle.min(1.0)).max(min)
     }
 
     /// The least fraction of its capacity that it has, by the time since its start.
@@ -185,7 +185,7 @@
 }
 
 impl Balancer {
-    /// Creates the module of a node. `seed` of its random numbers should differ from node to node.
+    /// Creates the module of a node. The `seed` of its random numbers should differ from node to node.
     ///
     /// # Errors
     /// Invalid settings; see [`Settings::validate`].
--- a/crates/policy/src/balance/ejection.rs
+++ b/crates/policy/src/balance/ejection.rs
@@ -53,7 +53,7 @@
         }
         if outcome == Outcome::Done {
             // Only a process that was down is cold. If slow ones counted as cold, an overload that ejects
-            // each server once would put the whole fleet on cold budgets. Each return counts, as the list may
+            // each server once would put the whole fleet on cold budgets. Set at each return, as the list may
             // report a start late or never.
             if server.down {
                 (server.returned_at, server.baseline, server.initial_offset) = (Some(now), served, offset);
--- a/crates/policy/src/balance/limits.rs
+++ b/crates/policy/src/balance/limits.rs
@@ -13,8 +13,8 @@
 const LIMITS: (f64, f64) = (8.0, 0.05); // Initial and least limit of all nodes together on one server.
 /// Initial limit where that is below 1 per node: many nodes that send at once overload a server unnoticed.
 const SPACED_LIMIT: f64 = 5.0;
-const FLEET_FACTOR_MIN: f64 = 0.25; // Leaves enough responses to notice a recovery.
-const FLEET_FACTOR_MAX: f64 = 2.0; // Above 1, so that a few late responses have no effect.
+const THROTTLE_MIN: f64 = 0.25; // Leaves enough responses to notice a recovery.
+const THROTTLE_MAX: f64 = 2.0; // Above 1, so that a few late responses have no effect.
 
 impl Balancer {
     pub(super) fn initial_limit(&self) -> f64 {
@@ -52,9 +52,9 @@
         // own. One late response for every two well in time means that too much is in flight.
         let step = LIMIT_GAIN * (LATE - PACE_TARGET) / (self.subset.len().max(1) as f64).sqrt();
         if pace >= 1.0 {
-            self.throttle = (self.throttle * (-2.0 * step).exp()).max(FLEET_FACTOR_MIN);
+            self.throttle = (self.throttle * (-2.0 * step).exp()).max(THROTTLE_MIN);
         } else if pace <= PACE_TARGET {
-            self.throttle = (self.throttle * step.exp()).min(FLEET_FACTOR_MAX);
+            self.throttle = (self.throttle * step.exp()).min(THROTTLE_MAX);
         }
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.last_duration = took;
--- a/crates/policy/src/balance/list.rs
+++ b/crates/policy/src/balance/list.rs
@@ -29,8 +29,8 @@
             self.apply_entry(entry);
         }
         self.update_ring(&touched, full);
-        // Minimum limits and longest send intervals add up over the nodes that share a server: unscaled, the
-        // attempts by which many nodes check a slow server would alone keep it from recovering.
+        // Minimum limits and longest pauses add up over the nodes that share a server: unscaled, the attempts
+        // by which many nodes check a slow server would alone keep it from recovering.
         self.contention = (self.nodes_per_server() / NODES_PER_SERVER as f64).max(1.0);
         let limit = self.initial_limit();
         for id in touched {
@@ -51,7 +51,7 @@
     fn apply_entry(&mut self, mut entry: ServerEntry) {
         let usable = entry.weight.is_finite() && entry.weight > 0.0;
         entry.weight = if usable { entry.weight.clamp(WEIGHTS.0, WEIGHTS.1) } else { 1.0 };
-        // The turns that it was skipped for so far are made up for by its old size.
+        // Turns skipped so far count by its old size.
         self.resume(entry.server);
         let classes = self.cfg.classes.len();
         let known = self.servers.contains_key(&entry.server);
@@ -98,7 +98,7 @@
         }
         if changed {
             self.ring_changed = true;
-            // Limits and send intervals depend on the number of servers.
+            // Limits and pauses depend on the number of servers.
             for id in self.deferred.iter().collect::<Vec<ServerId>>() {
                 self.resume(id);
             }
@@ -116,7 +116,7 @@
         (self.cfg.nodes * self.subset_size(up)) as f64 / up as f64
     }
 
-    /// The server of a rank in this node's order of preference. Nodes start at evenly spaced places of the
+    /// The server at a rank in this node's order of preference. Nodes start at evenly spaced places of the
     /// ring and prefer what follows: their subsets cover the fleet evenly without coordination.
     fn preferred(&self, rank: usize) -> ServerId {
         let count = self.ring.len();
--- a/crates/policy/src/balance/overload.rs
+++ b/crates/policy/src/balance/overload.rs
@@ -89,7 +89,7 @@
         aim * if lasting { MAX_WAIT.1 } else { MAX_WAIT.0 }
     }
 
-    /// When the response to a queued request is due to be of use, given until when it may be sent.
+    /// Latest useful time for the response to a queued request, by when it may still be sent.
     fn queue_deadline(&self, r: &Request) -> Millis {
         let dedup_end = r.dedup_end(&self.cfg.classes[r.class], &self.cfg.limits);
         self.useful_until(r).min(dedup_end + self.classes[r.class].mean)
@@ -141,7 +141,7 @@
         self.queued_since = if self.queue.is_empty() { None } else { self.queued_since.or(Some(self.now)) };
     }
 
-    /// The newest request of a group that may be sent to this server; one check does for all never sent.
+    /// The newest request of a group that may be sent to this server. Of those never sent one stands for all.
     fn next_queued(&self, group: &QueueGroup, to: &Server) -> Option<(ArrivalOrder, RequestId)> {
         let checked = if group.3 { 1 } else { usize::MAX };
         self.queue.newest_first(group).take(checked).find(|(_, id)| self.may_send_to(*id, to))
--- a/crates/policy/src/balance/turns.rs
+++ b/crates/policy/src/balance/turns.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-const SLOW_START_SHARE: f64 = 0.5; // Fraction of the cold budget used, for chance and uneven nodes.
-const REFUSAL_WEIGHT: f64 = 0.2; // Weight of a refusal where no warm server answers: it returns.
+const SLOW_START_SHARE: f64 = 0.5; // Used part of the cold budget; the rest is for chance and uneven nodes.
+const REFUSAL_WEIGHT: f64 = 0.2; // Weight of a refusal while no warm server answers; its client retries.
 const WARM_UP_MAX: usize = 64; // Cold servers whose turns one event updates.
 const STEPS_MAX: f64 = 4096.0; // Turns made up for one by one; more are added in one step.
-const FACTOR_AHEAD: f64 = 1.125; // Rise of the fleet factor after which a pausing server is checked.
+const THROTTLE_AHEAD: f64 = 1.125; // Rise of the throttle after which a pausing server is checked.
 const ROUNDING: f64 = 1e-6; // How much earlier, in ms or relative, to check, against rounding.
 
 impl Balancer {
@@ -45,25 +45,25 @@
             }
             passing
         });
-        for (id, (at, factor)) in not_ready {
+        for (id, (at, throttle)) in not_ready {
             self.turns.remove(id);
-            self.deferred.defer(id, at, factor);
+            self.deferred.defer(id, at, throttle);
         }
         found
     }
 
-    /// The earliest time and the least fleet factor at which a server that is not ready may be.
+    /// The earliest time and the least throttle at which a server that is not ready may be.
     fn ready_from(&self, server: &Server) -> (Millis, f64) {
         if server.ejected.is_some() {
             return (f64::INFINITY, f64::INFINITY);
         }
         if server.open.is_empty() {
-            // Pausing: for less time the higher the fleet factor is.
-            let factor = self.throttle.min(1.0);
+            // Pausing: for less time the higher the throttle is.
+            let throttle = self.throttle.min(1.0);
             let pause_end = |f: f64| server.last_sent + self.pause(server, f) - ROUNDING;
             let from = |f: f64| (pause_end(f), f * (1.0 + f64::EPSILON));
-            let ahead = from(factor * FACTOR_AHEAD);
-            return if ahead.0 > self.now { ahead } else { from(factor) };
+            let ahead = from(throttle * THROTTLE_AHEAD);
+            return if ahead.0 > self.now { ahead } else { from(throttle) };
         }
         // At its limit: resumed by the end of an attempt or a higher limit.
         let needed = server.open.len() as f64 + 1.0;
@@ -156,16 +156,16 @@
 
     /// Pause between sends to a server with a limit below 1, so that on average no more is in flight than the
     /// limit; short enough to notice a recovery.
-    pub(super) fn pause(&self, server: &Server, factor: f64) -> Millis {
+    pub(super) fn pause(&self, server: &Server, throttle: f64) -> Millis {
         let max = self.cfg.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
-        (server.last_duration / server.allowed(factor, self.min_limit())).min(max * self.contention)
+        (server.last_duration / server.allowed(throttle, self.min_limit())).min(max * self.contention)
     }
 
     /// Rule 4: what all nodes send to a cold server in one window must stay below a multiple of its present
     /// capacity. Each node sends it a fraction of what it sees a warm server answer, counted in requests, not
     /// in time: this adds up to the same fraction for any number of nodes, however new they are and little
-    /// they see. The first send has a random delay, or all nodes would send as soon as they hear of the
-    /// server; a single node needs none.
+    /// they see. The first send has a random delay, which spreads the sends of nodes that learn of the server
+    /// together; a single node needs none.
     fn within_slow_start(&self, to: &Server) -> bool {
         let warmth = to.warmth(self.now, &self.cfg.rules);
         let share = SLOW_START_SHARE * self.cfg.rules.fall_multiple * warmth;
