--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use magpietally_transport::{Kind, Name, Now, Outgoing, Peer, Room};
+use magpietally_transport::{Kind, Name, Now, Outgoing, Peer, Protocol};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -572,7 +572,7 @@
     }
 }
 
-impl Room for Node {
+impl Protocol for Node {
     fn on_message(&mut self, now: Now, from: &Peer, bytes: &[u8]) {
         let wire = match decode(bytes) {
             Ok(wire) if self.diverged_at.is_none() => wire,
--- a/crates/consensus/src/sim/scenarios.rs
+++ b/crates/consensus/src/sim/scenarios.rs
@@ -169,7 +169,9 @@
         }
         // Messages that report other entries at an index make a node stop on purpose; they are not sent here.
         if !matches!(bytes.get(1), Some(4 | 5)) {
-            fleet.world.act(0, |node, now| magpietally_transport::Room::on_message(node, now, &from, &bytes));
+            fleet
+                .world
+                .act(0, |node, now| magpietally_transport::Protocol::on_message(node, now, &from, &bytes));
         }
     }
     let after = fleet.world.room(0).expect("node is running").node.status().dropped;
@@ -188,7 +190,7 @@
         name: fleet.names[1].clone(),
         session: magpietally_transport::Session(1),
     };
-    fleet.world.act(3, |node, now| magpietally_transport::Room::on_message(node, now, &from, &bytes));
+    fleet.world.act(3, |node, now| magpietally_transport::Protocol::on_message(node, now, &from, &bytes));
     let status = fleet.world.room(3).expect("node is running").node.status();
     assert_eq!((status.diverged_at, status.no_vote), (Some(index), Some(NoVoteReason::Broken)));
     assert!(!fleet.propose(3, vec![1]), "rejects proposals");
--- a/crates/consensus/testing/test_node.rs
+++ b/crates/consensus/testing/test_node.rs
@@ -7,7 +7,7 @@
 
 use magpietally_consensus::check::{Observation, Record};
 use magpietally_consensus::{DecidedEntry, Index, Node, Ready, Settings, Topic, Write};
-use magpietally_transport::{Now, Outgoing, Peer, Room};
+use magpietally_transport::{Now, Outgoing, Peer, Protocol};
 
 /// Content of a disk, and whether it is full.
 #[derive(Clone, Debug, Default)]
@@ -169,7 +169,7 @@
     }
 }
 
-impl Room for TestNode {
+impl Protocol for TestNode {
     fn on_message(&mut self, now: Now, from: &Peer, bytes: &[u8]) {
         self.node.on_message(now, from, bytes);
         self.run_until_idle(now);
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -23,7 +23,7 @@
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
 }
 
-impl magpietally_transport::Room for Named {
+impl magpietally_transport::Protocol for Named {
     fn on_message(&mut self, now: Now, _from: &Peer, bytes: &[u8]) {
         self.room.on_datagram(now.boot, bytes);
     }
--- a/crates/simnet/examples/speed.rs
+++ b/crates/simnet/examples/speed.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_simnet::{Clocks, Faults, Limits, World};
-use magpietally_transport::{Kind, Name, Now, Outgoing, Peer, Room};
+use magpietally_transport::{Kind, Name, Now, Outgoing, Peer, Protocol};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -22,7 +22,7 @@
     out: Option<Outgoing>,
 }
 
-impl Room for Sender {
+impl Protocol for Sender {
     fn on_message(&mut self, _now: Now, _from: &Peer, _bytes: &[u8]) {}
 
     fn tick(&mut self, now: Now) {
--- a/crates/simnet/src/tests/worlds.rs
+++ b/crates/simnet/src/tests/worlds.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use magpietally_transport::{Kind, Now, Outgoing, Peer, Room};
+use magpietally_transport::{Kind, Now, Outgoing, Peer, Protocol};
 
 use super::check::*;
 use crate::{Clocks, Faults, Limits, World};
@@ -30,7 +30,7 @@
     }
 }
 
-impl Room for Talker {
+impl Protocol for Talker {
     fn on_message(&mut self, now: Now, from: &Peer, bytes: &[u8]) {
         self.calls.push(false);
         self.heard.push((now, from.clone(), u64::from_be_bytes(bytes.try_into().expect("eight bytes"))));
@@ -176,7 +176,7 @@
 #[test]
 fn a_room_that_is_always_due_does_not_stop_time() {
     struct Always(u64);
-    impl Room for Always {
+    impl Protocol for Always {
         fn on_message(&mut self, _: Now, _: &Peer, _: &[u8]) {}
         fn tick(&mut self, _: Now) {
             self.0 += 1;
--- a/crates/simnet/src/world.rs
+++ b/crates/simnet/src/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use magpietally_transport::{Event, Name, Now, Peer, Room, SendError};
+use magpietally_transport::{Event, Name, Now, Peer, Protocol, SendError};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -34,7 +34,7 @@
 type Tick = std::cmp::Reverse<(Duration, usize)>;
 
 /// Rooms on a network. Nodes are numbered from 0 in the order they were added; a number never given out panics.
-pub struct World<R: Room> {
+pub struct World<R: Protocol> {
     net: Net,
     nodes: Vec<Node<R>>,
     /// May hold ticks that were put off or brought forward since; a node's `next_tick` says which one counts.
@@ -44,7 +44,7 @@
     trace: Trace,
 }
 
-impl<R: Room> World<R> {
+impl<R: Protocol> World<R> {
     /// No nodes yet; the true wall clock shows `epoch_ms` (Unix time in milliseconds) at the network's time zero.
     pub fn new(seed: u64, faults: Faults, limits: Limits, epoch_ms: u64) -> Self {
         Self {
@@ -200,7 +200,7 @@
         self.net.counts(i)
     }
 
-    /// Messages whose loss streams told the node; a [`Room`] has no call to hear of it.
+    /// Messages whose loss streams told the node; a [`Protocol`] has no call to hear of it.
     pub fn told_lost(&self, i: usize) -> u64 {
         self.nodes[i].lost
     }
@@ -302,7 +302,7 @@
 
     fn send_all(&mut self, i: usize) {
         for _ in 0..OUTGOING_MAX {
-            let Some(out) = self.nodes[i].room.as_mut().and_then(Room::take_outgoing) else { return };
+            let Some(out) = self.nodes[i].room.as_mut().and_then(Protocol::take_outgoing) else { return };
             // What the network refuses it counts; a room hears of no such error from any carrier.
             let _ = self.net.send(i, &out.to, out.kind, out.bytes);
         }
@@ -314,7 +314,7 @@
         if node.paused {
             return;
         }
-        let due = node.room.as_ref().and_then(Room::next_due).map(|boot| {
+        let due = node.room.as_ref().and_then(Protocol::next_due).map(|boot| {
             let least = node.last_tick.map_or(now, |last| last + TICK_LEAST);
             node.clocks.when(boot).max(now).max(least)
         });
--- a/crates/transport/src/room.rs
+++ b/crates/transport/src/protocol.rs
@@ -35,14 +35,14 @@
 }
 
 /// One subsystem of one node: no I/O, no clock, no thread. Same calls, same results.
-pub trait Room {
+pub trait Protocol {
     /// Takes one message that came at `now`.
     fn on_message(&mut self, now: Now, from: &Peer, bytes: &[u8]);
 
     /// Does what is due at `now`.
     fn tick(&mut self, now: Now);
 
-    /// When [`Room::tick`] has something to do next, by the boot clock.
+    /// When [`Protocol::tick`] has something to do next, by the boot clock.
     fn next_due(&self) -> Option<Duration>;
 
     /// The next message to send. A carrier takes all of them after each call above.
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -13,7 +13,7 @@
 use magpietally_store::{Log, Store, StoreError};
 use magpietally_transport::tcp::Tcp;
 use magpietally_transport::udp::Udp;
-use magpietally_transport::{Event, Kind, Now, Room, Transport};
+use magpietally_transport::{Event, Kind, Now, Protocol, Transport};
 
 use super::clock;
 use super::gate::{Line, Shared};
