--- a/crates/contracts/src/transport/clauses.rs
+++ b/crates/contracts/src/transport/clauses.rs
@@ -55,7 +55,7 @@
 
 fn both_ways<R: Rig>(w: &mut World<'_, R>) -> Played {
     w.begin(&[0, 1]);
-    let most = w.promise.largest.min(600);
+    let most = w.promise.message_max_bytes.min(600);
     for i in 0..100 {
         for (from, to) in [(0, 1), (1, 0)] {
             // A full queue is a told drop; on this way the message simply was not sent.
@@ -83,7 +83,7 @@
 
 fn largest<R: Rig>(w: &mut World<'_, R>) -> Played {
     w.begin(&[0, 1]);
-    let size = w.promise.largest;
+    let size = w.promise.message_max_bytes;
     w.heard(Clause::LargestPasses, 0, 1, size)?;
     w.heard(Clause::LargestPasses, 1, 0, size)?;
     Ok(true)
@@ -92,7 +92,7 @@
 fn oversized<R: Rig>(w: &mut World<'_, R>) -> Played {
     w.begin(&[0, 1]);
     w.heard(Clause::BothWays, 0, 1, 40)?;
-    let most = w.promise.largest;
+    let most = w.promise.message_max_bytes;
     for size in [most + 1, 2 * most + 1] {
         match w.send(0, 1, size) {
             Err(SendError::TooLarge { size: s, most: m }) if s == size && m == most => {}
@@ -114,7 +114,7 @@
 
 fn full<R: Rig>(w: &mut World<'_, R>) -> Played {
     w.begin(&[0]);
-    let most = w.promise.waiting;
+    let most = w.promise.queue_capacity;
     let mut taken = 0;
     // On streams the peer is not there: all wait. Datagrams may be gone at once; they may only be refused as full.
     for _ in 0..2 * most + 1 {
@@ -143,7 +143,7 @@
     w.begin(&[0, 1, 2]);
     w.heard(Clause::BothWays, 0, 1, 40)?;
     w.stalled = Some(1);
-    let bound = w.promise.waiting + w.rig.under_way();
+    let bound = w.promise.queue_capacity + w.rig.under_way();
     let (mut taken, mut refused) = (0, 0);
     // Full for a while on end: whatever could move on has moved on.
     w.until(Clause::SlowAlone, "a peer that does not read was never told as full", |w, _| {
--- a/crates/contracts/src/transport/world.rs
+++ b/crates/contracts/src/transport/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use magpietally_transport::{Event, Kind, Promise, SendError, Session};
+use magpietally_transport::{Capabilities, Event, Kind, SendError, Session};
 
 use super::book::{broken, Book};
 use super::{name_of, Broken, Clause, Rig};
@@ -16,7 +16,7 @@
 pub struct World<'r, R: Rig> {
     pub rig: &'r mut R,
     pub book: Book,
-    pub promise: Promise,
+    pub promise: Capabilities,
     running: BTreeMap<usize, Session>,
     started: BTreeMap<usize, BTreeSet<Session>>,
     /// A node that is not polled.
@@ -27,8 +27,8 @@
     pub fn new(rig: &'r mut R) -> Self {
         // The promise is asked of an end, so one is started for it.
         let session = rig.start(0);
-        let mut promise = Promise { kind: Kind::Datagram, largest: 0, waiting: 0 };
-        rig.at(0, &mut |end, _| promise = end.promise());
+        let mut promise = Capabilities { kind: Kind::Datagram, message_max_bytes: 0, queue_capacity: 0 };
+        rig.at(0, &mut |end, _| promise = end.capabilities());
         rig.kill(0);
         let book = Book::new(promise.kind);
         let started = BTreeMap::from([(0, BTreeSet::from([session]))]);
--- a/crates/contracts/tests/memory/mod.rs
+++ b/crates/contracts/tests/memory/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use magpietally_contracts::transport::{name_of, Rig};
-use magpietally_transport::{Event, Kind, Name, Peer, Promise, SendError, Session, Transport};
+use magpietally_transport::{Capabilities, Event, Kind, Name, Peer, SendError, Session, Transport};
 
 pub const LARGEST: usize = 2000;
 pub const WAITING: usize = 8;
@@ -90,8 +90,8 @@
         &self.me
     }
 
-    fn promise(&self) -> Promise {
-        Promise { kind: Kind::Stream, largest: LARGEST, waiting: WAITING }
+    fn capabilities(&self) -> Capabilities {
+        Capabilities { kind: Kind::Stream, message_max_bytes: LARGEST, queue_capacity: WAITING }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
--- a/crates/simnet/src/faults.rs
+++ b/crates/simnet/src/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use magpietally_transport::{Kind, Promise};
+use magpietally_transport::{Capabilities, Kind};
 
 /// What a network, or one link of it, does to every message.
 ///
@@ -71,11 +71,11 @@
 
 impl Limits {
     /// What a transport of `kind` with these limits states of itself.
-    pub fn promise(&self, kind: Kind) -> Promise {
+    pub fn promise(&self, kind: Kind) -> Capabilities {
         let largest = match kind {
             Kind::Datagram => self.datagram,
             Kind::Stream => self.message,
         };
-        Promise { kind, largest, waiting: self.waiting }
+        Capabilities { kind, message_max_bytes: largest, queue_capacity: self.waiting }
     }
 }
--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -306,7 +306,7 @@
         if !self.runs(from) {
             return Err(SendError::Closed(format!("{} does not run", self.nodes[from].name)));
         }
-        let most = self.limits.promise(kind).largest;
+        let most = self.limits.promise(kind).message_max_bytes;
         if bytes.len() > most {
             return Err(SendError::TooLarge { size: bytes.len(), most });
         }
--- a/crates/simnet/src/port.rs
+++ b/crates/simnet/src/port.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use magpietally_transport::{Event, Kind, Name, Peer, Promise, SendError, Transport};
+use magpietally_transport::{Capabilities, Event, Kind, Name, Peer, SendError, Transport};
 
 use crate::net::Net;
 
@@ -57,7 +57,7 @@
         &self.me
     }
 
-    fn promise(&self) -> Promise {
+    fn capabilities(&self) -> Capabilities {
         lock(&self.net).limits.promise(self.kind)
     }
 
--- a/crates/simnet/src/tests/ports.rs
+++ b/crates/simnet/src/tests/ports.rs
@@ -13,7 +13,7 @@
     let mut a = Port::open(&net, &name(0), Kind::Stream).expect("place");
     let mut b = Port::open(&net, &name(1), Kind::Stream).expect("place");
     let mut datagrams = b.beside(Kind::Datagram);
-    assert_eq!(a.promise(), Limits::default().promise(Kind::Stream));
+    assert_eq!(a.capabilities(), Limits::default().promise(Kind::Stream));
     a.beside(Kind::Datagram).send(&name(1), b"datagram").expect("taken");
     a.send(&name(1), b"stream").expect("taken");
     let from = a.me().clone();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,4 +22,4 @@
 
 pub use name::{Name, NameError, NAME_MAX};
 pub use protocol::{Now, Outgoing, Protocol};
-pub use transport::{Event, Kind, Peer, Promise, SendError, Session, Transport};
+pub use transport::{Capabilities, Event, Kind, Peer, SendError, Session, Transport};
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::envelope::Fleet;
 use crate::name::Name;
-use crate::transport::{Event, Kind, Peer, Promise, SendError, Transport};
+use crate::transport::{Capabilities, Event, Kind, Peer, SendError, Transport};
 pub use shared::Counts;
 use shared::Shared;
 
@@ -194,9 +194,9 @@
         &self.shared.me
     }
 
-    fn promise(&self) -> Promise {
+    fn capabilities(&self) -> Capabilities {
         let s = &self.shared.settings;
-        Promise { kind: Kind::Stream, largest: s.largest, waiting: s.waiting }
+        Capabilities { kind: Kind::Stream, message_max_bytes: s.largest, queue_capacity: s.waiting }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
--- a/crates/transport/src/transport.rs
+++ b/crates/transport/src/transport.rs
@@ -38,13 +38,13 @@
 
 /// What a transport states of itself, for the contracts to hold it to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Promise {
+pub struct Capabilities {
     /// Which kind it is.
     pub kind: Kind,
     /// The largest message it takes, in bytes; a larger one is refused and never cut.
-    pub largest: usize,
+    pub message_max_bytes: usize,
     /// Messages that may wait for one peer; past that [`SendError::Full`] tells the sender.
-    pub waiting: usize,
+    pub queue_capacity: usize,
 }
 
 /// What comes of a transport.
@@ -116,7 +116,7 @@
     fn me(&self) -> &Peer;
 
     /// What it states of itself.
-    fn promise(&self) -> Promise;
+    fn capabilities(&self) -> Capabilities;
 
     /// Takes a message for `to`, which need not be there. Taken is not arrived.
     ///
--- a/crates/transport/src/udp.rs
+++ b/crates/transport/src/udp.rs
@@ -12,7 +12,7 @@
 use crate::sessions::{
     Seen, Sessions, MISPLACED, OLDER, OTHER_FLEET, OTHER_NODE, OWN_NAME, PEERS_MOST, TOO_MANY,
 };
-use crate::transport::{Event, Kind, Peer, Promise, SendError, Transport};
+use crate::transport::{Capabilities, Event, Kind, Peer, SendError, Transport};
 
 /// The largest datagram, envelope and all, in bytes: within one Ethernet frame, so that none is fragmented.
 pub const DATAGRAM_MAX: usize = 1400;
@@ -193,8 +193,8 @@
         &self.me
     }
 
-    fn promise(&self) -> Promise {
-        Promise { kind: Kind::Datagram, largest: LARGEST, waiting: WAITING }
+    fn capabilities(&self) -> Capabilities {
+        Capabilities { kind: Kind::Datagram, message_max_bytes: LARGEST, queue_capacity: WAITING }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
