--- a/crates/contracts/src/transport/clauses.rs
+++ b/crates/contracts/src/transport/clauses.rs
@@ -95,7 +95,7 @@
     let most = w.promise.message_max_bytes;
     for size in [most + 1, 2 * most + 1] {
         match w.send(0, 1, size) {
-            Err(SendError::TooLarge { size: s, most: m }) if s == size && m == most => {}
+            Err(SendError::TooLarge { size: s, max: m }) if s == size && m == most => {}
             // What was taken comes whole, cut or not at all: all three break the promise, a cut is the worst.
             Ok(_) => {
                 w.settle()?;
@@ -120,7 +120,7 @@
     for _ in 0..2 * most + 1 {
         match w.send(0, 1, 40) {
             Ok(_) => taken += 1,
-            Err(SendError::Full { to, most: told }) if to == name_of(1) && told == most => break,
+            Err(SendError::Full { to, max: told }) if to == name_of(1) && told == most => break,
             Err(e) => return broken(Clause::FullTold, format!("after {taken} messages: {e}")),
         }
     }
--- a/crates/contracts/tests/memory/mod.rs
+++ b/crates/contracts/tests/memory/mod.rs
@@ -101,7 +101,7 @@
         let mut message = message.to_vec();
         if message.len() > most {
             if fault != Fault::CutsTheOversized {
-                return Err(SendError::TooLarge { size: message.len(), most });
+                return Err(SendError::TooLarge { size: message.len(), max: most });
             }
             message.truncate(most);
         }
@@ -118,7 +118,7 @@
             match fault {
                 Fault::LosesOnFull => return Ok(()),
                 Fault::QueuesWithoutEnd => {}
-                _ => return Err(SendError::Full { to: to.clone(), most: WAITING }),
+                _ => return Err(SendError::Full { to: to.clone(), max: WAITING }),
             }
         }
         if !(fault == Fault::SwallowsTheEmpty && message.is_empty()) {
--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -308,7 +308,7 @@
         }
         let most = self.limits.promise(kind).message_max_bytes;
         if bytes.len() > most {
-            return Err(SendError::TooLarge { size: bytes.len(), most });
+            return Err(SendError::TooLarge { size: bytes.len(), max: most });
         }
         let peer = self.index(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
         let most = self.limits.waiting;
@@ -318,7 +318,7 @@
             Kind::Stream => link.out.as_ref().map_or(0, |o| o.waiting()),
         };
         if waiting >= most || self.flights.len() >= ON_THEIR_WAY_MAX {
-            return Err(SendError::Full { to: to.clone(), most });
+            return Err(SendError::Full { to: to.clone(), max: most });
         }
         let (session, bytes) = (self.nodes[from].session, Arc::new(bytes));
         match kind {
--- a/crates/simnet/src/tests/datagrams.rs
+++ b/crates/simnet/src/tests/datagrams.rs
@@ -102,7 +102,7 @@
     let mut p = Pair::bounded(Kind::Datagram, 1, Faults::default(), limits);
     p.net.hold(0, 1);
     p.send_many(10);
-    assert_eq!(p.send(), Err(SendError::Full { to: name(1), most: 10 }));
+    assert_eq!(p.send(), Err(SendError::Full { to: name(1), max: 10 }));
     p.run(60 * S);
     assert_eq!(p.numbers().len(), 0);
     p.net.release(0, 1);
@@ -154,7 +154,7 @@
     let mut p = pair(Faults::default());
     let largest = Limits::default().datagram;
     let mut send = |from, to, size| p.net.send(from, &name(to), Kind::Datagram, vec![0; size]);
-    assert_eq!(send(0, 1, largest + 1), Err(SendError::TooLarge { size: largest + 1, most: largest }));
+    assert_eq!(send(0, 1, largest + 1), Err(SendError::TooLarge { size: largest + 1, max: largest }));
     assert_eq!(send(0, 1, largest), Ok(()));
     assert_eq!(send(0, 5, 1), Err(SendError::Unknown(name(5))));
     p.net.kill(0);
--- a/crates/simnet/src/tests/streams.rs
+++ b/crates/simnet/src/tests/streams.rs
@@ -149,7 +149,7 @@
 fn a_reader_that_does_not_read_fills_the_queues_and_the_sender_is_told() {
     let limits = Limits { waiting: 8, ..Limits::default() };
     let mut p = Pair::bounded(Kind::Stream, 1, Faults::default(), limits);
-    let full = Err(SendError::Full { to: name(1), most: 8 });
+    let full = Err(SendError::Full { to: name(1), max: 8 });
     p.send_many(8);
     p.run_unread(S);
     // The reader's kernel holds eight; eight more wait at the sender.
--- a/crates/transport/src/tcp/shared.rs
+++ b/crates/transport/src/tcp/shared.rs
@@ -169,7 +169,7 @@
     pub fn send(&self, to: &Name, message: &[u8]) -> Result<(), SendError> {
         let most = self.settings.largest;
         if message.len() > most {
-            return Err(SendError::TooLarge { size: message.len(), most });
+            return Err(SendError::TooLarge { size: message.len(), max: most });
         }
         let mut s = self.state();
         if let Some(why) = &s.ended {
@@ -178,7 +178,7 @@
         let full = s.waiting_bytes + message.len() > self.settings.waiting_bytes;
         let out = s.out.get_mut(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
         if full || out.waiting.len() >= self.settings.waiting {
-            return Err(SendError::Full { to: to.clone(), most: self.settings.waiting });
+            return Err(SendError::Full { to: to.clone(), max: self.settings.waiting });
         }
         out.waiting.push_back(message.to_vec());
         out.wake.notify_one();
--- a/crates/transport/src/transport.rs
+++ b/crates/transport/src/transport.rs
@@ -80,7 +80,7 @@
         /// Its size in bytes.
         size: usize,
         /// The most that is carried.
-        most: usize,
+        max: usize,
     },
     /// No peer of this name is known.
     Unknown(Name),
@@ -89,7 +89,7 @@
         /// For whom.
         to: Name,
         /// How many may wait.
-        most: usize,
+        max: usize,
     },
     /// The transport is at its end (closed, its socket broken).
     Closed(String),
@@ -98,11 +98,11 @@
 impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge { size, most } => {
-                write!(f, "a message of {size} bytes, at most {most} are carried")
+            Self::TooLarge { size, max } => {
+                write!(f, "a message of {size} bytes, at most {max} are carried")
             }
             Self::Unknown(name) => write!(f, "no node named {name} is known"),
-            Self::Full { to, most } => write!(f, "{most} messages wait for {to} already"),
+            Self::Full { to, max } => write!(f, "{max} messages wait for {to} already"),
             Self::Closed(why) => write!(f, "the transport has ended: {why}"),
         }
     }
--- a/crates/transport/src/udp.rs
+++ b/crates/transport/src/udp.rs
@@ -199,11 +199,11 @@
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
         if message.len() > LARGEST {
-            return Err(SendError::TooLarge { size: message.len(), most: LARGEST });
+            return Err(SendError::TooLarge { size: message.len(), max: LARGEST });
         }
         let known = self.peers.get_mut(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
         if known.waiting.len() >= WAITING || self.waiting >= WAITING_ALL {
-            return Err(SendError::Full { to: to.clone(), most: WAITING });
+            return Err(SendError::Full { to: to.clone(), max: WAITING });
         }
         let head = Head {
             fleet: self.fleet,
--- a/crates/transport/tests/carriers.rs
+++ b/crates/transport/tests/carriers.rs
@@ -88,7 +88,7 @@
     assert_eq!(b.counts().received, 0);
     assert_eq!(
         a.send(&name("gone"), &[0; LARGEST + 1]),
-        Err(SendError::TooLarge { size: LARGEST + 1, most: LARGEST })
+        Err(SendError::TooLarge { size: LARGEST + 1, max: LARGEST })
     );
 
     let (mut a, mut b) = (tcp("a", quick()), tcp("b", quick()));
@@ -183,7 +183,7 @@
     }
     assert_eq!(end.send(&name("b"), &[0; 1000]), Ok(()));
     assert_eq!(end.send(&name("c"), &[0; 1000]), Ok(()));
-    assert_eq!(end.send(&name("d"), &[0; 1000]), Err(SendError::Full { to: name("d"), most: 256 }));
+    assert_eq!(end.send(&name("d"), &[0; 1000]), Err(SendError::Full { to: name("d"), max: 256 }));
     // What is forgotten is told, and its bytes are free again.
     end.forget_peer(&name("b"));
     assert_eq!(end.poll(Duration::ZERO), Some(Event::Lost { to: name("b"), messages: 1 }));
