--- a/crates/contracts/src/transport/book.rs
+++ b/crates/contracts/src/transport/book.rs
@@ -131,7 +131,7 @@
                     return broken(Clause::NothingInvented, format!("a loss to {to}, to whom nothing went"))
                 }
             },
-            Event::Met(peer) => {
+            Event::NewSession(peer) => {
                 let from = self.known(&peer, started, None)?;
                 if let Some(before) = self.met.insert((node, from), peer.session) {
                     if before >= peer.session {
--- a/crates/contracts/tests/memory/mod.rs
+++ b/crates/contracts/tests/memory/mod.rs
@@ -153,7 +153,7 @@
         if known.is_none_or(|k| k < from.session) {
             node.met.insert(from.name.clone(), from.session);
             if !(fault == Fault::HidesRestarts && known.is_some()) {
-                node.inbox.push_back(Event::Met(from.clone()));
+                node.inbox.push_back(Event::NewSession(from.clone()));
             }
         }
         true
--- a/crates/membership/src/answer/tests.rs
+++ b/crates/membership/src/answer/tests.rs
@@ -1,6 +1,6 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use magpietally_transport::{Name, NAME_MAX};
+use magpietally_transport::{Name, NAME_MAX_BYTES};
 
 use super::*;
 use crate::view::{Entry, Liveness};
@@ -10,7 +10,7 @@
     let entry = |n: u16| Entry {
         id: NodeId {
             addr: SocketAddrV4::new(Ipv4Addr::new(127, 100, 100, 100), 10_000 + n),
-            name: Name::new(&format!("{n:0>NAME_MAX$}")).expect("a name"),
+            name: Name::new(&format!("{n:0>NAME_MAX_BYTES$}")).expect("a name"),
             generation: u32::MAX,
         },
         incarnation: u16::MAX,
@@ -47,7 +47,7 @@
         assert_eq!(lines.len(), usize::from(count) + 2, "{count} nodes, the first line and the last");
         assert!(lines[0].starts_with("version ") && lines[lines.len() - 1].starts_with("datagrams: "));
         for (n, line) in lines[1..=usize::from(count)].iter().enumerate() {
-            assert!(line.starts_with(&format!("{n:0>NAME_MAX$} ")), "{count}, {n}: {line}");
+            assert!(line.starts_with(&format!("{n:0>NAME_MAX_BYTES$} ")), "{count}, {n}: {line}");
         }
         assert!(parts <= 1 + usize::from(count) / 400, "{count} nodes in {parts} parts");
     }
@@ -64,7 +64,7 @@
         );
     });
     for n in (0..1024).step_by(3) {
-        let line = format!("{n:0>NAME_MAX$} ");
+        let line = format!("{n:0>NAME_MAX_BYTES$} ");
         assert_eq!(all.lines().filter(|l| l.starts_with(&line)).count(), 1, "{n}");
     }
 }
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -10,7 +10,7 @@
 use foca::{Codec, Header, Member, Message, State};
 
 use crate::id::NodeId;
-use magpietally_transport::{Name, NAME_MAX};
+use magpietally_transport::{Name, NAME_MAX_BYTES};
 
 /// The largest datagram a node sends or takes, in bytes: within one Ethernet frame, so no datagram is fragmented.
 pub const DATAGRAM_MAX: usize = 1400;
@@ -231,7 +231,7 @@
     buf.put_u16(id.addr.port());
     buf.put_u32(id.generation);
     let name = id.name.as_str().as_bytes();
-    // A Name holds at most NAME_MAX (64) bytes, so its length fits a byte.
+    // A Name holds at most NAME_MAX_BYTES (64) bytes, so its length fits a byte.
     buf.put_u8(name.len() as u8);
     buf.put_slice(name);
 }
@@ -242,15 +242,15 @@
     let port = get_u16(buf)?;
     let generation = get_u32(buf)?;
     let len = usize::from(get_u8(buf)?);
-    if len > NAME_MAX {
+    if len > NAME_MAX_BYTES {
         return Err(DecodeError::Field);
     }
-    let mut name = [0u8; NAME_MAX];
+    let mut name = [0u8; NAME_MAX_BYTES];
     take(buf, &mut name[..len])?;
     let name = std::str::from_utf8(&name[..len]).map_err(|_| DecodeError::Field)?;
     Ok(NodeId {
         addr: SocketAddrV4::new(Ipv4Addr::from(ip), port),
-        name: Name::checked(name).map_err(|_| DecodeError::Field)?,
+        name: Name::new_or_empty(name).map_err(|_| DecodeError::Field)?,
         generation,
     })
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -37,7 +37,7 @@
     KIND_QUERY, KIND_VIEW,
 };
 pub use id::NodeId;
-pub use magpietally_transport::{Name, NameError, NAME_MAX};
+pub use magpietally_transport::{Name, NameError, NAME_MAX_BYTES};
 pub use room::{Room, Settings, Stats, LEFT_MAX, OUTBOX_MAX, TIMERS_MAX};
 pub use shares::{divisor, share};
 pub use view::{Counts, Entry, Liveness, View};
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -244,5 +244,5 @@
 
 fn name(i: usize) -> Name {
     // "n" and a number is always a valid name.
-    Name::checked(&format!("n{i}")).unwrap_or_default()
+    Name::new_or_empty(&format!("n{i}")).unwrap_or_default()
 }
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -18,7 +18,7 @@
 //! let mut at_b = Port::open(&net, &b, Kind::Stream).unwrap();
 //! at_a.send(&b, b"salaam").unwrap();
 //! let later = Duration::from_secs(1);
-//! assert_eq!(at_b.poll(later), Some(Event::Met(at_a.me().clone())));
+//! assert_eq!(at_b.poll(later), Some(Event::NewSession(at_a.me().clone())));
 //! assert_eq!(at_b.poll(later), Some(Event::Message { from: at_a.me().clone(), bytes: b"salaam".to_vec() }));
 //! ```
 
--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -385,7 +385,7 @@
                 }
             }
             Event::Lost { messages, .. } => *messages = self.take_lost(i, came.from),
-            Event::Met(_) | Event::Dropped(_) => {}
+            Event::NewSession(_) | Event::Dropped(_) => {}
         }
         Some(came.event)
     }
@@ -439,7 +439,7 @@
         let peer = Peer { name: self.nodes[from].name.clone(), session };
         if news {
             self.link(from, to).met[kind as usize] = session.0;
-            self.put(to, kind, from, Event::Met(peer.clone()));
+            self.put(to, kind, from, Event::NewSession(peer.clone()));
         }
         self.trace.fold(self.now.as_nanos() as u64);
         self.trace.fold((from as u64) << 32 | (to as u64) << 1 | kind as u64);
--- a/crates/simnet/src/tests/check.rs
+++ b/crates/simnet/src/tests/check.rs
@@ -110,8 +110,10 @@
     let mut last = None;
     for event in got {
         match event {
-            Event::Met(peer) if peer.session.0 <= met => return Err(format!("{peer} was met after #{met}")),
-            Event::Met(peer) => (met, last) = (peer.session.0, None),
+            Event::NewSession(peer) if peer.session.0 <= met => {
+                return Err(format!("{peer} was met after #{met}"))
+            }
+            Event::NewSession(peer) => (met, last) = (peer.session.0, None),
             Event::Message { from, bytes } => {
                 if from.session.0 != met {
                     return Err(format!("a message of {from} after #{met} was met"));
--- a/crates/simnet/src/tests/datagrams.rs
+++ b/crates/simnet/src/tests/datagrams.rs
@@ -21,7 +21,7 @@
     let mut numbers = p.numbers();
     numbers.sort_unstable();
     assert_eq!(numbers, (0..100).collect::<Vec<u64>>());
-    assert_eq!(p.got[0], Event::Met(p.net.peer(0)));
+    assert_eq!(p.got[0], Event::NewSession(p.net.peer(0)));
 }
 
 #[test]
--- a/crates/simnet/src/tests/ports.rs
+++ b/crates/simnet/src/tests/ports.rs
@@ -19,16 +19,16 @@
     let from = a.me().clone();
     let message = |bytes: &[u8]| Some(Event::Message { from: from.clone(), bytes: bytes.to_vec() });
     assert_eq!(b.poll(Duration::ZERO), None);
-    assert_eq!(b.poll(S), Some(Event::Met(from.clone())));
+    assert_eq!(b.poll(S), Some(Event::NewSession(from.clone())));
     assert_eq!(b.poll(S), message(b"stream"));
     assert_eq!(b.poll(S), None);
-    assert_eq!(datagrams.poll(S), Some(Event::Met(from.clone())));
+    assert_eq!(datagrams.poll(S), Some(Event::NewSession(from.clone())));
     assert_eq!(datagrams.poll(S), message(b"datagram"));
     assert_eq!(a.send(&name(9), b""), Err(SendError::Unknown(name(9))));
 
     let mut again = Port::open(&net, &name(0), Kind::Stream).expect("place");
     assert_eq!(a.send(&name(1), b"late"), Err(SendError::Closed("n0#1 is over".to_owned())));
     again.send(&name(1), b"anew").expect("taken");
-    assert_eq!(b.poll(2 * S), Some(Event::Met(again.me().clone())));
+    assert_eq!(b.poll(2 * S), Some(Event::NewSession(again.me().clone())));
     assert_eq!(b.poll(2 * S), Some(Event::Message { from: again.me().clone(), bytes: b"anew".to_vec() }));
 }
--- a/crates/simnet/src/tests/streams.rs
+++ b/crates/simnet/src/tests/streams.rs
@@ -62,7 +62,11 @@
     p.send_many(2);
     p.run(S);
     assert_eq!(p.numbers(), [0, 1, 2, 3, 4, 8, 9], "what was lost does not come later");
-    assert_eq!(p.got.iter().filter(|e| matches!(e, Event::Met(_))).count(), 1, "it is the same session");
+    assert_eq!(
+        p.got.iter().filter(|e| matches!(e, Event::NewSession(_))).count(),
+        1,
+        "it is the same session"
+    );
 }
 
 #[test]
@@ -121,8 +125,8 @@
         p.talk(50 * MS);
         p.run(60 * S);
         assert_eq!(check(Kind::Stream, &p.got), Ok(()), "seed {seed}");
-        let met: Vec<&Event> = p.got.iter().filter(|e| matches!(e, Event::Met(_))).collect();
-        assert_eq!(met.last(), Some(&&Event::Met(p.net.peer(0))), "seed {seed}");
+        let met: Vec<&Event> = p.got.iter().filter(|e| matches!(e, Event::NewSession(_))).collect();
+        assert_eq!(met.last(), Some(&&Event::NewSession(p.net.peer(0))), "seed {seed}");
         assert_eq!(p.numbers().last(), Some(&(p.next - 1)), "seed {seed}");
     }
 }
@@ -142,7 +146,7 @@
     p.send_many(2);
     p.run(S);
     assert_eq!(p.numbers(), [5, 6]);
-    assert_eq!(p.got[0], Event::Met(p.net.peer(0)));
+    assert_eq!(p.got[0], Event::NewSession(p.net.peer(0)));
 }
 
 #[test]
--- a/crates/simnet/src/world.rs
+++ b/crates/simnet/src/world.rs
@@ -279,7 +279,7 @@
                     self.send_all(i);
                 }
                 Event::Lost { messages, .. } => self.nodes[i].lost += messages,
-                Event::Met(_) | Event::Dropped(_) => {}
+                Event::NewSession(_) | Event::Dropped(_) => {}
             }
         }
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,6 +20,6 @@
 #[cfg(feature = "carriers")]
 pub mod udp;
 
-pub use name::{Name, NameError, NAME_MAX};
+pub use name::{Name, NameError, NAME_MAX_BYTES};
 pub use protocol::{Now, Outgoing, Protocol};
 pub use transport::{Capabilities, Event, Kind, Peer, SendError, Session, Transport};
--- a/crates/transport/src/name.rs
+++ b/crates/transport/src/name.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest name a node may have, in bytes; it bounds every message that carries it.
-pub const NAME_MAX: usize = 64;
+pub const NAME_MAX_BYTES: usize = 64;
 
-/// A node's name: at most [`NAME_MAX`] bytes of letters, digits, `.`, `_` and `-`. Empty only where a
+/// A node's name: at most [`NAME_MAX_BYTES`] bytes of letters, digits, `.`, `_` and `-`. Empty only where a
 /// node is not known by name yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -18,7 +18,7 @@
 pub enum NameError {
     /// No name at all.
     Empty,
-    /// More than [`NAME_MAX`] bytes.
+    /// More than [`NAME_MAX_BYTES`] bytes.
     TooLong(usize),
     /// A character outside letters, digits, `.`, `_` and `-`.
     Character(char),
@@ -28,7 +28,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => write!(f, "a node's name may not be empty"),
-            Self::TooLong(n) => write!(f, "a node's name has {n} bytes, at most {NAME_MAX} are allowed"),
+            Self::TooLong(n) => {
+                write!(f, "a node's name has {n} bytes, at most {NAME_MAX_BYTES} are allowed")
+            }
             Self::Character(c) => {
                 write!(f, "a node's name may hold letters, digits, '.', '_' and '-', not {c:?}")
             }
@@ -47,15 +49,15 @@
         if name.is_empty() {
             return Err(NameError::Empty);
         }
-        Self::checked(name)
+        Self::new_or_empty(name)
     }
 
     /// The same checks, but empty is allowed: what a message may carry.
     ///
     /// # Errors
     /// See [`NameError`].
-    pub fn checked(name: &str) -> Result<Self, NameError> {
-        if name.len() > NAME_MAX {
+    pub fn new_or_empty(name: &str) -> Result<Self, NameError> {
+        if name.len() > NAME_MAX_BYTES {
             return Err(NameError::TooLong(name.len()));
         }
         if let Some(c) = name.chars().find(|c| !(c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-'))) {
@@ -80,7 +82,7 @@
     type Error = NameError;
 
     fn try_from(name: String) -> Result<Self, NameError> {
-        Self::checked(&name)
+        Self::new_or_empty(&name)
     }
 }
 
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -169,8 +169,8 @@
     }
 
     /// No messages go to `name` any more; those that wait are told as lost.
-    pub fn forget_peer(&mut self, name: &Name) {
-        self.shared.forget_peer(name);
+    pub fn remove_peer(&mut self, name: &Name) {
+        self.shared.remove_peer(name);
     }
 
     /// What was counted since the start.
--- a/crates/transport/src/tcp/shared.rs
+++ b/crates/transport/src/tcp/shared.rs
@@ -158,7 +158,7 @@
         Some(Some(wake))
     }
 
-    pub fn forget_peer(&self, name: &Name) {
+    pub fn remove_peer(&self, name: &Name) {
         let mut s = self.state();
         let Some(out) = s.out.remove(name) else { return };
         s.waiting_bytes -= out.waiting.iter().map(Vec::len).sum::<usize>();
@@ -198,7 +198,7 @@
                 s.inbox_bytes -= bytes.len();
             }
             Event::Dropped(_) => s.drops -= 1,
-            Event::Met(_) => s.meetings -= 1,
+            Event::NewSession(_) => s.meetings -= 1,
             Event::Lost { .. } => {}
         }
         if s.has_room(&self.settings) {
@@ -422,7 +422,7 @@
             }
         }
         self.meetings += 1;
-        self.inbox.push_back(Event::Met(peer.clone()));
+        self.inbox.push_back(Event::NewSession(peer.clone()));
         true
     }
 }
--- a/crates/transport/src/transport.rs
+++ b/crates/transport/src/transport.rs
@@ -58,7 +58,7 @@
         bytes: Vec<u8>,
     },
     /// A peer was met at a new session; what an earlier one sent does not come any more.
-    Met(Peer),
+    NewSession(Peer),
     /// Messages to this peer that were taken by [`Transport::send`] and were or may be lost (a stream only: its
     /// connection broke or its peer did not read in time).
     Lost {
--- a/crates/transport/src/udp.rs
+++ b/crates/transport/src/udp.rs
@@ -105,7 +105,7 @@
     }
 
     /// No messages go to `name` any more.
-    pub fn forget_peer(&mut self, name: &Name) {
+    pub fn remove_peer(&mut self, name: &Name) {
         if let Some(known) = self.peers.remove(name) {
             self.waiting -= known.waiting.len();
         }
@@ -163,7 +163,7 @@
         }
         if seen == Seen::New {
             self.next = Some(message);
-            return Event::Met(head.from);
+            return Event::NewSession(head.from);
         }
         message
     }
--- a/crates/transport/tests/carriers.rs
+++ b/crates/transport/tests/carriers.rs
@@ -130,7 +130,7 @@
     assert!(ends(&mut dial(&[frame(What::Message, "c", "a", 2, b"as c")])));
     let events: Vec<Event> = std::iter::from_fn(|| end.poll(Duration::ZERO)).collect();
     let expected = [
-        Event::Met(peer("b")),
+        Event::NewSession(peer("b")),
         Event::Message { from: peer("b"), bytes: b"one".to_vec() },
         Event::Dropped("a message that came before"),
         Event::Dropped("a frame of another sender than the connection's"),
@@ -185,7 +185,7 @@
     assert_eq!(end.send(&name("c"), &[0; 1000]), Ok(()));
     assert_eq!(end.send(&name("d"), &[0; 1000]), Err(SendError::Full { to: name("d"), max: 256 }));
     // What is forgotten is told, and its bytes are free again.
-    end.forget_peer(&name("b"));
+    end.remove_peer(&name("b"));
     assert_eq!(end.poll(Duration::ZERO), Some(Event::Lost { to: name("b"), messages: 1 }));
     assert_eq!(end.send(&name("d"), &[0; 1000]), Ok(()));
     assert_eq!(end.send(&name("b"), b""), Err(SendError::Unknown(name("b"))));
@@ -200,7 +200,7 @@
             a.send(&name("b"), &[round, i]).expect("taken");
             assert_eq!(message(&mut b), [round, i]);
         }
-        a.forget_peer(&name("b"));
+        a.remove_peer(&name("b"));
     }
     assert_eq!(b.counts().dropped, 0);
 }
@@ -217,7 +217,7 @@
     assert!(a.set_peer(name("b"), b2.address()));
     a.send(&name("b"), b"there").expect("taken");
     assert_eq!(message(&mut b2), b"there");
-    wait(&mut a, "the later session", |e| (e == Event::Met(moved.clone())).then_some(()));
+    wait(&mut a, "the later session", |e| (e == Event::NewSession(moved.clone())).then_some(()));
     // What the old one says is an older session's from now on.
     assert!(b.set_peer(name("a"), a.address()));
     b.send(&name("a"), b"still here").expect("taken");
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -121,7 +121,7 @@
                 any = true;
                 match event {
                     Event::Message { from, bytes } => self.log.on_message(now, &from, &bytes),
-                    Event::Met(peer) => tracing::info!(target: "fleet", "met {peer}"),
+                    Event::NewSession(peer) => tracing::info!(target: "fleet", "met {peer}"),
                     // The log repeats by its own timers.
                     Event::Lost { .. } => {}
                     Event::Dropped(why) => tracing::debug!(target: "fleet", "dropped: {why}"),
