--- a/crates/contracts/tests/sockets/mod.rs
+++ b/crates/contracts/tests/sockets/mod.rs
@@ -7,7 +7,7 @@
 
 use magpietally_contracts::relay::{Link, Relay, Stream, Streams};
 use magpietally_contracts::transport::{name_of, Rig};
-use magpietally_transport::envelope::{encode, Addressee, Fleet, Head, What};
+use magpietally_transport::envelope::{encode, FleetId, Header, MessageType, RecipientId};
 use magpietally_transport::tcp::{Settings, Tcp};
 use magpietally_transport::udp::Udp;
 use magpietally_transport::{Name, Peer, Session, Transport};
@@ -25,8 +25,8 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-fn fleet(foreign: bool) -> Fleet {
-    Fleet::named(if foreign { "karachi" } else { "lahore" })
+fn fleet(foreign: bool) -> FleetId {
+    FleetId::from_name(if foreign { "karachi" } else { "lahore" })
 }
 
 /// UDP, with a relay where there is a link to put on every way.
@@ -117,8 +117,14 @@
 
     fn ghost(&mut self, ghost: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
         let from = Peer { name: ghost.clone(), session };
-        let to_name = Addressee::named(&name_of(to));
-        let head = Head { fleet: fleet(foreign), to: to_name, what: What::Message, from, number: 0 };
+        let to_name = RecipientId::from_name(&name_of(to));
+        let head = Header {
+            fleet: fleet(foreign),
+            to: to_name,
+            message_type: MessageType::Message,
+            from,
+            number: 0,
+        };
         self.inject(to, &encode(&head, bytes))
     }
 
--- a/crates/transport/src/envelope/tests.rs
+++ b/crates/transport/src/envelope/tests.rs
@@ -2,16 +2,16 @@
 use crate::Session;
 use proptest::prelude::*;
 
-fn head(name: &str, session: u64, number: u64) -> Head {
+fn head(name: &str, session: u64, number: u64) -> Header {
     let from = Peer { name: Name::new(name).expect("a name"), session: Session(session) };
-    let to = Addressee::named(&Name::new("n0").expect("a name"));
-    Head { fleet: Fleet::named("lahore"), to, what: What::Message, from, number }
+    let to = RecipientId::from_name(&Name::new("n0").expect("a name"));
+    Header { fleet: FleetId::from_name("lahore"), to, message_type: MessageType::Message, from, number }
 }
 
 #[test]
 fn the_largest_envelope_is_as_stated() {
     let largest = encode(&head(&"a".repeat(64), u64::MAX, u64::MAX), b"");
-    assert_eq!(largest.len(), ENVELOPE_MAX);
+    assert_eq!(largest.len(), ENVELOPE_MAX_BYTES);
 }
 
 #[test]
@@ -21,19 +21,19 @@
     version[0] = 2;
     let mut sum = good.clone();
     *sum.last_mut().expect("bytes") ^= 1;
-    assert_eq!(decode(&version), Err(Strange::Version));
-    assert_eq!(decode(&sum), Err(Strange::Checksum));
-    assert_eq!(decode(&good[..3]), Err(Strange::Short));
-    assert_eq!(decode(b""), Err(Strange::Short));
+    assert_eq!(decode(&version), Err(EnvelopeError::Version));
+    assert_eq!(decode(&sum), Err(EnvelopeError::Checksum));
+    assert_eq!(decode(&good[..3]), Err(EnvelopeError::Truncated));
+    assert_eq!(decode(b""), Err(EnvelopeError::Truncated));
     let mut nameless = head("n1", 7, 9);
     nameless.from.name = Name::default();
-    assert_eq!(decode(&encode(&nameless, b"")), Err(Strange::Nameless));
+    assert_eq!(decode(&encode(&nameless, b"")), Err(EnvelopeError::MissingSender));
     // Summed rightly, and still no head: a kind that does not exist.
     let mut field = good;
     field[HEAD_AT + 12] = 77;
     let sum = checksum(&field).to_le_bytes();
     field[1..HEAD_AT].copy_from_slice(&sum);
-    assert_eq!(decode(&field), Err(Strange::Field));
+    assert_eq!(decode(&field), Err(EnvelopeError::InvalidField));
 }
 
 proptest! {
--- a/crates/transport/src/tcp/accept.rs
+++ b/crates/transport/src/tcp/accept.rs
@@ -10,7 +10,7 @@
 
 use super::frames::{halves, read, write, Reader, Writer};
 use super::shared::Shared;
-use crate::envelope::What;
+use crate::envelope::MessageType;
 use crate::sessions::MISPLACED;
 use crate::transport::Peer;
 
@@ -49,7 +49,7 @@
     let Ok(Some(peer)) = timeout(within, hello(shared, &mut reader)).await else { return };
     let Some((connection, last)) = shared.accepted(&peer) else { return };
     if !matches!(
-        timeout(within, write(shared, &mut writer, &peer.name, What::Welcome, last, &[])).await,
+        timeout(within, write(shared, &mut writer, &peer.name, MessageType::Welcome, last, &[])).await,
         Ok(true)
     ) {
         return;
@@ -64,7 +64,7 @@
 
 async fn hello<R: tokio::io::AsyncRead + Unpin>(shared: &Shared, reader: &mut Reader<R>) -> Option<Peer> {
     let (head, _) = read(shared, reader).await?;
-    if head.what != What::Hello {
+    if head.message_type != MessageType::Hello {
         shared.dropped(MISPLACED);
         return None;
     }
@@ -97,19 +97,19 @@
             shared.dropped("a frame of another sender than the connection's");
             return;
         }
-        match head.what {
+        match head.message_type {
             // It gives its place to one that was turned away: what was taken is acknowledged, and its peer dials again once
             // it has something.
-            What::Ping if shared.quiet_most().is_some_and(|most| busy.elapsed() >= most) => return,
-            What::Ping => {}
-            What::Message => {
+            MessageType::Ping if shared.quiet_most().is_some_and(|most| busy.elapsed() >= most) => return,
+            MessageType::Ping => {}
+            MessageType::Message => {
                 busy = Instant::now();
                 if !shared.deliver(peer, connection, head.number, body) {
                     return;
                 }
                 taken.notify_one();
             }
-            What::Hello | What::Welcome | What::Ack => {
+            MessageType::Hello | MessageType::Welcome | MessageType::Ack => {
                 shared.dropped(MISPLACED);
                 return;
             }
@@ -125,7 +125,7 @@
     taken: &Notify,
 ) {
     while let Some(number) = shared.taken(peer, connection) {
-        if !write(shared, writer, &peer.name, What::Ack, number, &[]).await {
+        if !write(shared, writer, &peer.name, MessageType::Ack, number, &[]).await {
             return;
         }
         // New messages, or the next sign of life.
--- a/crates/transport/src/tcp/dial.rs
+++ b/crates/transport/src/tcp/dial.rs
@@ -12,7 +12,7 @@
 
 use super::frames::{halves, read, write, Reader, Writer};
 use super::shared::{Next, Shared};
-use crate::envelope::What;
+use crate::envelope::MessageType;
 use crate::name::Name;
 use crate::sessions::MISPLACED;
 
@@ -49,11 +49,11 @@
     shared.count_dial();
     let (r, w) = split(stream);
     let (mut reader, mut writer) = halves(shared, r, w);
-    if !write(shared, &mut writer, name, What::Hello, 0, &[]).await {
+    if !write(shared, &mut writer, name, MessageType::Hello, 0, &[]).await {
         return None;
     }
     let (head, _) = read(shared, &mut reader).await?;
-    if head.what != What::Welcome {
+    if head.message_type != MessageType::Welcome {
         shared.dropped(MISPLACED);
         return None;
     }
@@ -74,7 +74,7 @@
     let acknowledgements = async {
         // Whoever does not read its messages still gives signs of life; whoever gives none is gone.
         while let Ok(Some((head, _))) = timeout(shared.settings.dead_after, read(shared, &mut reader)).await {
-            if head.what != What::Ack {
+            if head.message_type != MessageType::Ack {
                 shared.dropped(MISPLACED);
                 return;
             }
@@ -84,22 +84,22 @@
     let messages = async {
         let mut busy = Instant::now();
         loop {
-            let (what, number, body) = match shared.next(name, wake, address) {
+            let (message_type, number, body) = match shared.next(name, wake, address) {
                 Next::End => return,
-                Next::Write(number, message) => (What::Message, number, message),
+                Next::Write(number, message) => (MessageType::Message, number, message),
                 Next::Wait => {
                     if timeout(shared.settings.heartbeat, wake.notified()).await.is_ok() {
                         continue;
                     }
-                    (What::Ping, 0, Vec::new())
+                    (MessageType::Ping, 0, Vec::new())
                 }
             };
-            if what == What::Message || !shared.idle(name) {
+            if message_type == MessageType::Message || !shared.idle(name) {
                 busy = Instant::now();
             } else if busy.elapsed() > shared.idle_most() {
                 return;
             }
-            if !write(shared, &mut writer, name, what, number, &body).await {
+            if !write(shared, &mut writer, name, message_type, number, &body).await {
                 return;
             }
         }
--- a/crates/transport/src/tcp/frames.rs
+++ b/crates/transport/src/tcp/frames.rs
@@ -6,7 +6,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 use super::shared::Shared;
-use crate::envelope::{decode, encode, Addressee, Head, What, ENVELOPE_MAX};
+use crate::envelope::{decode, encode, Header, MessageType, RecipientId, ENVELOPE_MAX_BYTES};
 use crate::name::Name;
 use crate::sessions::{OTHER_FLEET, OTHER_NODE};
 
@@ -15,7 +15,7 @@
 
 /// The two halves of a connection; frames larger than the largest message end it unread.
 pub(super) fn halves<R: AsyncRead, W: AsyncWrite>(shared: &Shared, r: R, w: W) -> (Reader<R>, Writer<W>) {
-    let most = shared.settings.largest + ENVELOPE_MAX;
+    let most = shared.settings.largest + ENVELOPE_MAX_BYTES;
     let codec = || LengthDelimitedCodec::builder().max_frame_length(most).new_codec();
     (FramedRead::new(r, codec()), FramedWrite::new(w, codec()))
 }
@@ -24,7 +24,7 @@
 pub(super) async fn read<R: AsyncRead + Unpin>(
     shared: &Shared,
     reader: &mut Reader<R>,
-) -> Option<(Head, Vec<u8>)> {
+) -> Option<(Header, Vec<u8>)> {
     let frame = match reader.next().await? {
         Ok(frame) => frame,
         Err(e) if e.kind() == std::io::ErrorKind::InvalidData => {
@@ -35,9 +35,9 @@
     };
     match decode(&frame) {
         Ok((head, _)) if head.fleet != shared.fleet => shared.dropped(OTHER_FLEET),
-        Ok((head, _)) if head.to != Addressee::named(&shared.me.name) => shared.dropped(OTHER_NODE),
+        Ok((head, _)) if head.to != RecipientId::from_name(&shared.me.name) => shared.dropped(OTHER_NODE),
         Ok((head, body)) => return Some((head, body.to_vec())),
-        Err(strange) => shared.dropped(strange.why()),
+        Err(strange) => shared.dropped(strange.as_str()),
     }
     None
 }
@@ -47,10 +47,10 @@
     shared: &Shared,
     writer: &mut Writer<W>,
     to: &Name,
-    what: What,
+    message_type: MessageType,
     number: u64,
     body: &[u8],
 ) -> bool {
-    let frame = encode(&shared.head(to, what, number), body);
+    let frame = encode(&shared.head(to, message_type, number), body);
     writer.send(Bytes::from(frame)).await.is_ok()
 }
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -22,7 +22,7 @@
 use magpietally_net::{listen, Listener};
 use magpietally_os_error::{retry, Call};
 
-use crate::envelope::Fleet;
+use crate::envelope::FleetId;
 use crate::name::Name;
 use crate::transport::{Capabilities, Event, Kind, Peer, SendError, Transport};
 pub use shared::Counts;
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     /// The settings can't work ([`Settings::check`]), the address can't be bound, or no thread or runtime can be had.
-    pub fn bind(me: Peer, fleet: Fleet, at: SocketAddr, settings: Settings) -> io::Result<Self> {
+    pub fn bind(me: Peer, fleet: FleetId, at: SocketAddr, settings: Settings) -> io::Result<Self> {
         settings.check().map_err(|why| io::Error::new(io::ErrorKind::InvalidInput, why))?;
         let listener = listen(at, false)?;
         let address = listener.local_addr()?;
--- a/crates/transport/src/tcp/shared.rs
+++ b/crates/transport/src/tcp/shared.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Settings;
-use crate::envelope::{Addressee, Fleet, Head, What};
+use crate::envelope::{FleetId, Header, MessageType, RecipientId};
 use crate::name::Name;
 use crate::sessions::{Seen, Sessions, OLDER, OWN_NAME, PEERS_MOST, TOO_MANY};
 use crate::transport::{Event, Peer, SendError, Session};
@@ -90,7 +90,7 @@
 /// See the module.
 pub(super) struct Shared {
     pub me: Peer,
-    pub fleet: Fleet,
+    pub fleet: FleetId,
     pub settings: Settings,
     /// Done once the end is closed.
     pub ended: CancellationToken,
@@ -106,7 +106,7 @@
 }
 
 impl Shared {
-    pub fn new(me: Peer, fleet: Fleet, settings: Settings) -> Self {
+    pub fn new(me: Peer, fleet: FleetId, settings: Settings) -> Self {
         Self {
             me,
             fleet,
@@ -126,8 +126,14 @@
     }
 
     /// The head of a frame of ours.
-    pub fn head(&self, to: &Name, what: What, number: u64) -> Head {
-        Head { fleet: self.fleet, to: Addressee::named(to), what, from: self.me.clone(), number }
+    pub fn head(&self, to: &Name, message_type: MessageType, number: u64) -> Header {
+        Header {
+            fleet: self.fleet,
+            to: RecipientId::from_name(to),
+            message_type,
+            from: self.me.clone(),
+            number,
+        }
     }
 
     pub fn end(&self, why: String) {
--- a/crates/transport/src/udp.rs
+++ b/crates/transport/src/udp.rs
@@ -7,7 +7,7 @@
 
 use magpietally_os_error::{classify, retry, Call, Class};
 
-use crate::envelope::{self, Addressee, Fleet, Head, What, ENVELOPE_MAX};
+use crate::envelope::{self, FleetId, Header, MessageType, RecipientId, ENVELOPE_MAX_BYTES};
 use crate::name::Name;
 use crate::sessions::{
     Seen, Sessions, MISPLACED, OLDER, OTHER_FLEET, OTHER_NODE, OWN_NAME, PEERS_MOST, TOO_MANY,
@@ -18,7 +18,7 @@
 pub const DATAGRAM_MAX: usize = 1400;
 
 /// The largest message, in bytes.
-pub const LARGEST: usize = DATAGRAM_MAX - ENVELOPE_MAX;
+pub const LARGEST: usize = DATAGRAM_MAX - ENVELOPE_MAX_BYTES;
 
 /// Datagrams that wait for one peer while the socket takes none: 90 KB, what a socket's own buffer holds again.
 const WAITING: usize = 64;
@@ -49,7 +49,7 @@
 /// One node's end of datagrams over UDP.
 pub struct Udp {
     me: Peer,
-    fleet: Fleet,
+    fleet: FleetId,
     socket: UdpSocket,
     peers: BTreeMap<Name, Known>,
     /// Datagrams that wait, for all peers.
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// The address can't be bound.
-    pub fn bind(me: Peer, fleet: Fleet, at: SocketAddr) -> io::Result<Self> {
+    pub fn bind(me: Peer, fleet: FleetId, at: SocketAddr) -> io::Result<Self> {
         let socket = retry::at_start(Call::Create, "datagrams", || UdpSocket::bind(at))?;
         socket.set_nonblocking(true)?;
         Ok(Self {
@@ -140,15 +140,15 @@
         }
         let (head, body) = match envelope::decode(&self.buffer[..length]) {
             Ok((head, body)) => (head, body.to_vec()),
-            Err(strange) => return self.dropped(strange.why()),
+            Err(strange) => return self.dropped(strange.as_str()),
         };
         if head.fleet != self.fleet {
             return self.dropped(OTHER_FLEET);
         }
-        if head.to != Addressee::named(&self.me.name) {
+        if head.to != RecipientId::from_name(&self.me.name) {
             return self.dropped(OTHER_NODE);
         }
-        if head.what != What::Message {
+        if head.message_type != MessageType::Message {
             return self.dropped(MISPLACED);
         }
         if head.from.name == self.me.name {
@@ -205,10 +205,10 @@
         if known.waiting.len() >= WAITING || self.waiting >= WAITING_ALL {
             return Err(SendError::Full { to: to.clone(), max: WAITING });
         }
-        let head = Head {
+        let head = Header {
             fleet: self.fleet,
-            to: Addressee::named(to),
-            what: What::Message,
+            to: RecipientId::from_name(to),
+            message_type: MessageType::Message,
             from: self.me.clone(),
             number: 0,
         };
--- a/crates/transport/tests/carriers.rs
+++ b/crates/transport/tests/carriers.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use magpietally_transport::envelope::{encode, Addressee, Fleet, Head, What};
+use magpietally_transport::envelope::{encode, FleetId, Header, MessageType, RecipientId};
 use magpietally_transport::tcp::{Settings, Tcp};
 use magpietally_transport::udp::{Udp, LARGEST};
 use magpietally_transport::{Event, Name, Peer, SendError, Session, Transport};
@@ -27,7 +27,7 @@
 }
 
 fn tcp(text: &str, settings: Settings) -> Tcp {
-    Tcp::bind(peer(text), Fleet::named("lahore"), any(), settings).expect("a port")
+    Tcp::bind(peer(text), FleetId::from_name("lahore"), any(), settings).expect("a port")
 }
 
 fn quick() -> Settings {
@@ -71,16 +71,19 @@
     }
 }
 
-fn frame(what: What, from: &str, to: &str, number: u64, body: &[u8]) -> Vec<u8> {
-    let to = Addressee::named(&name(to));
-    let envelope = encode(&Head { fleet: Fleet::named("lahore"), to, what, from: peer(from), number }, body);
+fn frame(message_type: MessageType, from: &str, to: &str, number: u64, body: &[u8]) -> Vec<u8> {
+    let to = RecipientId::from_name(&name(to));
+    let envelope = encode(
+        &Header { fleet: FleetId::from_name("lahore"), to, message_type, from: peer(from), number },
+        body,
+    );
     [&(envelope.len() as u32).to_be_bytes()[..], &envelope].concat()
 }
 
 #[test]
 fn what_was_meant_for_another_node_is_dropped() {
-    let mut a = Udp::bind(peer("a"), Fleet::named("lahore"), any()).expect("a port");
-    let mut b = Udp::bind(peer("b"), Fleet::named("lahore"), any()).expect("a port");
+    let mut a = Udp::bind(peer("a"), FleetId::from_name("lahore"), any()).expect("a port");
+    let mut b = Udp::bind(peer("b"), FleetId::from_name("lahore"), any()).expect("a port");
     // The address was another's once, and `a` has not heard.
     assert!(a.set_peer(name("gone"), b.address().expect("bound")));
     a.send(&name("gone"), b"for gone").expect("taken");
@@ -104,8 +107,8 @@
         (vec![0xff; 8], "a frame larger than may be"),
         (vec![0, 0, 0, 3, 1, 2, 3], "a message that ends inside its envelope"),
         (vec![0, 0, 0, 6, 9, 2, 3, 4, 5, 6], "a message in another version of the format"),
-        (frame(What::Message, "x", "a", 1, b"no hello"), "a message of a kind that has no place here"),
-        (frame(What::Hello, "a", "a", 0, b""), "a message under this node's own name"),
+        (frame(MessageType::Message, "x", "a", 1, b"no hello"), "a message of a kind that has no place here"),
+        (frame(MessageType::Hello, "a", "a", 0, b""), "a message under this node's own name"),
     ];
     for (bytes, why) in strange {
         let mut stranger = TcpStream::connect(end.address()).expect("it listens");
@@ -121,13 +124,16 @@
     let mut end = tcp("a", quick());
     let dial = |frames: &[Vec<u8>]| {
         let mut stream = TcpStream::connect(end.address()).expect("it listens");
-        stream.write_all(&frame(What::Hello, "b", "a", 0, b"")).expect("sent");
+        stream.write_all(&frame(MessageType::Hello, "b", "a", 0, b"")).expect("sent");
         stream.write_all(&frames.concat()).expect("sent");
         stream
     };
-    let again = [frame(What::Message, "b", "a", 1, b"one"), frame(What::Message, "b", "a", 1, b"one again")];
+    let again = [
+        frame(MessageType::Message, "b", "a", 1, b"one"),
+        frame(MessageType::Message, "b", "a", 1, b"one again"),
+    ];
     assert!(ends(&mut dial(&again)));
-    assert!(ends(&mut dial(&[frame(What::Message, "c", "a", 2, b"as c")])));
+    assert!(ends(&mut dial(&[frame(MessageType::Message, "c", "a", 2, b"as c")])));
     let events: Vec<Event> = std::iter::from_fn(|| end.poll(Duration::ZERO)).collect();
     let expected = [
         Event::NewSession(peer("b")),
@@ -212,7 +218,7 @@
     a.send(&name("b"), b"here").expect("taken");
     assert_eq!(message(&mut b), b"here");
     let moved = Peer { session: Session(2), ..peer("b") };
-    let mut b2 = Tcp::bind(moved.clone(), Fleet::named("lahore"), any(), quick()).expect("a port");
+    let mut b2 = Tcp::bind(moved.clone(), FleetId::from_name("lahore"), any(), quick()).expect("a port");
     // The old one still runs, as one that was only cut off would.
     assert!(a.set_peer(name("b"), b2.address()));
     a.send(&name("b"), b"there").expect("taken");
@@ -251,7 +257,8 @@
     ];
     for settings in wrong {
         let why = settings.check().expect_err("it can't work");
-        let refused = Tcp::bind(peer("a"), Fleet::named("lahore"), any(), settings).err().expect("refused");
+        let refused =
+            Tcp::bind(peer("a"), FleetId::from_name("lahore"), any(), settings).err().expect("refused");
         assert_eq!(refused.to_string(), why);
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use magpietally_quota::Quota;
 use magpietally_store::disk::Folder;
 use magpietally_store::{Log, Recovered, StoreError};
-use magpietally_transport::envelope::Fleet;
+use magpietally_transport::envelope::FleetId;
 use magpietally_transport::tcp::{self, Tcp};
 use magpietally_transport::udp::Udp;
 use magpietally_transport::{Name, Peer};
@@ -80,7 +80,7 @@
             .map_err(|e| failed("records", format!("{}: {e}", path.display())))
     });
     let gate = Shared::new(me.clone(), ground, policy, quota, records.transpose()?);
-    let fleet = Fleet::named(&options.fleet);
+    let fleet = FleetId::from_name(&options.fleet);
     let mut udp = Udp::bind(me.clone(), fleet, options.listen.datagrams)
         .map_err(|e| failed("datagrams", format!("{}: {e}", options.listen.datagrams)))?;
     let streams = tcp::Settings { seed: session.0, ..tcp::Settings::default() };
