--- a/crates/contracts/tests/sockets/mod.rs
+++ b/crates/contracts/tests/sockets/mod.rs
@@ -164,20 +164,20 @@
         });
         let ms = Duration::from_millis;
         let mut settings = Settings {
-            largest: 64 << 10,
-            waiting: 32,
+            message_max_bytes: 64 << 10,
+            queue_messages: 32,
             window: 8,
-            inbox: 32,
+            inbox_messages: 32,
             heartbeat: ms(40),
-            dead_after: ms(400),
-            connect_within: ms(1000),
+            liveness_timeout: ms(400),
+            connect_timeout: ms(1000),
             backoff: ms(5),
-            backoff_most: ms(40),
+            backoff_max: ms(40),
             ..Settings::default()
         };
         if relay.is_none() {
             // Without a fault nothing may be lost: a thread that a busy machine held up is no broken connection.
-            (settings.dead_after, settings.connect_within) = (PATIENCE, PATIENCE);
+            (settings.liveness_timeout, settings.connect_timeout) = (PATIENCE, PATIENCE);
         }
         Self {
             origin: Instant::now(),
@@ -253,7 +253,7 @@
 
     fn under_way(&self) -> usize {
         // The window, the inbox, and one that was read as the inbox filled, from each of two.
-        self.settings.window + self.settings.inbox + 2
+        self.settings.window + self.settings.inbox_messages + 2
     }
 
     fn faulty(&self) -> bool {
--- a/crates/transport/src/tcp/accept.rs
+++ b/crates/transport/src/tcp/accept.rs
@@ -45,7 +45,7 @@
 async fn serve(shared: &Shared, stream: Stream) {
     let (r, w) = split(stream);
     let (mut reader, mut writer) = halves(shared, r, w);
-    let within = shared.settings.connect_within;
+    let within = shared.settings.connect_timeout;
     let Ok(Some(peer)) = timeout(within, hello(shared, &mut reader)).await else { return };
     let Some((connection, last)) = shared.accepted(&peer) else { return };
     if !matches!(
@@ -90,7 +90,8 @@
             }
             room.await;
         }
-        let Ok(Some((head, body))) = timeout(shared.settings.dead_after, read(shared, reader)).await else {
+        let Ok(Some((head, body))) = timeout(shared.settings.liveness_timeout, read(shared, reader)).await
+        else {
             return;
         };
         if head.from != *peer {
--- a/crates/transport/src/tcp/dial.rs
+++ b/crates/transport/src/tcp/dial.rs
@@ -31,7 +31,7 @@
         let Some(address) = shared.wanted(&name, &wake).await else { return };
         // A peer without a place waits for another's connection to end, which an idle one then does.
         let Some(place) = shared.place_to_dial().await else { return };
-        let dialled = timeout(shared.settings.connect_within, connect(&shared, &name, &wake, address)).await;
+        let dialled = timeout(shared.settings.connect_timeout, connect(&shared, &name, &wake, address)).await;
         if let Ok(Some(link)) = dialled {
             backoff = shared.settings.backoff;
             run(&shared, &name, &wake, address, link).await;
@@ -40,7 +40,7 @@
         drop(place);
         // Jitter, so that the peers of a node that comes back do not all dial it in one moment.
         sleep(backoff.mul_f64(random.random_range(0.75..1.25))).await;
-        backoff = (backoff * 2).min(shared.settings.backoff_most);
+        backoff = (backoff * 2).min(shared.settings.backoff_max);
     }
 }
 
@@ -73,7 +73,9 @@
     let Link { mut reader, mut writer } = link;
     let acknowledgements = async {
         // Whoever does not read its messages still gives signs of life; whoever gives none is gone.
-        while let Ok(Some((head, _))) = timeout(shared.settings.dead_after, read(shared, &mut reader)).await {
+        while let Ok(Some((head, _))) =
+            timeout(shared.settings.liveness_timeout, read(shared, &mut reader)).await
+        {
             if head.message_type != MessageType::Ack {
                 shared.dropped(MISPLACED);
                 return;
--- a/crates/transport/src/tcp/frames.rs
+++ b/crates/transport/src/tcp/frames.rs
@@ -15,7 +15,7 @@
 
 /// The two halves of a connection; frames larger than the largest message end it unread.
 pub(super) fn halves<R: AsyncRead, W: AsyncWrite>(shared: &Shared, r: R, w: W) -> (Reader<R>, Writer<W>) {
-    let most = shared.settings.largest + ENVELOPE_MAX_BYTES;
+    let most = shared.settings.message_max_bytes + ENVELOPE_MAX_BYTES;
     let codec = || LengthDelimitedCodec::builder().max_frame_length(most).new_codec();
     (FramedRead::new(r, codec()), FramedWrite::new(w, codec()))
 }
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -3,7 +3,7 @@
 //! One connection a direction: a node dials a peer when it has something for it, and the connection carries messages
 //! one way and acknowledgements the other. So each side alone decides on its numbers, its backoff and its losses, and
 //! two that dial each other at once have nothing to settle; the price is a second descriptor a pair, bounded by
-//! [`Settings::outbound`] and [`Settings::inbound`].
+//! [`Settings::outbound_connections`] and [`Settings::inbound_connections`].
 //!
 //! - `shared.rs`: what the thread and the node share, behind one lock that is never held over a wait.
 //! - `dial.rs`: the sending side of a peer. `accept.rs`: the receiving side. `frames.rs`: one frame in, one out.
@@ -33,37 +33,37 @@
 pub struct Settings {
     /// The largest message in bytes: also what a stranger's frame can make us set aside a connection, so 64
     /// connections hold 16 MiB at most. What is larger (a snapshot) goes in pieces.
-    pub largest: usize,
+    pub message_max_bytes: usize,
     /// Messages that wait for one peer, beside the window: some seconds of the log's traffic.
-    pub waiting: usize,
+    pub queue_messages: usize,
     /// Bytes that wait for all peers together.
-    pub waiting_bytes: usize,
+    pub queue_bytes: usize,
     /// Messages sent and not acknowledged, a peer: what a break of its connection can lose at most.
     pub window: usize,
     /// Messages that came and were not polled yet; past it (or [`Settings::inbox_bytes`]) nothing more is read from
     /// any connection, and senders feel it. Each connection may add one more that it has in hand.
-    pub inbox: usize,
+    pub inbox_messages: usize,
     /// The same in bytes.
     pub inbox_bytes: usize,
     /// How often either side gives a sign of life.
     pub heartbeat: Duration,
     /// A connection without a sign of life for so long is broken: six heartbeats, so that a pause of the peer's thread
     /// is not taken for its end, and well under the 6 s after which membership suspects.
-    pub dead_after: Duration,
+    pub liveness_timeout: Duration,
     /// How long a connection and its handshake may take.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// The wait before a second attempt at a connection; doubled at each failure, give or take a quarter.
     pub backoff: Duration,
     /// The longest such wait.
-    pub backoff_most: Duration,
+    pub backoff_max: Duration,
     /// A connection that had nothing to carry for so long gives its descriptor back.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Connections dialled at a time; a peer without one waits for another's to end, which one that has had nothing to
     /// carry for a heartbeat then does. It bounds descriptors, not peers.
-    pub outbound: usize,
+    pub outbound_connections: usize,
     /// Connections accepted at a time; the next is closed at once, and one that has brought nothing for a heartbeat gives way
     /// to its next attempt. Both together stay under half of the least number of descriptors that the platform gives (256).
-    pub inbound: usize,
+    pub inbound_connections: usize,
     /// For the jitter of the backoff.
     pub seed: u64,
 }
@@ -71,20 +71,20 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            largest: 256 << 10,
-            waiting: 256,
-            waiting_bytes: 16 << 20,
+            message_max_bytes: 256 << 10,
+            queue_messages: 256,
+            queue_bytes: 16 << 20,
             window: 64,
-            inbox: 1024,
+            inbox_messages: 1024,
             inbox_bytes: 16 << 20,
             heartbeat: Duration::from_millis(500),
-            dead_after: Duration::from_secs(3),
-            connect_within: Duration::from_secs(2),
+            liveness_timeout: Duration::from_secs(3),
+            connect_timeout: Duration::from_secs(2),
             backoff: Duration::from_millis(50),
-            backoff_most: Duration::from_secs(2),
-            idle: Duration::from_secs(60),
-            outbound: 56,
-            inbound: 56,
+            backoff_max: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(60),
+            outbound_connections: 56,
+            inbound_connections: 56,
             seed: 0,
         }
     }
@@ -96,22 +96,29 @@
     /// # Errors
     /// Which setting can't be, and why.
     pub fn check(&self) -> Result<(), &'static str> {
-        let sizes = [self.largest, self.waiting, self.window, self.inbox, self.outbound, self.inbound];
+        let sizes = [
+            self.message_max_bytes,
+            self.queue_messages,
+            self.window,
+            self.inbox_messages,
+            self.outbound_connections,
+            self.inbound_connections,
+        ];
         if sizes.contains(&0) {
             return Err("a bound of zero lets nothing pass");
         }
-        if self.waiting_bytes < self.largest || self.inbox_bytes < self.largest {
+        if self.queue_bytes < self.message_max_bytes || self.inbox_bytes < self.message_max_bytes {
             return Err("the bytes that may wait must hold the largest message");
         }
-        if self.largest > u32::MAX as usize / 2 {
+        if self.message_max_bytes > u32::MAX as usize / 2 {
             return Err("the largest message must fit the four bytes of a frame's length");
         }
-        if self.heartbeat.is_zero() || self.heartbeat * 2 > self.dead_after {
+        if self.heartbeat.is_zero() || self.heartbeat * 2 > self.liveness_timeout {
             return Err(
                 "a connection must be given at least two signs of life before it is taken for broken",
             );
         }
-        if self.backoff.is_zero() || self.backoff > self.backoff_most {
+        if self.backoff.is_zero() || self.backoff > self.backoff_max {
             return Err("the first wait before a new attempt must be above zero and not above the longest");
         }
         Ok(())
@@ -196,7 +203,11 @@
 
     fn capabilities(&self) -> Capabilities {
         let s = &self.shared.settings;
-        Capabilities { kind: Kind::Stream, message_max_bytes: s.largest, queue_capacity: s.waiting }
+        Capabilities {
+            kind: Kind::Stream,
+            message_max_bytes: s.message_max_bytes,
+            queue_capacity: s.queue_messages,
+        }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
--- a/crates/transport/src/tcp/shared.rs
+++ b/crates/transport/src/tcp/shared.rs
@@ -33,9 +33,9 @@
     /// Frames and connections that were dropped: strange, another fleet's, an older session's.
     pub dropped: u64,
     /// Connections refused as so many are open already.
-    pub turned_away: u64,
+    pub connections_rejected: u64,
     /// Connections made to peers.
-    pub dialled: u64,
+    pub connections_opened: u64,
 }
 
 /// The sending side of one peer.
@@ -61,7 +61,7 @@
 #[derive(Default)]
 struct State {
     out: BTreeMap<Name, Out>,
-    waiting_bytes: usize,
+    queue_bytes: usize,
     incoming: BTreeMap<Name, In>,
     connections: u64,
     sessions: Sessions,
@@ -112,9 +112,9 @@
             fleet,
             ended: CancellationToken::new(),
             room: Notify::new(),
-            outbound: Semaphore::new(settings.outbound),
+            outbound: Semaphore::new(settings.outbound_connections),
             waiting_to_dial: AtomicUsize::new(0),
-            inbound: Arc::new(Semaphore::new(settings.inbound)),
+            inbound: Arc::new(Semaphore::new(settings.inbound_connections)),
             settings,
             state: Mutex::new(State::default()),
         }
@@ -167,13 +167,13 @@
     pub fn remove_peer(&self, name: &Name) {
         let mut s = self.state();
         let Some(out) = s.out.remove(name) else { return };
-        s.waiting_bytes -= out.waiting.iter().map(Vec::len).sum::<usize>();
+        s.queue_bytes -= out.waiting.iter().map(Vec::len).sum::<usize>();
         s.lose(name, out.sent - out.settled + out.waiting.len() as u64);
         out.wake.notify_one();
     }
 
     pub fn send(&self, to: &Name, message: &[u8]) -> Result<(), SendError> {
-        let most = self.settings.largest;
+        let most = self.settings.message_max_bytes;
         if message.len() > most {
             return Err(SendError::TooLarge { size: message.len(), max: most });
         }
@@ -181,14 +181,14 @@
         if let Some(why) = &s.ended {
             return Err(SendError::Closed(why.clone()));
         }
-        let full = s.waiting_bytes + message.len() > self.settings.waiting_bytes;
+        let full = s.queue_bytes + message.len() > self.settings.queue_bytes;
         let out = s.out.get_mut(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
-        if full || out.waiting.len() >= self.settings.waiting {
-            return Err(SendError::Full { to: to.clone(), max: self.settings.waiting });
+        if full || out.waiting.len() >= self.settings.queue_messages {
+            return Err(SendError::Full { to: to.clone(), max: self.settings.queue_messages });
         }
         out.waiting.push_back(message.to_vec());
         out.wake.notify_one();
-        s.waiting_bytes += message.len();
+        s.queue_bytes += message.len();
         Ok(())
     }
 
@@ -241,7 +241,7 @@
         let Some(message) = out.waiting.pop_front() else { return Next::Wait };
         out.sent += 1;
         let number = out.sent;
-        s.waiting_bytes -= message.len();
+        s.queue_bytes -= message.len();
         s.counts.sent += 1;
         Next::Write(number, message)
     }
@@ -294,13 +294,13 @@
     /// For how long a connection dialled may have nothing to carry: while peers wait for its place, a sign of life's time.
     pub fn idle_most(&self) -> Duration {
         match self.waiting_to_dial.load(Ordering::Relaxed) {
-            0 => self.settings.idle,
+            0 => self.settings.idle_timeout,
             _ => self.settings.heartbeat,
         }
     }
 
     pub fn count_dial(&self) {
-        self.state().counts.dialled += 1;
+        self.state().counts.connections_opened += 1;
     }
 
     // ---- The receiving side ----
@@ -312,7 +312,7 @@
 
     pub fn turned_away(&self) {
         let mut s = self.state();
-        s.counts.turned_away += 1;
+        s.counts.connections_rejected += 1;
         s.turned_away = Some(Instant::now());
     }
 
@@ -320,7 +320,7 @@
     /// until then a sign of life's time; `None` while there is room.
     pub fn quiet_most(&self) -> Option<Duration> {
         let s = &self.settings;
-        let lately = self.state().turned_away.is_some_and(|at| at.elapsed() < s.backoff_most * 2);
+        let lately = self.state().turned_away.is_some_and(|at| at.elapsed() < s.backoff_max * 2);
         lately.then_some(s.heartbeat)
     }
 
@@ -383,7 +383,7 @@
 
 impl State {
     fn has_room(&self, settings: &Settings) -> bool {
-        self.messages < settings.inbox && self.inbox_bytes < settings.inbox_bytes
+        self.messages < settings.inbox_messages && self.inbox_bytes < settings.inbox_bytes
     }
 
     fn of_connection(&mut self, peer: &Peer, connection: u64) -> Option<&mut In> {
--- a/crates/transport/src/udp.rs
+++ b/crates/transport/src/udp.rs
@@ -15,10 +15,10 @@
 use crate::transport::{Capabilities, Event, Kind, Peer, SendError, Transport};
 
 /// The largest datagram, envelope and all, in bytes: within one Ethernet frame, so that none is fragmented.
-pub const DATAGRAM_MAX: usize = 1400;
+pub const DATAGRAM_MAX_BYTES: usize = 1400;
 
 /// The largest message, in bytes.
-pub const LARGEST: usize = DATAGRAM_MAX - ENVELOPE_MAX_BYTES;
+pub const MESSAGE_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - ENVELOPE_MAX_BYTES;
 
 /// Datagrams that wait for one peer while the socket takes none: 90 KB, what a socket's own buffer holds again.
 const WAITING: usize = 64;
@@ -78,7 +78,7 @@
             sessions: Sessions::default(),
             next: None,
             // One byte more than may come, so that what is longer is seen to be.
-            buffer: vec![0; DATAGRAM_MAX + 1],
+            buffer: vec![0; DATAGRAM_MAX_BYTES + 1],
             counts: Counts::default(),
         })
     }
@@ -135,7 +135,7 @@
     }
 
     fn take(&mut self, length: usize) -> Event {
-        if length > DATAGRAM_MAX {
+        if length > DATAGRAM_MAX_BYTES {
             return self.dropped("a datagram larger than 1400 bytes");
         }
         let (head, body) = match envelope::decode(&self.buffer[..length]) {
@@ -194,12 +194,12 @@
     }
 
     fn capabilities(&self) -> Capabilities {
-        Capabilities { kind: Kind::Datagram, message_max_bytes: LARGEST, queue_capacity: WAITING }
+        Capabilities { kind: Kind::Datagram, message_max_bytes: MESSAGE_MAX_BYTES, queue_capacity: WAITING }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
-        if message.len() > LARGEST {
-            return Err(SendError::TooLarge { size: message.len(), max: LARGEST });
+        if message.len() > MESSAGE_MAX_BYTES {
+            return Err(SendError::TooLarge { size: message.len(), max: MESSAGE_MAX_BYTES });
         }
         let known = self.peers.get_mut(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
         if known.waiting.len() >= WAITING || self.waiting >= WAITING_ALL {
--- a/crates/transport/tests/carriers.rs
+++ b/crates/transport/tests/carriers.rs
@@ -8,7 +8,7 @@
 
 use magpietally_transport::envelope::{encode, FleetId, Header, MessageType, RecipientId};
 use magpietally_transport::tcp::{Settings, Tcp};
-use magpietally_transport::udp::{Udp, LARGEST};
+use magpietally_transport::udp::{Udp, MESSAGE_MAX_BYTES};
 use magpietally_transport::{Event, Name, Peer, SendError, Session, Transport};
 
 /// Only waited for on a fault.
@@ -34,9 +34,9 @@
     let ms = Duration::from_millis;
     Settings {
         backoff: ms(5),
-        backoff_most: ms(40),
+        backoff_max: ms(40),
         heartbeat: ms(40),
-        dead_after: PATIENCE,
+        liveness_timeout: PATIENCE,
         ..Settings::default()
     }
 }
@@ -90,8 +90,8 @@
     assert_eq!(dropped(&mut b), "a message for another node");
     assert_eq!(b.counts().received, 0);
     assert_eq!(
-        a.send(&name("gone"), &[0; LARGEST + 1]),
-        Err(SendError::TooLarge { size: LARGEST + 1, max: LARGEST })
+        a.send(&name("gone"), &[0; MESSAGE_MAX_BYTES + 1]),
+        Err(SendError::TooLarge { size: MESSAGE_MAX_BYTES + 1, max: MESSAGE_MAX_BYTES })
     );
 
     let (mut a, mut b) = (tcp("a", quick()), tcp("b", quick()));
@@ -146,12 +146,13 @@
 
 #[test]
 fn connections_past_the_bound_are_turned_away_and_places_come_back() {
-    let mut end = tcp("a", Settings { inbound: 2, connect_within: Duration::from_millis(300), ..quick() });
+    let mut end =
+        tcp("a", Settings { inbound_connections: 2, connect_timeout: Duration::from_millis(300), ..quick() });
     let idle: Vec<TcpStream> =
         (0..2).map(|_| TcpStream::connect(end.address()).expect("it listens")).collect();
     let mut third = TcpStream::connect(end.address()).expect("the kernel takes it");
     assert!(ends(&mut third));
-    assert_eq!(end.counts().turned_away, 1);
+    assert_eq!(end.counts().connections_rejected, 1);
     // Those who never say hello lose their places, and a real peer gets one.
     let mut b = tcp("b", quick());
     assert!(b.set_peer(name("a"), end.address()));
@@ -163,7 +164,7 @@
 /// Connections rest for a minute: a fleet of which each node reaches a few at a time must not wait that out.
 #[test]
 fn idle_connections_give_way_to_peers_that_have_something_to_say() {
-    let few = || Settings { outbound: 2, inbound: 2, ..quick() };
+    let few = || Settings { outbound_connections: 2, inbound_connections: 2, ..quick() };
     let mut end = tcp("end", few());
     let mut others: Vec<Tcp> = (0..8).map(|n| tcp(&format!("n{n}"), few())).collect();
     for (n, other) in others.iter_mut().enumerate() {
@@ -183,7 +184,7 @@
 
 #[test]
 fn bytes_that_wait_are_bounded_over_all_peers() {
-    let mut end = tcp("a", Settings { largest: 1000, waiting_bytes: 2500, ..quick() });
+    let mut end = tcp("a", Settings { message_max_bytes: 1000, queue_bytes: 2500, ..quick() });
     for text in ["b", "c", "d"] {
         assert!(end.set_peer(name(text), SocketAddr::from(([127, 0, 0, 1], 1))));
     }
@@ -232,18 +233,19 @@
 
 #[test]
 fn an_idle_connection_gives_its_descriptor_back_and_the_next_message_makes_one() {
-    let settings = Settings { idle: Duration::from_millis(60), ..quick() };
+    let settings = Settings { idle_timeout: Duration::from_millis(60), ..quick() };
     let (mut a, mut b) = (tcp("a", settings), tcp("b", quick()));
     assert!(a.set_peer(name("b"), b.address()));
     for round in 1..=2u8 {
         a.send(&name("b"), &[round]).expect("taken");
         assert_eq!(message(&mut b), [round]);
         let start = Instant::now();
-        while a.counts().dialled > u64::from(round) || start.elapsed() < Duration::from_millis(400) {
+        while a.counts().connections_opened > u64::from(round) || start.elapsed() < Duration::from_millis(400)
+        {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
-    assert_eq!(a.counts().dialled, 2, "one connection a message, and none between");
+    assert_eq!(a.counts().connections_opened, 2, "one connection a message, and none between");
     assert_eq!(a.counts().lost, 0);
 }
 
@@ -251,7 +253,7 @@
 fn settings_that_cannot_work_are_refused_with_the_reason() {
     let wrong = [
         Settings { window: 0, ..quick() },
-        Settings { waiting_bytes: 10, ..quick() },
+        Settings { queue_bytes: 10, ..quick() },
         Settings { heartbeat: PATIENCE, ..quick() },
         Settings { backoff: Duration::ZERO, ..quick() },
     ];
