--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_net::{Accepted, Listener, Shortage, Stream, Unregistered};
-use magpietally_os_error::retry::Pauses;
+use magpietally_os_error::retry::Backoff;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
@@ -34,14 +34,14 @@
 #[derive(Default)]
 struct ShortageState {
     since: Option<Instant>,
-    pauses: Pauses,
+    pauses: Backoff,
     logged: Option<Instant>,
 }
 
 impl ShortageState {
     fn clear(&mut self) {
         if self.since.take().is_some() {
-            self.pauses = Pauses::default();
+            self.pauses = Backoff::default();
         }
     }
 
@@ -104,7 +104,7 @@
     async fn handle_shortage(&self, listener: &Listener, shortage: &Shortage, state: &mut ShortageState) {
         state.log(shortage);
         self.release_resources(listener, shortage, state.is_lasting());
-        sleep(state.pauses.next_pause().min(SHORTAGE_WAIT)).await;
+        sleep(state.pauses.next_delay().min(SHORTAGE_WAIT)).await;
     }
 
     /// Closes idle connections to release the resource that is short. The limit on connections is reduced
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -8,7 +8,7 @@
 
 use magpietally_config::file::read_plain_within;
 use magpietally_core::ServerListing;
-use magpietally_os_error::retry::START_WITHIN;
+use magpietally_os_error::retry::STARTUP_TIMEOUT;
 use magpietally_os_error::{classify, Call};
 use magpietally_policy::Discovery;
 use magpietally_settings::ReceivedSettings;
@@ -127,7 +127,7 @@
 /// # Errors
 /// One line that names the file and the field, or the environment variable.
 pub fn load() -> Result<Config, String> {
-    let (file, value) = read_file(START_WITHIN).map_err(|e| e.to_string())?;
+    let (file, value) = read_file(STARTUP_TIMEOUT).map_err(|e| e.to_string())?;
     parse(&file, &value, |name| std::env::var(name).ok())
 }
 
@@ -143,7 +143,7 @@
 impl ConfigError {
     /// Returns whether reading the file may succeed a moment later.
     pub fn is_transient(&self) -> bool {
-        matches!(self, Self::Read(_, error) if classify(Call::File, error).may_pass())
+        matches!(self, Self::Read(_, error) if classify(Call::File, error).is_transient())
     }
 }
 
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -9,7 +9,7 @@
 use magpietally_core::{AdmissionControl, Core, Lifecycle, Process, Setup};
 use magpietally_ledger::Ledger;
 use magpietally_net::{listen, Listener};
-use magpietally_os_error::retry::{self, Pauses};
+use magpietally_os_error::retry::{self, Backoff};
 use magpietally_os_error::Call;
 use magpietally_policy::SettingsError;
 use tokio::task::{spawn_local, LocalSet};
@@ -247,7 +247,7 @@
 
 /// Reads the new configuration, retrying until its file can be read.
 async fn read_new_config() -> Result<Config, ConfigError> {
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     let mut logged = false;
     loop {
         match config::reload() {
@@ -255,7 +255,7 @@
                 if !std::mem::replace(&mut logged, true) {
                     tracing::warn!(target: "reload", "{error}; retrying");
                 }
-                tokio::time::sleep(pauses.next_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
             ended => return ended,
         }
--- a/crates/http/src/signals.rs
+++ b/crates/http/src/signals.rs
@@ -100,7 +100,7 @@
                 Ok(_) => return,
                 Err(error) => error,
             };
-            match interruptions.bound(classify(Call::Stream, &error)) {
+            match interruptions.limit(classify(Call::Stream, &error)) {
                 Class::TryAgain => {}
                 Class::WaitForReadiness => return ready.clear_ready(),
                 _ => return sleep(READ_RETRY_DELAY).await,
--- a/crates/ledger/src/disk.rs
+++ b/crates/ledger/src/disk.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind};
 use std::path::Path;
 
-use magpietally_os_error::retry::{self, FILE_WITHIN};
+use magpietally_os_error::retry::{self, FILE_TIMEOUT};
 use magpietally_os_error::Call;
 use magpietally_store::disk::replace_file;
 pub use magpietally_store::disk::{Disk, Folder, Lock};
@@ -75,6 +75,6 @@
 pub fn whose(folder: &Path) -> Result<Identity, Refused> {
     let read = || std::fs::read_to_string(folder.join(IDENTITY));
     let text =
-        retry::within(FILE_WITHIN, Call::File, IDENTITY, read).map_err(|e| Refused::Io(IDENTITY, e))?;
+        retry::within(FILE_TIMEOUT, Call::File, IDENTITY, read).map_err(|e| Refused::Io(IDENTITY, e))?;
     Identity::read(&text).map_err(Refused::Identity)
 }
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-use magpietally_os_error::retry::{Interruptions, Pauses};
+use magpietally_os_error::retry::{Backoff, Interruptions};
 use magpietally_os_error::{classify, Call, Class};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
@@ -47,7 +47,7 @@
 /// # Errors
 /// Whose fault it is that there is no connection.
 pub async fn connect(to: SocketAddr) -> Result<Stream, DialError> {
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     let mut tries = 0;
     loop {
         let error = match begin(to) {
@@ -57,7 +57,7 @@
         tries += 1;
         match classify(Call::Connect, &error) {
             Class::TryAgain | Class::OutOfResources if tries < TRIES => {
-                tokio::time::sleep(pauses.next_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
             Class::TryAgain | Class::OutOfResources | Class::Permanent => {
                 return Err(DialError::Lacking(error));
@@ -72,7 +72,7 @@
     let socket = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
     let mut interruptions = Interruptions::default();
     while let Err(error) = socket.connect(&to.into()) {
-        match interruptions.bound(classify(Call::Connect, &error)) {
+        match interruptions.limit(classify(Call::Connect, &error)) {
             // An interrupted call may have begun the connection all the same; the next tells (EALREADY, EISCONN).
             Class::TryAgain => {}
             Class::WaitForReadiness => break,
--- a/crates/net/src/register.rs
+++ b/crates/net/src/register.rs
@@ -5,7 +5,7 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
-use magpietally_os_error::retry::Pauses;
+use magpietally_os_error::retry::Backoff;
 use magpietally_os_error::{classify, Call, Class};
 use tokio::io::unix::AsyncFd;
 
@@ -35,12 +35,12 @@
     /// The last error, where it does not; the descriptor is closed then.
     pub async fn retry(self) -> io::Result<AsyncFd<T>> {
         let began = Instant::now();
-        let mut pauses = Pauses::default();
+        let mut pauses = Backoff::default();
         let mut failed = self;
         loop {
             match classify(Call::Create, &failed.error) {
                 Class::TryAgain | Class::OutOfResources if began.elapsed() < REGISTER_WITHIN => {
-                    tokio::time::sleep(pauses.next_pause().min(PAUSE_MOST)).await;
+                    tokio::time::sleep(pauses.next_delay().min(PAUSE_MOST)).await;
                 }
                 _ => return Err(failed.error),
             }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -189,7 +189,7 @@
         let mut interruptions = Interruptions::default();
         loop {
             let Err(error) = SockRef::from(self.socket()).peek(&mut byte) else { return false };
-            match interruptions.bound(classify(Call::Stream, &error)) {
+            match interruptions.limit(classify(Call::Stream, &error)) {
                 Class::TryAgain => {}
                 class => return class == Class::WaitForReadiness,
             }
@@ -245,7 +245,7 @@
             }
             Err(error) => error,
         };
-        match interruptions.bound(classify(Call::Stream, &error)) {
+        match interruptions.limit(classify(Call::Stream, &error)) {
             Class::TryAgain => {}
             Class::WaitForReadiness => {
                 direction.errors_since.set(None);
--- a/crates/os_error/src/classify.rs
+++ b/crates/os_error/src/classify.rs
@@ -38,7 +38,7 @@
 
 impl Class {
     /// May the same call succeed a moment later, with nothing changed by its caller?
-    pub fn may_pass(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, Self::TryAgain | Self::OutOfResources)
     }
 }
--- a/crates/os_error/src/retry.rs
+++ b/crates/os_error/src/retry.rs
@@ -6,29 +6,29 @@
 use crate::{classify, Call, Class};
 
 /// How long a start waits for what it needs: a process that is started again and again in less would help nobody.
-pub const START_WITHIN: Duration = Duration::from_secs(8);
+pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long something that runs on anyway waits for a file.
-pub const FILE_WITHIN: Duration = Duration::from_millis(500);
+pub const FILE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The first pause before a call is repeated, and the longest: each is twice the one before.
 const PAUSE: Duration = Duration::from_millis(2);
 const PAUSE_MOST: Duration = Duration::from_millis(100);
 
-/// Pauses between repeated calls, each twice as long as the one before.
+/// Backoff between repeated calls, each twice as long as the one before.
 #[derive(Debug)]
-pub struct Pauses {
+pub struct Backoff {
     next: Duration,
 }
 
-impl Default for Pauses {
+impl Default for Backoff {
     fn default() -> Self {
         Self { next: PAUSE }
     }
 }
 
-impl Pauses {
+impl Backoff {
     /// The next pause.
-    pub fn next_pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.next;
         self.next = (self.next * 2).min(PAUSE_MOST);
         pause
@@ -48,7 +48,7 @@
 impl Interruptions {
     /// The class of the call's latest error: after many interruptions in a row as if it lacked something, so that the caller
     /// pauses.
-    pub fn bound(&mut self, class: Class) -> Class {
+    pub fn limit(&mut self, class: Class) -> Class {
         if class != Class::TryAgain {
             return class;
         }
@@ -86,7 +86,7 @@
     mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let began = Instant::now();
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     loop {
         let error = match call() {
             Ok(value) => return Ok(value),
@@ -95,7 +95,7 @@
         match classify(kind, &error) {
             Class::TryAgain => {}
             Class::OutOfResources if began.elapsed() < span => {
-                let pause = pauses.next_pause();
+                let pause = pauses.next_delay();
                 tracing::warn!(target: "retry", "{what}: {error}; tried again in {} ms", pause.as_millis());
                 std::thread::sleep(pause);
             }
@@ -109,7 +109,7 @@
 /// # Errors
 /// The call's last error.
 pub fn at_start<T>(kind: Call, what: &str, call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    within(START_WITHIN, kind, what, call)
+    within(STARTUP_TIMEOUT, kind, what, call)
 }
 
 /// Starts a thread, which may lack the memory or the room for one at first.
--- a/crates/os_error/src/retry/tests.rs
+++ b/crates/os_error/src/retry/tests.rs
@@ -1,7 +1,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use super::{interrupted, spawn, within, Interruptions, Pauses, INTERRUPTIONS_MOST};
+use super::{interrupted, spawn, within, Backoff, Interruptions, INTERRUPTIONS_MOST};
 use crate::{Call, Class};
 
 /// Fails with each of these in turn, and then succeeds.
@@ -39,18 +39,18 @@
 #[test]
 fn interruptions_in_a_row_end_in_a_pause() {
     let mut interruptions = Interruptions::default();
-    assert_eq!(interruptions.bound(Class::WaitForReadiness), Class::WaitForReadiness);
+    assert_eq!(interruptions.limit(Class::WaitForReadiness), Class::WaitForReadiness);
     for _ in 1..INTERRUPTIONS_MOST {
-        assert_eq!(interruptions.bound(Class::TryAgain), Class::TryAgain);
+        assert_eq!(interruptions.limit(Class::TryAgain), Class::TryAgain);
     }
-    assert_eq!(interruptions.bound(Class::TryAgain), Class::OutOfResources);
-    assert_eq!(interruptions.bound(Class::ConnectionOver), Class::ConnectionOver);
+    assert_eq!(interruptions.limit(Class::TryAgain), Class::OutOfResources);
+    assert_eq!(interruptions.limit(Class::ConnectionOver), Class::ConnectionOver);
 }
 
 #[test]
 fn pauses_grow_up_to_a_bound() {
-    let mut pauses = Pauses::default();
-    let all: Vec<_> = (0..12).map(|_| pauses.next_pause()).collect();
+    let mut pauses = Backoff::default();
+    let all: Vec<_> = (0..12).map(|_| pauses.next_delay()).collect();
     assert!(all.windows(2).all(|pair| pair[0] <= pair[1]), "{all:?}");
     assert_eq!(all.last(), Some(&super::PAUSE_MOST));
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use magpietally_os_error::retry::{self, FILE_WITHIN};
+use magpietally_os_error::retry::{self, FILE_TIMEOUT};
 use magpietally_os_error::Call;
 
 /// A directory of files that only grow.
@@ -102,13 +102,13 @@
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        let folder = retry::within(FILE_WITHIN, Call::File, "a folder", || File::open(&self.path))?;
+        let folder = retry::within(FILE_TIMEOUT, Call::File, "a folder", || File::open(&self.path))?;
         retry::interrupted(|| folder.sync_all())
     }
 
     fn names(&mut self) -> io::Result<Vec<String>> {
         // Nothing is changed by looking, so it may be looked at again.
-        retry::within(FILE_WITHIN, Call::File, "a folder", || {
+        retry::within(FILE_TIMEOUT, Call::File, "a folder", || {
             let mut names = Vec::new();
             for entry in std::fs::read_dir(&self.path)? {
                 // A name that is no text is none of ours.
@@ -120,7 +120,7 @@
 
     fn read(&mut self, name: &str, from: u64, to: &mut [u8]) -> io::Result<usize> {
         // A place that can't be read for a moment must not pass for one that is damaged: what it holds would be forgotten.
-        retry::within(FILE_WITHIN, Call::File, name, || {
+        retry::within(FILE_TIMEOUT, Call::File, name, || {
             let mut file = match self.reads.take() {
                 Some((open, file)) if open == name => file,
                 _ => File::open(self.path.join(name))?,
@@ -193,7 +193,7 @@
             open.or_else(|error| File::open(&path).map_err(|_| error))
         };
         let mut file =
-            retry::within(FILE_WITHIN, Call::File, LOCK, open).map_err(|e| Refused::Io(LOCK, e))?;
+            retry::within(FILE_TIMEOUT, Call::File, LOCK, open).map_err(|e| Refused::Io(LOCK, e))?;
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -7,7 +7,7 @@
 pub mod site;
 
 use magpietally_config::file::{read_plain_within, read_text};
-use magpietally_os_error::retry::START_WITHIN;
+use magpietally_os_error::retry::STARTUP_TIMEOUT;
 use serde::de::DeserializeOwned;
 
 /// How a subcommand ends: well, failed, or used wrongly.
@@ -47,7 +47,7 @@
 /// One line that names the file, and the line or the field.
 pub fn toml_file<T: DeserializeOwned>(file: &str, most: usize) -> Result<T, Failure> {
     let text =
-        read_plain_within(START_WITHIN, file.as_ref(), most).map_err(|e| wrong(file, &[e.to_string()]))?;
+        read_plain_within(STARTUP_TIMEOUT, file.as_ref(), most).map_err(|e| wrong(file, &[e.to_string()]))?;
     toml::from_str(&text).map_err(|error| {
         let line =
             error.span().map_or(1, |span| 1 + text[..span.start.min(text.len())].matches('\n').count());
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 
 use magpietally_config::fleet_policy::{self, Ground};
 use magpietally_consensus as consensus;
-use magpietally_os_error::retry::{self, Pauses, START_WITHIN};
+use magpietally_os_error::retry::{self, Backoff, STARTUP_TIMEOUT};
 use magpietally_os_error::{classify, Call};
 use magpietally_policy_change::PolicyChange;
 use magpietally_quota::Quota;
@@ -105,12 +105,12 @@
 /// Opens the store; a disk that fails or is full for a moment is waited for.
 fn open_store(place: &Path, owner: &str) -> Result<(Log<Folder>, Recovered), StoreError> {
     let began = Instant::now();
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     loop {
         match Log::<Folder>::open_dir(place, owner) {
-            Err(error) if may_pass(&error) && began.elapsed() < START_WITHIN => {
+            Err(error) if may_pass(&error) && began.elapsed() < STARTUP_TIMEOUT => {
                 tracing::warn!(target: "fleet", "{}: {error}; opened again", place.display());
-                std::thread::sleep(pauses.next_pause());
+                std::thread::sleep(pauses.next_delay());
             }
             ended => return ended,
         }
@@ -120,7 +120,7 @@
 fn may_pass(error: &StoreError) -> bool {
     match error {
         StoreError::Full => true,
-        StoreError::Io(_, error) => classify(Call::File, error).may_pass(),
+        StoreError::Io(_, error) => classify(Call::File, error).is_transient(),
         _ => false,
     }
 }
