--- a/crates/http/src/clients/accept.rs
+++ b/crates/http/src/clients/accept.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use magpietally_net::{Accepted, Listener, Shortage, Stream, Unregistered};
+use magpietally_net::{Accepted, Listener, RegisterError, Shortage, Stream};
 use magpietally_os_error::retry::Backoff;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
@@ -111,10 +111,10 @@
     /// only while the process's own descriptors stay short: the next connection of the backlog would
     /// otherwise take whatever becomes free.
     fn release_resources(&self, listener: &Listener, shortage: &Shortage, lasting: bool) {
-        if shortage.is_of_own_descriptors() || lasting {
+        if shortage.is_process_descriptor_limit() || lasting {
             self.node.transport().pool.evict_idle();
         }
-        if shortage.is_of_own_descriptors() && lasting && !listener.has_spare_descriptor() {
+        if shortage.is_process_descriptor_limit() && lasting && !listener.has_spare_descriptor() {
             let limit = self.count().saturating_sub(RESERVED_DESCRIPTORS);
             self.reduction.set(self.max.saturating_sub(limit.max(1)));
         }
@@ -196,7 +196,7 @@
         }
     }
 
-    async fn register(&self, unregistered: Unregistered<TcpStream>) -> Option<Stream> {
+    async fn register(&self, unregistered: RegisterError<TcpStream>) -> Option<Stream> {
         self.log(|| tracing::warn!(target: "accept", "poller registration delayed: {}", unregistered.error));
         match unregistered.retry().await {
             Ok(registered) => Some(Stream::from(registered)),
@@ -211,7 +211,7 @@
     /// Starts the task of a connection, whose first bytes may have waited unread since `unread_since`.
     fn start_serving(self: &Rc<Self>, stream: Stream, unread_since: Option<Instant>) {
         if let Some(since) = unread_since {
-            stream.delayed_since(since);
+            stream.mark_delayed_since(since);
         }
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -8,7 +8,7 @@
 
 use hyper::client::conn::http1::{self, Connection, SendRequest};
 use magpietally_core::{Endpoint, LogLimiter, Metrics};
-use magpietally_net::DialError;
+use magpietally_net::ConnectError;
 use magpietally_policy::{Millis, Outcome, ServerId};
 use tokio::time::timeout;
 
@@ -236,14 +236,14 @@
         let descriptor = Descriptor(self.open.clone());
         let stream = match timeout(self.connect_timeout, magpietally_net::connect(endpoint.address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(DialError::Lacking(error))) => {
+            Ok(Err(ConnectError::Local(error))) => {
                 self.sample.log(
                     || tracing::warn!(target: "connect", "{}: no local resources: {error}", endpoint.address),
                 );
                 self.evict_idle();
                 return Err(Outcome::NotSent);
             }
-            Ok(Err(DialError::Failed(error))) => {
+            Ok(Err(ConnectError::Remote(error))) => {
                 self.sample.log(|| tracing::info!(target: "connect", "{}: {error}", endpoint.address));
                 return Err(failed_connect(&error));
             }
--- a/crates/http/src/watched_stream.rs
+++ b/crates/http/src/watched_stream.rs
@@ -204,7 +204,7 @@
         if phase == ConnectionPhase::Answering {
             self.responses.set(self.responses.get() + 1);
             // Bytes that are still unread do not belong to this request.
-            self.inner.caught_up();
+            self.inner.clear_delay();
         }
     }
 
@@ -293,7 +293,7 @@
     /// Like [`Self::is_quiet`], but by the runtime's readiness, which costs no system call and may be one
     /// iteration of the event loop old.
     pub fn is_quiet_cached(&self) -> bool {
-        self.inner.seems_quiet()
+        self.inner.is_quiet_cached()
     }
 
     /// Returns whether nothing follows what was read last: the last read found nothing, or the kernel says
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/connect.rs
@@ -17,27 +17,27 @@
 
 /// Why there is no connection.
 #[derive(Debug)]
-pub enum DialError {
+pub enum ConnectError {
     /// This end lacks a descriptor, a port, a route, or memory. It says nothing of the other.
-    Lacking(io::Error),
+    Local(io::Error),
     /// The other end, or the way there.
-    Failed(io::Error),
+    Remote(io::Error),
 }
 
-impl fmt::Display for DialError {
+impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Lacking(error) | Self::Failed(error) => error.fmt(f),
+            Self::Local(error) | Self::Remote(error) => error.fmt(f),
         }
     }
 }
 
-impl std::error::Error for DialError {}
+impl std::error::Error for ConnectError {}
 
-impl From<DialError> for io::Error {
-    fn from(error: DialError) -> Self {
+impl From<ConnectError> for io::Error {
+    fn from(error: ConnectError) -> Self {
         match error {
-            DialError::Lacking(error) | DialError::Failed(error) => error,
+            ConnectError::Local(error) | ConnectError::Remote(error) => error,
         }
     }
 }
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Whose fault it is that there is no connection.
-pub async fn connect(to: SocketAddr) -> Result<Stream, DialError> {
+pub async fn connect(to: SocketAddr) -> Result<Stream, ConnectError> {
     let mut pauses = Backoff::default();
     let mut tries = 0;
     loop {
@@ -60,9 +60,9 @@
                 tokio::time::sleep(pauses.next_delay()).await;
             }
             Class::TryAgain | Class::OutOfResources | Class::Permanent => {
-                return Err(DialError::Lacking(error));
+                return Err(ConnectError::Local(error));
             }
-            Class::WaitForReadiness | Class::ConnectionOver => return Err(DialError::Failed(error)),
+            Class::WaitForReadiness | Class::ConnectionOver => return Err(ConnectError::Remote(error)),
         }
     }
 }
@@ -83,16 +83,16 @@
 }
 
 /// Waits until a socket is connected.
-async fn finish(socket: TcpStream) -> Result<Stream, DialError> {
+async fn finish(socket: TcpStream) -> Result<Stream, ConnectError> {
     let registered = match register(socket) {
         Ok(registered) => registered,
-        Err(failed) => failed.retry().await.map_err(DialError::Lacking)?,
+        Err(failed) => failed.retry().await.map_err(ConnectError::Local)?,
     };
-    registered.writable().await.map_err(DialError::Lacking)?.retain_ready();
+    registered.writable().await.map_err(ConnectError::Local)?.retain_ready();
     match connect_error(registered.get_ref()) {
         Ok(None) => Ok(Stream::from(registered)),
-        Ok(Some(error)) => Err(DialError::Failed(error)),
-        Err(error) => Err(DialError::Lacking(error)),
+        Ok(Some(error)) => Err(ConnectError::Remote(error)),
+        Err(error) => Err(ConnectError::Local(error)),
     }
 }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -9,14 +9,14 @@
 //! - [`Listener`]: accepts connections, and says what accepting lacks.
 //! - [`register`]: gives a descriptor to the poll, and gives it back where that fails.
 
-mod dial;
+mod connect;
 mod listener;
 mod register;
 mod stream;
 
-pub use dial::{connect, DialError};
+pub use connect::{connect, ConnectError};
 pub use listener::{listen, Accepted, Listener, Shortage};
-pub use register::{register, Unregistered};
+pub use register::{register, RegisterError};
 pub use stream::Stream;
 
 #[cfg(test)]
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -40,7 +40,7 @@
 
 impl Shortage {
     /// Has the process as many descriptors as it may have? Anything else is short for the whole machine.
-    pub fn is_of_own_descriptors(&self) -> bool {
+    pub fn is_process_descriptor_limit(&self) -> bool {
         self.error.raw_os_error() == Some(libc::EMFILE)
     }
 }
--- a/crates/net/src/register.rs
+++ b/crates/net/src/register.rs
@@ -15,20 +15,20 @@
 const PAUSE_MOST: Duration = Duration::from_millis(10);
 
 /// A descriptor that could not be registered, and is still open.
-pub struct Unregistered<T> {
+pub struct RegisterError<T> {
     /// The descriptor.
     pub inner: T,
     /// Why.
     pub error: io::Error,
 }
 
-impl<T> fmt::Debug for Unregistered<T> {
+impl<T> fmt::Debug for RegisterError<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Unregistered").field("error", &self.error).finish_non_exhaustive()
+        f.debug_struct("RegisterError").field("error", &self.error).finish_non_exhaustive()
     }
 }
 
-impl<T: AsRawFd> Unregistered<T> {
+impl<T: AsRawFd> RegisterError<T> {
     /// Tries again, with pauses, for as long as the lack of memory or watches may pass.
     ///
     /// # Errors
@@ -59,9 +59,9 @@
 // The deprecation asks for an `unsafe` call, as a type could close its descriptor while it is registered. The types that are
 // registered here, sockets of the standard library, keep theirs open until they are dropped.
 #[allow(deprecated)]
-pub fn register<T: AsRawFd>(inner: T) -> Result<AsyncFd<T>, Unregistered<T>> {
+pub fn register<T: AsRawFd>(inner: T) -> Result<AsyncFd<T>, RegisterError<T>> {
     AsyncFd::try_new(inner).map_err(|failed| {
         let (inner, error) = failed.into_parts();
-        Unregistered { inner, error }
+        RegisterError { inner, error }
     })
 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-use crate::register::{register, Unregistered};
+use crate::register::{register, RegisterError};
 
 /// How long a call rests that the kernel had no memory for, or that is interrupted over and over. Nothing tells when to go on.
 const NO_MEMORY_REST: Duration = Duration::from_millis(2);
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// The connection, still open, with the system's error.
-    pub fn new(socket: TcpStream) -> Result<Self, Unregistered<TcpStream>> {
+    pub fn new(socket: TcpStream) -> Result<Self, RegisterError<TcpStream>> {
         register(socket).map(Self::from)
     }
 
@@ -146,18 +146,18 @@
         self.drained.set(class == Some(Class::WaitForReadiness));
         match class {
             Some(Class::WaitForReadiness) => self.unread_since.set(None),
-            Some(_) => self.delayed_since(Instant::now()),
+            Some(_) => self.mark_delayed_since(Instant::now()),
             None => {}
         }
     }
 
     /// Its bytes may have waited since then.
-    pub fn delayed_since(&self, since: Instant) {
+    pub fn mark_delayed_since(&self, since: Instant) {
         self.unread_since.set(Some(self.unread_since.get().map_or(since, |known| known.min(since))));
     }
 
     /// The bytes that still wait are not those that were delayed.
-    pub fn caught_up(&self) {
+    pub fn clear_delay(&self) {
         self.unread_since.set(None);
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// The same by what the runtime knows, which costs no call and may be a turn of its loop old.
-    pub fn seems_quiet(&self) -> bool {
+    pub fn is_quiet_cached(&self) -> bool {
         let mut nobody = Context::from_waker(Waker::noop());
         let known = self.registered.poll_read_ready(&mut nobody);
         known.is_pending() || self.is_quiet()
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -4,7 +4,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-use crate::{connect, listen, register, DialError, Listener, Stream};
+use crate::{connect, listen, register, ConnectError, Listener, Stream};
 
 /// Runs to its end, which must come.
 fn play<T>(story: impl Future<Output = T>) -> T {
@@ -28,7 +28,7 @@
 fn bytes_go_both_ways_up_to_the_end() {
     play(async {
         let (mut near, mut far) = pair().await;
-        assert!(near.is_quiet() && near.seems_quiet());
+        assert!(near.is_quiet() && near.is_quiet_cached());
         let sent = vec![7; 100_000];
         let write = async {
             far.write_all(&sent).await.expect("it is open");
@@ -64,7 +64,7 @@
         let nowhere_else: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
         socket.bind(&nowhere_else.into()).expect("a port");
         let refusing = socket.local_addr().expect("bound").as_socket().expect("an address");
-        assert!(matches!(connect(refusing).await, Err(DialError::Failed(_))));
+        assert!(matches!(connect(refusing).await, Err(ConnectError::Remote(_))));
     });
 }
 
