--- a/crates/contracts/src/store/clauses.rs
+++ b/crates/contracts/src/store/clauses.rs
@@ -1,6 +1,6 @@
 //! The clauses, one by one.
 
-use magpietally_store::{Recovered, Seq, Store, StoreError, RECORD_MAX};
+use magpietally_store::{Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
 use super::course::{broken, play, sound, OrBreaks, Step};
 use super::{Broken, Clause, Place, Trouble};
@@ -72,7 +72,7 @@
 fn oversized<P: Place>() -> Result<bool, Broken> {
     let clause = Clause::OversizedRefusedWhole;
     let (place, mut store, mut all) = filled::<P>(clause, 2)?;
-    let large = vec![7; RECORD_MAX + 1];
+    let large = vec![7; RECORD_MAX_BYTES + 1];
     match store.append(&large) {
         Err(StoreError::TooLarge { size }) if size == large.len() => {}
         other => return broken(clause, format!("{} bytes: {other:?}", large.len())),
@@ -144,7 +144,7 @@
     let clause = Clause::OneOpens;
     let (place, store, all) = filled::<P>(clause, 3)?;
     match place.open() {
-        Err(StoreError::Held(_)) => {}
+        Err(StoreError::Locked(_)) => {}
         Err(other) => return broken(clause, format!("a second opening: {other}")),
         Ok(_) => return broken(clause, "two have it open"),
     }
@@ -160,7 +160,7 @@
         return Ok(false);
     }
     match place.open() {
-        Err(StoreError::Missing(_)) => Ok(true),
+        Err(StoreError::MissingDirectory(_)) => Ok(true),
         Err(other) => broken(clause, format!("said was: {other}")),
         Ok(_) => broken(clause, "it opened"),
     }
@@ -198,12 +198,12 @@
         if last < 3 || (left.torn && last > 3) {
             return broken(clause, format!("{at}: {last} records, three were promised"));
         }
-        if left.torn != got.cut.is_some() {
-            return broken(clause, format!("{at}: torn is {}, said was {:?}", left.torn, got.cut));
+        if left.torn != got.torn_tail.is_some() {
+            return broken(clause, format!("{at}: torn is {}, said was {:?}", left.torn, got.torn_tail));
         }
         drop(store);
         let (_, again) = left.place.open().breaks(clause, at)?;
-        if again.cut.is_some() || again.records != got.records {
+        if again.torn_tail.is_some() || again.records != got.records {
             return broken(clause, format!("{at}: opened again it gave {again:?}"));
         }
         Ok(())
@@ -267,7 +267,7 @@
         return Ok(false);
     }
     let doubted = |what: &str, got: Result<(), StoreError>| match got {
-        Err(StoreError::Doubted(_)) => Ok(()),
+        Err(StoreError::ReopenRequired(_)) => Ok(()),
         other => broken(clause, format!("{what}: {other:?}")),
     };
     doubted("the sync that fails", store.sync())?;
@@ -327,7 +327,7 @@
         flips += 1;
         let at = &left.moment;
         let got = match left.place.open() {
-            Err(StoreError::Damaged { .. }) => return Ok(()),
+            Err(StoreError::Corrupted { .. }) => return Ok(()),
             Err(other) => return broken(clause, format!("{at}: {other}")),
             Ok((_, got)) => got,
         };
@@ -337,9 +337,12 @@
             return broken(clause, format!("{at}: an altered snapshot"));
         }
         // Nothing can tell the flip of the very last from a tear, but it must be said.
-        let least = all.len() as u64 - u64::from(got.cut.is_some());
+        let least = all.len() as u64 - u64::from(got.torn_tail.is_some());
         if last < least {
-            return broken(clause, format!("{at}: {last} of {} records, said was {:?}", all.len(), got.cut));
+            return broken(
+                clause,
+                format!("{at}: {last} of {} records, said was {:?}", all.len(), got.torn_tail),
+            );
         }
         Ok(())
     })?;
--- a/crates/contracts/src/store/course.rs
+++ b/crates/contracts/src/store/course.rs
@@ -135,7 +135,7 @@
     let (store, again) = left.place.open().breaks(clause, at)?;
     let mut wanted = got;
     wanted.records.push((seq, b"next".to_vec()));
-    wanted.cut = None;
+    wanted.torn_tail = None;
     if again != wanted || store.last() != seq {
         return broken(clause, format!("{at}: opened once more it gave {again:?} for {wanted:?}"));
     }
--- a/crates/contracts/src/store/places.rs
+++ b/crates/contracts/src/store/places.rs
@@ -130,7 +130,7 @@
     }
 
     fn open(&self) -> Result<(Log<SimDisk>, Recovered), StoreError> {
-        Log::open_sized(self.0.clone(), OWNER, SEGMENT_BYTES)
+        Log::open_with_segment_bytes(self.0.clone(), OWNER, SEGMENT_BYTES)
     }
 
     fn mark(&self, what: usize) {
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -4,9 +4,9 @@
 
 use magpietally_contracts::store::places::{sim_crashes, sim_flips, sim_tears, sim_trouble};
 use magpietally_contracts::store::{check, Broken, Clause, Place, Trouble, Visit};
-use magpietally_store::disk::{Disk, Refused};
+use magpietally_store::disk::{Disk, LockError};
 use magpietally_store::sim::{SimDisk, SimFile};
-use magpietally_store::{Log, Recovered, Seq, Store, StoreError, RECORD_MAX};
+use magpietally_store::{Log, Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
 const ACKNOWLEDGES_BEFORE_SYNC: usize = 0;
 const IGNORES_A_TORN_TAIL: usize = 1;
@@ -30,17 +30,17 @@
     type File = SimFile;
     type Lock = Option<<SimDisk as Disk>::Lock>;
 
-    fn lock(&mut self) -> Result<Self::Lock, Refused> {
+    fn lock(&mut self) -> Result<Self::Lock, LockError> {
         match self.0.lock() {
-            Err(Refused::Held(_)) if FAULT == LETS_TWO_OPEN => Ok(None),
-            Err(Refused::Io(..)) if FAULT == MAKES_WHAT_IS_MISSING => Ok(None),
+            Err(LockError::Locked(_)) if FAULT == LETS_TWO_OPEN => Ok(None),
+            Err(LockError::Io(..)) if FAULT == MAKES_WHAT_IS_MISSING => Ok(None),
             other => other.map(Some),
         }
     }
 
     fn create(&mut self, name: &str) -> io::Result<SimFile> {
         if FAULT == DROPS_BEFORE_THE_SNAPSHOT && name.starts_with("snapshot") {
-            for old in self.0.names()? {
+            for old in self.0.file_names()? {
                 let _ = self.0.remove(&old);
             }
         }
@@ -59,15 +59,15 @@
         self.0.sync(file)
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         if FAULT == NAMES_NOT_SYNCED {
             return Ok(());
         }
-        self.0.sync_names()
+        self.0.sync_directory()
     }
 
-    fn names(&mut self) -> io::Result<Vec<String>> {
-        self.0.names()
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
+        self.0.file_names()
     }
 
     fn read(&mut self, name: &str, from: u64, to: &mut [u8]) -> io::Result<usize> {
@@ -88,7 +88,7 @@
 impl<const FAULT: usize> Store for BadStore<FAULT> {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         let record = match FAULT {
-            CUTS_THE_OVERSIZED => &record[..record.len().min(RECORD_MAX)],
+            CUTS_THE_OVERSIZED => &record[..record.len().min(RECORD_MAX_BYTES)],
             SKIPS_EMPTY_RECORDS if record.is_empty() => return Ok(Seq(self.log.last().0 + 1)),
             _ => record,
         };
@@ -104,7 +104,7 @@
     fn sync(&mut self) -> Result<(), StoreError> {
         let was = std::mem::replace(&mut self.doubted, true);
         match self.log.sync() {
-            Err(StoreError::Doubted(_)) if FAULT == TRUSTS_A_SECOND_SYNC && was => Ok(()),
+            Err(StoreError::ReopenRequired(_)) if FAULT == TRUSTS_A_SECOND_SYNC && was => Ok(()),
             other => {
                 self.doubted = other.is_err();
                 other
@@ -132,17 +132,18 @@
     }
 
     fn open(&self) -> Result<(BadStore<FAULT>, Recovered), StoreError> {
-        let (log, mut got) = match Log::open_sized(BadDisk(self.0.clone()), "node-1", 200) {
-            Err(StoreError::Damaged { .. }) if FAULT == GIVES_OUT_A_FLIPPED_RECORD => {
+        let (log, mut got) = match Log::open_with_segment_bytes(BadDisk(self.0.clone()), "node-1", 200) {
+            Err(StoreError::Corrupted { .. }) if FAULT == GIVES_OUT_A_FLIPPED_RECORD => {
                 // As a store without checksums does: what lies there is what it gives out.
-                let (log, mut got) = Log::open_sized(BadDisk(SimDisk::default()), "node-1", 200)?;
+                let (log, mut got) =
+                    Log::open_with_segment_bytes(BadDisk(SimDisk::default()), "node-1", 200)?;
                 got.records.push((Seq(1), b"altered".to_vec()));
                 (log, got)
             }
             other => other?,
         };
         match FAULT {
-            IGNORES_A_TORN_TAIL => got.cut = None,
+            IGNORES_A_TORN_TAIL => got.torn_tail = None,
             LEAVES_A_GAP if got.records.len() > 20 => drop(got.records.remove(10)),
             _ => {}
         }
--- a/crates/contracts/tests/stores.rs
+++ b/crates/contracts/tests/stores.rs
@@ -32,7 +32,7 @@
     if let Ok(path) = std::env::var(CHILD) {
         // The other process: it says by its end what it met.
         let met = magpietally_store::Log::open_dir(path.as_ref(), "node-1");
-        std::process::exit(if matches!(met, Err(StoreError::Held(_))) { 41 } else { 42 });
+        std::process::exit(if matches!(met, Err(StoreError::Locked(_))) { 41 } else { 42 });
     }
     let place = Directory::fresh();
     let (mut store, _) = place.open().expect("opens");
--- a/crates/ledger/src/dir.rs
+++ b/crates/ledger/src/dir.rs
@@ -27,7 +27,7 @@
 /// The disk's.
 pub fn segments(disk: &mut impl Disk) -> io::Result<(BTreeMap<u64, String>, Vec<String>)> {
     let (mut found, mut copies) = (BTreeMap::new(), Vec::new());
-    for name in disk.names()? {
+    for name in disk.file_names()? {
         match number_in(&name) {
             Some(number) => {
                 found.insert(number, name);
--- a/crates/ledger/src/disk.rs
+++ b/crates/ledger/src/disk.rs
@@ -38,11 +38,11 @@
 
 impl std::error::Error for Refused {}
 
-impl From<magpietally_store::disk::Refused> for Refused {
-    fn from(why: magpietally_store::disk::Refused) -> Self {
+impl From<magpietally_store::disk::LockError> for Refused {
+    fn from(why: magpietally_store::disk::LockError) -> Self {
         match why {
-            magpietally_store::disk::Refused::Held(by) => Self::Held(by),
-            magpietally_store::disk::Refused::Io(what, error) => Self::Io(what, error),
+            magpietally_store::disk::LockError::Locked(by) => Self::Held(by),
+            magpietally_store::disk::LockError::Io(what, error) => Self::Io(what, error),
         }
     }
 }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -415,7 +415,7 @@
 /// Copies damaged bytes to a file of their own, which retention does not know: `NUMBER-FROM.kept`.
 fn keep_aside<D: Disk>(disk: &mut D, segment: u64, from: u64, to: u64) -> io::Result<()> {
     let aside = format!("{segment:020}-{from}.kept");
-    let names = disk.names()?;
+    let names = disk.file_names()?;
     if names.contains(&aside) || names.iter().filter(|n| n.ends_with(".kept")).count() >= KEPT_MOST.0 {
         return Ok(());
     }
@@ -444,7 +444,7 @@
 /// The same with the file's name.
 fn sync_whole<D: Disk>(disk: &mut D, file: &mut D::File, done: &mut Done) -> Result<(), Fault> {
     sync(disk, file, done)?;
-    disk.sync_names().map_err(|error| Fault { at: "sync of the directory", error })
+    disk.sync_directory().map_err(|error| Fault { at: "sync of the directory", error })
 }
 
 /// Adds bytes, so that the promise holds for them.
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -193,7 +193,7 @@
         let folder = &options.directory;
         retry::at_start(Call::File, "directory", || std::fs::create_dir_all(folder))
             .map_err(|e| StartError::Io("directory", e))?;
-        let lock = Lock::take(folder).map_err(|why| StartError::Refused(why.into()))?;
+        let lock = Lock::acquire(folder).map_err(|why| StartError::Refused(why.into()))?;
         let owner = identity(folder, node).map_err(StartError::Refused)?;
         let opened = Journal::open(Folder::new(folder), owner, options.keeping);
         let (journal, recovered) = opened.map_err(|e| StartError::Io("directory", e))?;
--- a/crates/ledger/tests/writer.rs
+++ b/crates/ledger/tests/writer.rs
@@ -129,7 +129,7 @@
     }
     let (_, running, _) = Ledger::start("node-0", options.clone()).expect("nobody holds it");
     assert!(running.close(PATIENCE));
-    drop(Lock::take(&folder).expect("free again"));
+    drop(Lock::acquire(&folder).expect("free again"));
     let mut later =
         std::fs::read(folder.join(magpietally_ledger::segment::name(1))).expect("the first segment");
     later[8] = 9;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -17,8 +17,8 @@
     /// Takes the right to write here.
     ///
     /// # Errors
-    /// [`Refused::Held`] where another has it; the system's word else.
-    fn lock(&mut self) -> Result<Self::Lock, Refused>;
+    /// [`LockError::Locked`] where another has it; the system's word else.
+    fn lock(&mut self) -> Result<Self::Lock, LockError>;
 
     /// Makes a file that is not there yet.
     ///
@@ -42,13 +42,13 @@
     ///
     /// # Errors
     /// The system's.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 
     /// The names in the directory.
     ///
     /// # Errors
     /// The system's.
-    fn names(&mut self) -> io::Result<Vec<String>>;
+    fn file_names(&mut self) -> io::Result<Vec<String>>;
 
     /// Bytes of a file from a place on; none at its end.
     ///
@@ -82,8 +82,8 @@
     type File = File;
     type Lock = Lock;
 
-    fn lock(&mut self) -> Result<Lock, Refused> {
-        Lock::take(&self.path)
+    fn lock(&mut self) -> Result<Lock, LockError> {
+        Lock::acquire(&self.path)
     }
 
     fn create(&mut self, name: &str) -> io::Result<File> {
@@ -101,12 +101,12 @@
         retry::interrupted(|| file.sync_data())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let folder = retry::within(FILE_TIMEOUT, Call::File, "a folder", || File::open(&self.path))?;
         retry::interrupted(|| folder.sync_all())
     }
 
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         // Nothing is changed by looking, so it may be looked at again.
         retry::within(FILE_TIMEOUT, Call::File, "a folder", || {
             let mut names = Vec::new();
@@ -160,23 +160,23 @@
 
 /// Why a directory can't be had.
 #[derive(Debug)]
-pub enum Refused {
+pub enum LockError {
     /// Another process writes in it.
-    Held(String),
+    Locked(String),
     /// The system's word.
     Io(&'static str, io::Error),
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for LockError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Held(by) => write!(f, "lock: held by {by}: one node a directory"),
+            Self::Locked(by) => write!(f, "lock: held by {by}: one node a directory"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for LockError {}
 
 const LOCK: &str = "lock";
 
@@ -184,8 +184,8 @@
     /// Takes the lock.
     ///
     /// # Errors
-    /// [`Refused::Held`] with what the holder wrote of itself; the system's word else.
-    pub fn take(folder: &Path) -> Result<Self, Refused> {
+    /// [`LockError::Locked`] with what the holder wrote of itself; the system's word else.
+    pub fn acquire(folder: &Path) -> Result<Self, LockError> {
         let path = folder.join(LOCK);
         let open = || {
             let open = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
@@ -193,15 +193,19 @@
             open.or_else(|error| File::open(&path).map_err(|_| error))
         };
         let mut file =
-            retry::within(FILE_TIMEOUT, Call::File, LOCK, open).map_err(|e| Refused::Io(LOCK, e))?;
+            retry::within(FILE_TIMEOUT, Call::File, LOCK, open).map_err(|e| LockError::Io(LOCK, e))?;
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
                 let by = std::fs::read_to_string(&path).unwrap_or_default();
                 let by = by.trim();
-                return Err(Refused::Held(if by.is_empty() { "another process".into() } else { by.into() }));
+                return Err(LockError::Locked(if by.is_empty() {
+                    "another process".into()
+                } else {
+                    by.into()
+                }));
             }
-            Err(TryLockError::Error(error)) => return Err(Refused::Io(LOCK, error)),
+            Err(TryLockError::Error(error)) => return Err(LockError::Io(LOCK, error)),
         }
         // For people; what counts is the lock itself, so a full disk is no reason to go without.
         let _ = file.set_len(0).and_then(|()| writeln!(file, "process {}", std::process::id()));
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -4,7 +4,7 @@
 
 use crc32fast::Hasher;
 
-use crate::store::RECORD_MAX;
+use crate::store::RECORD_MAX_BYTES;
 
 /// The version of the format that is written, and the only one that is read.
 pub const VERSION: u16 = 1;
@@ -199,7 +199,7 @@
         let size = u32::from_le_bytes(take(segment, at)?) as usize;
         let (seq, claim) = (u64_at(segment, at + 4)?, u64_at(segment, at + 12)?);
         let crc = u32::from_le_bytes(take(segment, at + RECORD_HEAD - 4)?);
-        if size > RECORD_MAX || claim > seq || !fits(seq, claim) {
+        if size > RECORD_MAX_BYTES || claim > seq || !fits(seq, claim) {
             return None;
         }
         let begin = at + RECORD_HEAD;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -19,4 +19,4 @@
 
 pub use log::{Log, SEGMENT_BYTES};
 pub use memory::{Memory, Shelf};
-pub use store::{Cut, Recovered, Seq, Store, StoreError, RECORD_MAX};
+pub use store::{Recovered, Seq, Store, StoreError, TornTail, RECORD_MAX_BYTES};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,9 +1,9 @@
 //! The store on a disk: segments of records, and snapshots beside them.
 
-use crate::disk::{Disk, Folder, Refused};
+use crate::disk::{Disk, Folder, LockError};
 use crate::frame::{segment_name, snapshot_name, write_snapshot, Head, Place, HEAD, OWNER_MAX};
 use crate::recover::{self, told, Follow};
-use crate::store::{Recovered, Seq, Store, StoreError, RECORD_MAX};
+use crate::store::{Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
 /// Bytes after which a segment is followed by another. Recovery reads a segment whole, a node has from 32 MB on, and a
 /// snapshot frees whole segments only: smaller is leaner, but costs two syncs more each time.
@@ -41,10 +41,10 @@
     /// Opens the store in a directory, which should be there; `owner` names who writes, in 1 to 64 bytes.
     ///
     /// # Errors
-    /// As [`Log::open`]; [`StoreError::Missing`] names the directory.
+    /// As [`Log::open`]; [`StoreError::MissingDirectory`] names the directory.
     pub fn open_dir(path: &std::path::Path, owner: &str) -> Result<(Self, Recovered), StoreError> {
         if !path.is_dir() {
-            return Err(StoreError::Missing(path.display().to_string()));
+            return Err(StoreError::MissingDirectory(path.display().to_string()));
         }
         Self::open(Folder::new(path), owner)
     }
@@ -55,17 +55,17 @@
     /// part of it that may not be is written again.
     ///
     /// # Errors
-    /// [`StoreError::Held`], [`StoreError::Missing`], [`StoreError::ReadOnly`], [`StoreError::OtherOwner`],
-    /// [`StoreError::Damaged`], [`StoreError::Full`] and the system's word.
+    /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`], [`StoreError::OtherOwner`],
+    /// [`StoreError::Corrupted`], [`StoreError::Full`] and the system's word.
     pub fn open(disk: D, owner: &str) -> Result<(Self, Recovered), StoreError> {
-        Self::open_sized(disk, owner, SEGMENT_BYTES)
+        Self::open_with_segment_bytes(disk, owner, SEGMENT_BYTES)
     }
 
     /// The same with segments of another size, which must not shrink from one opening to the next.
     ///
     /// # Errors
     /// As [`Log::open`].
-    pub fn open_sized(
+    pub fn open_with_segment_bytes(
         mut disk: D,
         owner: &str,
         segment_bytes: usize,
@@ -74,11 +74,11 @@
             return Err(wrong("an owner's name has 1 to 64 bytes"));
         }
         let lock = disk.lock().map_err(|why| match why {
-            Refused::Held(by) => StoreError::Held(by),
-            Refused::Io(what, error) if error.kind() == std::io::ErrorKind::NotFound => {
-                StoreError::Missing(what.into())
+            LockError::Locked(by) => StoreError::Locked(by),
+            LockError::Io(what, error) if error.kind() == std::io::ErrorKind::NotFound => {
+                StoreError::MissingDirectory(what.into())
             }
-            Refused::Io(what, error) => told(what, error),
+            LockError::Io(what, error) => told(what, error),
         })?;
         let read = recover::read(&mut disk, owner, segment_bytes)?;
         let new = Follow { prev: 0, prev_end: 0, first: 1, snapshot: 0, carried: Vec::new() };
@@ -127,13 +127,13 @@
     }
 
     fn trusted(&self) -> Result<(), StoreError> {
-        self.doubt.as_ref().map_or(Ok(()), |why| Err(StoreError::Doubted(why.clone())))
+        self.doubt.as_ref().map_or(Ok(()), |why| Err(StoreError::ReopenRequired(why.clone())))
     }
 
     fn doubt<T>(&mut self, what: &str, error: &std::io::Error) -> Result<T, StoreError> {
         let why = format!("{what}: {error}");
         self.doubt = Some(why.clone());
-        Err(StoreError::Doubted(why))
+        Err(StoreError::ReopenRequired(why))
     }
 
     /// Goes on in a new segment, from which on `snapshot` holds.
@@ -213,14 +213,14 @@
     bytes.append(&mut records);
     let mut file = disk.create(&segment_name(head.number)).map_err(Failed::Write)?;
     write(disk, &mut file, &bytes).map_err(|(_, error)| Failed::Write(error))?;
-    disk.sync(&mut file).and_then(|()| disk.sync_names()).map_err(Failed::Sync)?;
+    disk.sync(&mut file).and_then(|()| disk.sync_directory()).map_err(Failed::Sync)?;
     Ok((file, head.carried_end))
 }
 
 impl<D: Disk> Store for Log<D> {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         self.trusted()?;
-        if record.len() > RECORD_MAX {
+        if record.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: record.len() });
         }
         if self.torn || self.end >= self.segment_bytes as u64 {
@@ -254,7 +254,7 @@
 
     fn snapshot(&mut self, covers: Seq, state: &[u8]) -> Result<(), StoreError> {
         self.trusted()?;
-        if state.len() > RECORD_MAX {
+        if state.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: state.len() });
         }
         if covers.0 > self.last || covers.0 < self.covers {
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::store::{Cut, Recovered, Seq, Store, StoreError, RECORD_MAX};
+use crate::store::{Recovered, Seq, Store, StoreError, TornTail, RECORD_MAX_BYTES};
 
 #[derive(Clone, Debug, Default)]
 struct Content {
@@ -13,7 +13,7 @@
     last: u64,
     /// The last number promised.
     synced: u64,
-    cut: Option<Cut>,
+    torn_tail: Option<TornTail>,
 }
 
 #[derive(Debug, Default)]
@@ -45,7 +45,8 @@
         let mut content = self.state().content.clone();
         let kept = content.records.iter().filter(|(seq, ..)| seq.0 <= content.synced).count() + unsynced;
         if let Some((_, torn, _)) = content.records.get(kept) {
-            content.cut = Some(Cut { file: "memory".into(), at: kept as u64, bytes: torn.len() as u64 });
+            content.torn_tail =
+                Some(TornTail { file: "memory".into(), at: kept as u64, bytes: torn.len() as u64 });
         }
         content.records.truncate(kept);
         content.last = content.synced.max(content.records.last().map_or(0, |(seq, ..)| seq.0));
@@ -120,23 +121,23 @@
     /// Opens it.
     ///
     /// # Errors
-    /// [`StoreError::Held`], [`StoreError::Missing`], [`StoreError::ReadOnly`] and [`StoreError::Damaged`].
+    /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`] and [`StoreError::Corrupted`].
     pub fn open(shelf: &Shelf) -> Result<(Self, Recovered), StoreError> {
         let mut state = shelf.state();
         if state.missing {
-            return Err(StoreError::Missing("memory".into()));
+            return Err(StoreError::MissingDirectory("memory".into()));
         }
         if state.read_only {
             return Err(StoreError::ReadOnly);
         }
         if state.held.is_some() {
-            return Err(StoreError::Held("another".into()));
+            return Err(StoreError::Locked("another".into()));
         }
         let all = state.content.snapshot.iter().chain(&state.content.records);
         for (n, (_, bytes, crc)) in all.enumerate() {
             if crc32fast::hash(bytes) != *crc {
                 let what = "altered".into();
-                return Err(StoreError::Damaged { file: "memory".into(), at: n as u64, what });
+                return Err(StoreError::Corrupted { file: "memory".into(), at: n as u64, what });
             }
         }
         state.openings += 1;
@@ -146,14 +147,14 @@
         let recovered = Recovered {
             snapshot: state.content.snapshot.clone().map(|(covers, bytes, _)| (covers, bytes)),
             records: state.content.records.iter().map(|(seq, bytes, _)| (*seq, bytes.clone())).collect(),
-            cut: state.content.cut.take(),
+            torn_tail: state.content.torn_tail.take(),
         };
         Ok((Self { shelf: shelf.clone(), opening: state.openings, doubt: None }, recovered))
     }
 
     fn trusted(&self) -> Result<MutexGuard<'_, State>, StoreError> {
         match &self.doubt {
-            Some(why) => Err(StoreError::Doubted(why.clone())),
+            Some(why) => Err(StoreError::ReopenRequired(why.clone())),
             None => Ok(self.shelf.state()),
         }
     }
@@ -171,7 +172,7 @@
 impl Store for Memory {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         let mut state = self.trusted()?;
-        if record.len() > RECORD_MAX {
+        if record.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: record.len() });
         }
         if state.full {
@@ -188,7 +189,7 @@
         if state.sync_fails {
             drop(state);
             self.doubt = Some("sync: input/output error".into());
-            return Err(StoreError::Doubted("sync: input/output error".into()));
+            return Err(StoreError::ReopenRequired("sync: input/output error".into()));
         }
         state.content.synced = state.content.last;
         Ok(())
@@ -197,7 +198,7 @@
     fn snapshot(&mut self, covers: Seq, bytes: &[u8]) -> Result<(), StoreError> {
         self.sync()?;
         let mut state = self.trusted()?;
-        if bytes.len() > RECORD_MAX {
+        if bytes.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: bytes.len() });
         }
         if state.full {
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -7,7 +7,7 @@
     number_of, read_snapshot, segment_name, snapshot_name, Found, Head, Place, Unfit, HEAD, RECORD_HEAD,
     SNAPSHOT_HEAD,
 };
-use crate::store::{Cut, Recovered, Seq, StoreError, RECORD_MAX};
+use crate::store::{Recovered, Seq, StoreError, TornTail, RECORD_MAX_BYTES};
 
 /// What was read.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
 }
 
 fn damaged<T>(file: &str, at: usize, what: &str) -> Result<T, StoreError> {
-    Err(StoreError::Damaged { file: file.into(), at: at as u64, what: what.into() })
+    Err(StoreError::Corrupted { file: file.into(), at: at as u64, what: what.into() })
 }
 
 fn unfit<T>(file: &str, why: Unfit) -> Result<T, StoreError> {
@@ -89,8 +89,8 @@
 /// Reads all. At most one segment, one snapshot and what is behind the snapshot are in memory.
 pub fn read<D: Disk>(disk: &mut D, owner: &str, segment_bytes: usize) -> Result<Read, StoreError> {
     // The largest: one byte short of the size, then the largest record.
-    let most = HEAD + segment_bytes + RECORD_HEAD + RECORD_MAX;
-    let files = disk.names().map_err(|e| told("names", e))?;
+    let most = HEAD + segment_bytes + RECORD_HEAD + RECORD_MAX_BYTES;
+    let files = disk.file_names().map_err(|e| told("names", e))?;
     let of_kind = |kind: &str| -> Vec<u64> {
         let mut numbers: Vec<u64> = files.iter().filter_map(|name| number_of(name, kind)).collect();
         numbers.sort_unstable();
@@ -123,7 +123,7 @@
             return damaged(&name, 0, "the head or what came with it is altered");
         }
         if !bytes.is_empty() {
-            out.recovered.cut.get_or_insert(Cut { file: name, at: 0, bytes: bytes.len() as u64 });
+            out.recovered.torn_tail.get_or_insert(TornTail { file: name, at: 0, bytes: bytes.len() as u64 });
         }
     }
     let Some(Newest { head, bytes, carried }) = newest else {
@@ -144,7 +144,8 @@
         if place.claimed_behind(&bytes, end, next_seq) {
             return damaged(&name, end, "a record that had been synced is altered");
         }
-        out.recovered.cut = Some(Cut { file: name, at: end as u64, bytes: (bytes.len() - end) as u64 });
+        out.recovered.torn_tail =
+            Some(TornTail { file: name, at: end as u64, bytes: (bytes.len() - end) as u64 });
     }
 
     let covers = if head.snapshot == 0 {
@@ -154,7 +155,7 @@
         if !snapshots.contains(&head.snapshot) {
             return damaged(&name, 0, "the file is gone");
         }
-        let bytes = file(disk, &name, SNAPSHOT_HEAD + RECORD_MAX)?;
+        let bytes = file(disk, &name, SNAPSHOT_HEAD + RECORD_MAX_BYTES)?;
         let (covers, state) = read_snapshot(bytes, owner, head.snapshot).or_else(|why| unfit(&name, why))?;
         out.recovered.snapshot = Some((Seq(covers), state));
         covers
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::disk::{Disk, Refused};
+use crate::disk::{Disk, LockError};
 
 /// Bytes of a page: what reaches the disk whole or not at all. Small, so that small files have many.
 pub const PAGE: usize = 64;
@@ -22,7 +22,7 @@
     /// A sync failed: what was not on the disk by then may never be.
     SyncFailed(String),
     /// The names were synced.
-    SyncNames,
+    SyncDirectory,
     /// A file was removed.
     Remove(String),
     /// The caller's own mark: something was promised here.
@@ -165,13 +165,13 @@
     type File = SimFile;
     type Lock = SimLock;
 
-    fn lock(&mut self) -> Result<SimLock, Refused> {
+    fn lock(&mut self) -> Result<SimLock, LockError> {
         let mut state = self.state();
         if state.missing {
-            return Err(Refused::Io("lock", io::ErrorKind::NotFound.into()));
+            return Err(LockError::Io("lock", io::ErrorKind::NotFound.into()));
         }
         if std::mem::replace(&mut state.locked, true) {
-            return Err(Refused::Held("another process".into()));
+            return Err(LockError::Locked("another process".into()));
         }
         Ok(SimLock(self.clone()))
     }
@@ -226,15 +226,15 @@
         trouble.map_or(Ok(()), |t| Err(error(t)))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         if let Some(trouble) = self.call().filter(|t| *t != Trouble::Short) {
             return Err(error(trouble));
         }
-        self.state().ops.push(Op::SyncNames);
+        self.state().ops.push(Op::SyncDirectory);
         Ok(())
     }
 
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn file_names(&mut self) -> io::Result<Vec<String>> {
         Ok(self.state().files.keys().cloned().collect())
     }
 
@@ -303,7 +303,7 @@
                     file.doubted = true;
                 }
             }
-            Op::SyncNames => {
+            Op::SyncDirectory => {
                 named = files.keys().copied().collect();
                 gone.clear();
             }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 /// The largest record or snapshot, in bytes: one is held in memory whole, and a node has from 32 MB on.
-pub const RECORD_MAX: usize = 8 << 20;
+pub const RECORD_MAX_BYTES: usize = 8 << 20;
 
 /// A record's number: the first is 1, and each is one more than the one before, over restarts and snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -18,12 +18,12 @@
     /// The records behind it, in order, without a gap.
     pub records: Vec<(Seq, Vec<u8>)>,
     /// What was found torn at the end and cut, if anything.
-    pub cut: Option<Cut>,
+    pub torn_tail: Option<TornTail>,
 }
 
 /// A torn tail that was cut: bytes that were never promised.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cut {
+pub struct TornTail {
     /// In which file.
     pub file: String,
     /// Where the last whole record ended.
@@ -35,7 +35,7 @@
 /// Why a store refused.
 #[derive(Debug)]
 pub enum StoreError {
-    /// Larger than [`RECORD_MAX`]; nothing was written.
+    /// Larger than [`RECORD_MAX_BYTES`]; nothing was written.
     TooLarge {
         /// Its size in bytes.
         size: usize,
@@ -45,13 +45,13 @@
     /// It can only be read.
     ReadOnly,
     /// There is no such directory.
-    Missing(String),
+    MissingDirectory(String),
     /// Another process has it open.
-    Held(String),
+    Locked(String),
     /// It is the store of another owner, named here.
     OtherOwner(String),
     /// What was synced once is damaged (a flipped bit, a missing file): the store does not open, and says where.
-    Damaged {
+    Corrupted {
         /// In which file.
         file: String,
         /// At which byte of it.
@@ -60,7 +60,7 @@
         what: String,
     },
     /// An earlier error left unknown what is on the disk; the store has to be opened again before anything is promised.
-    Doubted(String),
+    ReopenRequired(String),
     /// The system's word.
     Io(String, io::Error),
 }
@@ -68,14 +68,16 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge { size } => write!(f, "a record of {size} bytes, at most {RECORD_MAX} are stored"),
+            Self::TooLarge { size } => {
+                write!(f, "a record of {size} bytes, at most {RECORD_MAX_BYTES} are stored")
+            }
             Self::Full => write!(f, "no space left for a record"),
             Self::ReadOnly => write!(f, "the store can only be read"),
-            Self::Missing(path) => write!(f, "{path}: there is no such directory"),
-            Self::Held(by) => write!(f, "the store is held by {by}"),
+            Self::MissingDirectory(path) => write!(f, "{path}: there is no such directory"),
+            Self::Locked(by) => write!(f, "the store is held by {by}"),
             Self::OtherOwner(name) => write!(f, "this is the store of {name}"),
-            Self::Damaged { file, at, what } => write!(f, "{file}: byte {at}: {what}"),
-            Self::Doubted(why) => write!(f, "the store must be opened again: {why}"),
+            Self::Corrupted { file, at, what } => write!(f, "{file}: byte {at}: {what}"),
+            Self::ReopenRequired(why) => write!(f, "the store must be opened again: {why}"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
     }
@@ -94,7 +96,7 @@
     /// Waits until all that was appended outlives a loss of power.
     ///
     /// # Errors
-    /// See [`StoreError`]. After [`StoreError::Doubted`] nothing is known of what was appended since the last sync.
+    /// See [`StoreError`]. After [`StoreError::ReopenRequired`] nothing is known of what was appended since the last sync.
     fn sync(&mut self) -> Result<(), StoreError>;
 
     /// Puts `state` in the place of all records up to and with `covers`, which must have been synced, and drops them. When
--- a/src/commands/ledger.rs
+++ b/src/commands/ledger.rs
@@ -400,7 +400,7 @@
     let name = args.directory.display();
     let owner = owner(&args.directory)?;
     let failed = |e: &dyn std::fmt::Display| Failure::Failed(format!("{name}: {e}"));
-    let _lock = Lock::take(&args.directory).map_err(|e| failed(&e))?;
+    let _lock = Lock::acquire(&args.directory).map_err(|e| failed(&e))?;
     let mut books = Books::new();
     read(&args.directory, Reach::All, |seen| books.take(0, seen))?;
     let unknown: Vec<(u64, bool)> = books
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -52,7 +52,7 @@
     signal_hook::flag::register(SIGXFSZ, Arc::default()).map_err(|e| failed("SIGXFSZ", e.to_string()))?;
     let (store, recovered) =
         open_store(&options.store, name.as_str()).map_err(|e| failed(&place, e.to_string()))?;
-    if let Some(cut) = &recovered.cut {
+    if let Some(cut) = &recovered.torn_tail {
         tracing::warn!(target: "fleet", "{place}: {}: a torn end of {} bytes was cut", cut.file, cut.bytes);
     }
     let session = retry::at_start(Call::File, "session", || session::next(&options.store))
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -145,7 +145,7 @@
                 Ok(()) => self.log.write_completed(now, ready.number),
                 Err(error) => {
                     tracing::error!(target: "fleet", "the store refuses: {error}");
-                    if matches!(error, StoreError::Doubted(_)) {
+                    if matches!(error, StoreError::ReopenRequired(_)) {
                         self.doubt = Some(error.to_string());
                         return;
                     }
