--- a/crates/contracts/src/store/places.rs
+++ b/crates/contracts/src/store/places.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use magpietally_store::disk::Folder;
-use magpietally_store::sim::{image, Loss, Op, SimDisk, Trouble as DiskTrouble};
-use magpietally_store::{Log, Memory, Recovered, Shelf, StoreError};
+use magpietally_store::sim::{files_after_crash, DiskFault, Loss, Op, SimDisk};
+use magpietally_store::{Log, Memory, MemoryMedium, Recovered, StoreError};
 use tempfile::TempDir;
 
 use super::{Broken, Left, Place, Trouble, Visit};
@@ -33,28 +33,31 @@
         }
         let mut left = |files, how: String| {
             let moment = format!("behind operation {n}, {}, {how}", last.map_or("none".into(), short));
-            visit(Left { place: of(SimDisk::of(files)), marked, moment, torn: false })
+            visit(Left { place: of(SimDisk::with_files(files)), marked, moment, torn: false })
         };
-        left(image(done, None, Loss::Process), "the process died".into())?;
-        left(image(done, None, Loss::All), "all was lost that was not synced".into())?;
+        left(files_after_crash(done, None, Loss::Process), "the process died".into())?;
+        left(files_after_crash(done, None, Loss::All), "all was lost that was not synced".into())?;
         for kept in [1, 7, 24, 60] {
-            left(image(done, None, Loss::Prefix(kept)), format!("{kept} bytes were there"))?;
+            left(files_after_crash(done, None, Loss::Prefix(kept)), format!("{kept} bytes were there"))?;
         }
         for odd in 0..3 {
             let mut there = |name: &str, page: usize| (name.len() + page) % 3 == odd;
             left(
-                image(done, None, Loss::Pages(&mut there)),
+                files_after_crash(done, None, Loss::Pages(&mut there)),
                 format!("a third of the pages was there, {odd}"),
             )?;
             let mut there = |_: &str, page: usize| page % 3 != odd;
             left(
-                image(done, None, Loss::Pages(&mut there)),
+                files_after_crash(done, None, Loss::Pages(&mut there)),
                 format!("a third of the pages was gone, {odd}"),
             )?;
         }
         if let Some(Op::Write(_, bytes)) = last {
             for torn in 0..bytes.len() {
-                left(image(done, Some(torn), Loss::Process), format!("{torn} bytes of it were done"))?;
+                left(
+                    files_after_crash(done, Some(torn), Loss::Process),
+                    format!("{torn} bytes of it were done"),
+                )?;
             }
         }
     }
@@ -75,7 +78,7 @@
 pub fn sim_tears<P>(ops: &[Op], of: impl Fn(SimDisk) -> P, visit: &mut Visit<'_, P>) -> Result<(), Broken> {
     if let Some(Op::Write(_, bytes)) = ops.last() {
         for torn in 0..=bytes.len() {
-            let place = of(SimDisk::of(image(ops, Some(torn), Loss::Process)));
+            let place = of(SimDisk::with_files(files_after_crash(ops, Some(torn), Loss::Process)));
             let moment = format!("{torn} of {} bytes", bytes.len());
             visit(Left { place, marked: 1, moment, torn: (1..bytes.len()).contains(&torn) })?;
         }
@@ -99,7 +102,7 @@
             if let Some(content) = files.get_mut(name) {
                 content[bit / 8] ^= 1 << (bit % 8);
             }
-            let place = of(SimDisk::of(files));
+            let place = of(SimDisk::with_files(files));
             visit(Left {
                 place,
                 marked: 0,
@@ -115,10 +118,10 @@
 pub fn sim_trouble(disk: &SimDisk, trouble: Trouble) {
     let from_now = disk.calls()..usize::MAX;
     match trouble {
-        Trouble::Full { room } => disk.limit(room),
-        Trouble::Missing => disk.vanish(),
-        Trouble::ReadOnly => disk.fail(from_now, DiskTrouble::ReadOnly),
-        Trouble::SyncFails => disk.fail(from_now, DiskTrouble::Io),
+        Trouble::Full { room } => disk.limit_space(room),
+        Trouble::Missing => disk.remove_directory(),
+        Trouble::ReadOnly => disk.fail(from_now, DiskFault::ReadOnly),
+        Trouble::SyncFails => disk.fail(from_now, DiskFault::Io),
     }
 }
 
@@ -150,7 +153,7 @@
     }
 
     fn killed(&self) -> Self {
-        Self(SimDisk::of(self.0.files()))
+        Self(SimDisk::with_files(self.0.files()))
     }
 
     fn trouble(&self, trouble: Trouble) -> bool {
@@ -295,12 +298,12 @@
 /// A [`Memory`] on its shelf. It crashes at each mark with each number of unsynced records.
 #[derive(Debug, Default)]
 pub struct Shelved {
-    shelf: Shelf,
-    marks: RefCell<Vec<(usize, Shelf)>>,
+    shelf: MemoryMedium,
+    marks: RefCell<Vec<(usize, MemoryMedium)>>,
 }
 
 impl Shelved {
-    fn of(shelf: Shelf) -> Self {
+    fn of(shelf: MemoryMedium) -> Self {
         Self { shelf, marks: RefCell::default() }
     }
 }
@@ -317,7 +320,7 @@
     }
 
     fn mark(&self, what: usize) {
-        let all = (0..=self.shelf.unsynced()).map(|kept| (what, self.shelf.crashed(kept)));
+        let all = (0..=self.shelf.unsynced()).map(|kept| (what, self.shelf.after_crash(kept)));
         self.marks.borrow_mut().extend(all);
     }
 
@@ -332,28 +335,28 @@
     fn tears(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken> {
         let unsynced = self.shelf.unsynced();
         for kept in 0..=unsynced {
-            let place = Self::of(self.shelf.crashed(kept));
+            let place = Self::of(self.shelf.after_crash(kept));
             visit(Left { place, marked: 1, moment: format!("{kept} kept"), torn: kept < unsynced })?;
         }
         Ok(())
     }
 
     fn flips(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken> {
-        for (n, shelf) in self.shelf.flipped().into_iter().enumerate() {
+        for (n, shelf) in self.shelf.with_bit_flips().into_iter().enumerate() {
             visit(Left { place: Self::of(shelf), marked: 0, moment: format!("bit {n}"), torn: false })?;
         }
         Ok(())
     }
 
     fn killed(&self) -> Self {
-        Self::of(self.shelf.crashed(self.shelf.unsynced()))
+        Self::of(self.shelf.after_crash(self.shelf.unsynced()))
     }
 
     fn trouble(&self, trouble: Trouble) -> bool {
         match trouble {
             Trouble::Full { .. } => self.shelf.fill(),
-            Trouble::Missing => self.shelf.vanish(),
-            Trouble::ReadOnly => self.shelf.protect(),
+            Trouble::Missing => self.shelf.remove(),
+            Trouble::ReadOnly => self.shelf.make_read_only(),
             Trouble::SyncFails => self.shelf.fail_syncs(),
         }
         true
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -168,7 +168,7 @@
     }
 
     fn killed(&self) -> Self {
-        Self(SimDisk::of(self.0.files()))
+        Self(SimDisk::with_files(self.0.files()))
     }
 
     fn trouble(&self, trouble: Trouble) -> bool {
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -13,7 +13,7 @@
 use magpietally_ledger::record::{How, Record};
 use magpietally_ledger::recover::Bounds;
 use magpietally_ledger::segment::Owner;
-use magpietally_ledger::sim::{SimDisk, Trouble};
+use magpietally_ledger::sim::{DiskFault, SimDisk};
 use magpietally_ledger::{Ledger, Options, Running, Told};
 use magpietally_policy::Outcome;
 
@@ -73,7 +73,7 @@
         assert!(self.running.close(Duration::from_secs(20)), "the writer stops");
         let (mut all, mut owners) = (BTreeMap::<String, Vec<String>>::new(), BTreeMap::new());
         let mut note = |id: &str, entry: String| all.entry(id.to_string()).or_default().push(entry);
-        let mut disk = SimDisk::of(self.disk.files());
+        let mut disk = SimDisk::with_files(self.disk.files());
         recover(&mut disk, OWNER, Bounds::default(), Reach::All, &mut |seen| match seen.record {
             Record::Intent(i) => {
                 note(&i.id, format!("to {}", i.server));
@@ -94,7 +94,7 @@
         let node = TestNode::new(SimDisk::default(), options());
         tokio::task::spawn_local(node.core.clone().run_timer());
         let delay = Duration::from_millis(60);
-        node.disk.slow(delay);
+        node.disk.set_latency(delay);
         let began = Instant::now();
         let (keyed, unsafe_one, safe) =
             (node.submit(KEYED, "1"), node.submit(UNSAFE, "2"), node.submit(SAFE, "3"));
@@ -125,7 +125,7 @@
     run(async {
         let node = TestNode::new(SimDisk::default(), options());
         tokio::task::spawn_local(node.core.clone().run_timer());
-        node.disk.fail(node.disk.calls()..usize::MAX, Trouble::NoSpace);
+        node.disk.fail(node.disk.calls()..usize::MAX, DiskFault::NoSpace);
         // The intent of the first request fails on the full disk; the next requests are rejected on arrival.
         let first = node.submit(UNSAFE, "1").expect("the failure is not known yet").await;
         assert!(matches!(first, Answer::Refused(after) if after > 0.0), "{first:?}");
@@ -154,7 +154,7 @@
         let node = TestNode::new(SimDisk::default(), options());
         tokio::task::spawn_local(node.core.clone().run_timer());
         // The write succeeds; the sync after it fails.
-        node.disk.fail(node.disk.calls() + 1..node.disk.calls() + 2, Trouble::Io);
+        node.disk.fail(node.disk.calls() + 1..node.disk.calls() + 2, DiskFault::Io);
         assert!(matches!(node.submit(KEYED, "1").expect("accepted").await, Answer::Refused(_)));
         assert_eq!(node.sent(), 0);
         until(|| node.ledger.standing().is_ok()).await;
@@ -168,7 +168,7 @@
         let stall = Duration::from_millis(50);
         let node = TestNode::with_aim(SimDisk::default(), Options { stall, ..options() }, 500.0);
         tokio::task::spawn_local(node.core.clone().run_timer());
-        node.disk.slow(Duration::from_millis(1500));
+        node.disk.set_latency(Duration::from_millis(1500));
         let request = ClientRequest { id: "1".into(), class: UNSAFE, tenant: None, request: Request("k") };
         let (_, waits) =
             node.core.submit(request, Instant::now() + Duration::from_millis(400)).expect("accepted");
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use magpietally_ledger::record::{Final, How, Intent, KeyDigest, Now, Outcome, Record, Told};
 use magpietally_ledger::recover::{Bounds, Recovered, Seen};
 use magpietally_ledger::segment::Owner;
-use magpietally_ledger::sim::{image, Loss, Op, SimDisk, Trouble, PAGE};
+use magpietally_ledger::sim::{files_after_crash, DiskFault, Loss, Op, SimDisk, PAGE_BYTES};
 
 pub const OWNER: Owner = Owner([9; 16]);
 /// Batches of the script.
@@ -88,7 +88,7 @@
 
 pub fn read(files: &BTreeMap<String, Vec<u8>>, reach: Reach) -> (Recovered, Vec<Seen>) {
     let mut seen = Vec::new();
-    let mut disk = SimDisk::of(files.clone());
+    let mut disk = SimDisk::with_files(files.clone());
     let recovered = recover(&mut disk, OWNER, Bounds::default(), reach, &mut |s| seen.push(s));
     (recovered.expect("names can be read"), seen)
 }
@@ -149,7 +149,7 @@
 /// A new life from these files: it must take the old one's open intents over and write behind them.
 pub fn live_on(files: &BTreeMap<String, Vec<u8>>, keeping: Keeping) {
     let (before, _) = read(files, Reach::Checkpoint);
-    let disk = SimDisk::of(files.clone());
+    let disk = SimDisk::with_files(files.clone());
     let (mut journal, _) = Journal::open(disk.clone(), OWNER, keeping).expect("names can be read");
     journal.heal(now(100)).expect("nothing is wrong with the disk");
     journal.commit(&[intent(1000, 100)], now(100)).expect("nothing is wrong with the disk");
@@ -168,37 +168,43 @@
             points += 1;
             check(done, files, whole, &|| format!("after {n} operations, {what}"));
         };
-        crash(&image(done, None, Loss::Process), "process");
+        crash(&files_after_crash(done, None, Loss::Process), "process");
         let length = match done.last() {
             Some(Op::Write(_, bytes)) => bytes.len(),
             _ => 0,
         };
         if bytes {
             for torn in 0..length {
-                crash(&image(done, Some(torn), Loss::Process), &format!("torn at {torn}"));
+                crash(&files_after_crash(done, Some(torn), Loss::Process), &format!("torn at {torn}"));
             }
         }
         if promise == Promise::ProcessCrash {
             continue;
         }
-        crash(&image(done, None, Loss::All), "all that was not synced");
+        crash(&files_after_crash(done, None, Loss::All), "all that was not synced");
         if !bytes {
             continue;
         }
         for kept in (0..length).chain([usize::MAX / 2]) {
-            crash(&image(done, None, Loss::Prefix(kept)), &format!("all but {kept} bytes"));
+            crash(&files_after_crash(done, None, Loss::Prefix(kept)), &format!("all but {kept} bytes"));
         }
-        let pages = 1 + length / PAGE;
+        let pages = 1 + length / PAGE_BYTES;
         let first = match done.last() {
             Some(Op::Write(name, bytes)) => {
-                let size = image(done, None, Loss::Process)[name].len();
-                (size - bytes.len()) / PAGE
+                let size = files_after_crash(done, None, Loss::Process)[name].len();
+                (size - bytes.len()) / PAGE_BYTES
             }
             _ => continue,
         };
         for page in first..=first + pages {
-            crash(&image(done, None, Loss::Pages(&mut |_, p| p != page)), &format!("without page {page}"));
-            crash(&image(done, None, Loss::Pages(&mut |_, p| p == page)), &format!("with page {page} alone"));
+            crash(
+                &files_after_crash(done, None, Loss::Pages(&mut |_, p| p != page)),
+                &format!("without page {page}"),
+            );
+            crash(
+                &files_after_crash(done, None, Loss::Pages(&mut |_, p| p == page)),
+                &format!("with page {page} alone"),
+            );
         }
         for seed in 0..8u64 {
             let mut roll = (n as u64) << 8 | seed;
@@ -206,7 +212,10 @@
                 roll = roll.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
                 roll >> 63 == 1
             };
-            crash(&image(done, None, Loss::Pages(&mut some)), &format!("some pages, seed {seed}"));
+            crash(
+                &files_after_crash(done, None, Loss::Pages(&mut some)),
+                &format!("some pages, seed {seed}"),
+            );
         }
     }
     points
@@ -219,12 +228,12 @@
     assert_eq!(play(&calm, keeping(promise, 100)), [0u64; 0], "a calm disk fails no batch");
     let (mut lives, mut points) = (0, 0);
     for call in (0..calm.calls()).step_by(every) {
-        for trouble in [Trouble::NoSpace, Trouble::Io, Trouble::Short, Trouble::ReadOnly] {
+        for trouble in [DiskFault::NoSpace, DiskFault::Io, DiskFault::ShortWrite, DiskFault::ReadOnly] {
             for long in [1, 5] {
                 let disk = SimDisk::default();
                 disk.fail(call..call + long, trouble);
                 let failed = play(&disk, keeping(promise, 100));
-                assert!(trouble != Trouble::Short || failed.is_empty(), "a short write is no failure");
+                assert!(trouble != DiskFault::ShortWrite || failed.is_empty(), "a short write is no failure");
                 let late = disk.calls() > call + long + 4;
                 assert!(!late || !failed.contains(&(BATCHES - 1)), "call {call}, {trouble:?}: not healed");
                 let ops = disk.ops();
--- a/crates/ledger/tests/crash.rs
+++ b/crates/ledger/tests/crash.rs
@@ -8,7 +8,7 @@
 use magpietally_ledger::record::{Intent, Record, ID_MOST, NAME_MOST};
 use magpietally_ledger::recover::Finding;
 use magpietally_ledger::segment::{name, SegmentNo};
-use magpietally_ledger::sim::{image, Loss, Op, SimDisk};
+use magpietally_ledger::sim::{files_after_crash, Loss, Op, SimDisk};
 
 type Files = std::collections::BTreeMap<String, Vec<u8>>;
 
@@ -54,8 +54,8 @@
         play(&disk, keeping(promise, 3));
         let ops = disk.ops();
         for n in 0..=ops.len() {
-            live_on(&image(&ops[..n], None, Loss::Process), keeping(promise, 3));
-            live_on(&image(&ops[..n], None, Loss::All), keeping(promise, 3));
+            live_on(&files_after_crash(&ops[..n], None, Loss::Process), keeping(promise, 3));
+            live_on(&files_after_crash(&ops[..n], None, Loss::All), keeping(promise, 3));
         }
     }
 }
@@ -153,7 +153,7 @@
     let doubtful = recovered.open.iter().filter(|o| !o.trusted).count();
     assert!(doubtful > 10, "{doubtful}");
     live_on(&files, roomy);
-    let next = SimDisk::of(files);
+    let next = SimDisk::with_files(files);
     let (mut journal, _) = Journal::open(next.clone(), OWNER, roomy).expect("names can be read");
     journal.heal(now(200)).expect("a good disk");
     drop(journal);
@@ -195,7 +195,7 @@
     let calls: Vec<Op> = calm.ops().into_iter().filter(|op| !matches!(op, Op::Mark(_))).collect();
     let sync = calls.iter().enumerate().filter(|(_, op)| matches!(op, Op::Sync(_))).nth(3).expect("four").0;
     let disk = SimDisk::default();
-    disk.fail(sync..sync + 1, magpietally_ledger::sim::Trouble::Io);
+    disk.fail(sync..sync + 1, magpietally_ledger::sim::DiskFault::Io);
     let failed = play(&disk, keeping(Promise::PowerLoss, 100));
     assert_eq!(failed.len(), 1);
     let (recovered, _) = read(&disk.files(), Reach::All);
--- a/crates/ledger/tests/writer.rs
+++ b/crates/ledger/tests/writer.rs
@@ -8,7 +8,7 @@
 use common::{keeping, OWNER};
 use magpietally_ledger::disk::{whose, Lock, Refused};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::sim::{SimDisk, Trouble as DiskTrouble};
+use magpietally_ledger::sim::{DiskFault, SimDisk};
 use magpietally_ledger::writer::StartError;
 use magpietally_ledger::{Draft, How, Ledger, Options, Running, Trouble};
 
@@ -42,7 +42,7 @@
     let disk = SimDisk::default();
     let roomy = Keeping { segment_bytes: 1 << 20, ..keeping(Promise::PowerLoss, 10) };
     let (ledger, running) = run(&disk, options(roomy));
-    disk.slow(Duration::from_millis(100));
+    disk.set_latency(Duration::from_millis(100));
     let first = ledger.intent(draft("first")).expect("there is room");
     // The first one is being written, and counts until it is; the queue fills up behind it.
     while ledger.line().contains("waiting 1") {
@@ -93,7 +93,7 @@
     let pending = ledger.intent(draft("1")).expect("room");
     let number = pending.number;
     assert_eq!(pending.promised.blocking_recv(), Ok(true));
-    disk.fail(0..usize::MAX, DiskTrouble::ReadOnly);
+    disk.fail(0..usize::MAX, DiskFault::ReadOnly);
     let lost = ledger.intent(draft("2")).expect("nobody knows yet");
     assert_eq!(lost.promised.blocking_recv(), Ok(false), "no promise, no send");
     ledger.outcome(number, How::Done);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -18,5 +18,5 @@
 mod store;
 
 pub use log::{Log, SEGMENT_BYTES};
-pub use memory::{Memory, Shelf};
+pub use memory::{Memory, MemoryMedium};
 pub use store::{Recovered, Seq, Store, StoreError, TornTail, RECORD_MAX_BYTES};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory: for tests, and for a node that was given no directory. It outlives what its [`Shelf`] outlives.
+//! A store in memory: for tests, and for a node that was given no directory. It outlives what its [`MemoryMedium`] outlives.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -30,9 +30,9 @@
 
 /// What a [`Memory`] lies on, and what the tests hold of it; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Shelf(Arc<Mutex<State>>);
+pub struct MemoryMedium(Arc<Mutex<State>>);
 
-impl Shelf {
+impl MemoryMedium {
     fn state(&self) -> MutexGuard<'_, State> {
         // Each change is whole when the lock is let go, also by a panic.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -41,7 +41,7 @@
     /// A shelf as a crash at this moment may leave it: with all that was synced and so many records of the rest; the next
     /// one, if there is one, is torn.
     #[must_use]
-    pub fn crashed(&self, unsynced: usize) -> Self {
+    pub fn after_crash(&self, unsynced: usize) -> Self {
         let mut content = self.state().content.clone();
         let kept = content.records.iter().filter(|(seq, ..)| seq.0 <= content.synced).count() + unsynced;
         if let Some((_, torn, _)) = content.records.get(kept) {
@@ -62,7 +62,7 @@
 
     /// Shelves with one bit of one record or of the snapshot flipped, each bit once.
     #[must_use]
-    pub fn flipped(&self) -> Vec<Self> {
+    pub fn with_bit_flips(&self) -> Vec<Self> {
         let content = self.state().content.clone();
         let sizes = content.records.iter().map(|(_, bytes, _)| bytes.len());
         let sizes: Vec<usize> =
@@ -88,12 +88,12 @@
     }
 
     /// It can only be read from now on.
-    pub fn protect(&self) {
+    pub fn make_read_only(&self) {
         self.state().read_only = true;
     }
 
     /// It is gone from now on.
-    pub fn vanish(&self) {
+    pub fn remove(&self) {
         self.state().missing = true;
     }
 
@@ -109,10 +109,10 @@
     }
 }
 
-/// A store on a [`Shelf`].
+/// A store on a [`MemoryMedium`].
 #[derive(Debug)]
 pub struct Memory {
-    shelf: Shelf,
+    shelf: MemoryMedium,
     opening: u64,
     doubt: Option<String>,
 }
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`] and [`StoreError::Corrupted`].
-    pub fn open(shelf: &Shelf) -> Result<(Self, Recovered), StoreError> {
+    pub fn open(shelf: &MemoryMedium) -> Result<(Self, Recovered), StoreError> {
         let mut state = shelf.state();
         if state.missing {
             return Err(StoreError::MissingDirectory("memory".into()));
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -8,7 +8,7 @@
 use crate::disk::{Disk, LockError};
 
 /// Bytes of a page: what reaches the disk whole or not at all. Small, so that small files have many.
-pub const PAGE: usize = 64;
+pub const PAGE_BYTES: usize = 64;
 
 /// What was done to the disk, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,13 +31,13 @@
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiskFault {
     /// No space: nothing is done.
     NoSpace,
     /// An error of the device: half of a write is done, nothing of the rest.
     Io,
     /// A write does half and says so, which is no error. Other calls are done.
-    Short,
+    ShortWrite,
     /// The disk can only be read.
     ReadOnly,
 }
@@ -47,7 +47,7 @@
     files: BTreeMap<String, Vec<u8>>,
     ops: Vec<Op>,
     calls: usize,
-    fails: Vec<(std::ops::Range<usize>, Trouble)>,
+    fails: Vec<(std::ops::Range<usize>, DiskFault)>,
     /// Makes each call last, to play a slow disk.
     pause: std::time::Duration,
     /// Somebody writes here.
@@ -68,7 +68,7 @@
 
 impl SimDisk {
     /// A disk with these files, all of them on it for good.
-    pub fn of(files: BTreeMap<String, Vec<u8>>) -> Self {
+    pub fn with_files(files: BTreeMap<String, Vec<u8>>) -> Self {
         Self(Arc::new(Mutex::new(State { files, ..State::default() })))
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Lets calls of these numbers, counted from 0, fail.
-    pub fn fail(&self, calls: std::ops::Range<usize>, how: Trouble) {
+    pub fn fail(&self, calls: std::ops::Range<usize>, how: DiskFault) {
         self.state().fails.push((calls, how));
     }
 
@@ -92,18 +92,18 @@
     }
 
     /// Makes every call that writes or syncs take so long.
-    pub fn slow(&self, pause: std::time::Duration) {
+    pub fn set_latency(&self, pause: std::time::Duration) {
         self.state().pause = pause;
     }
 
-    /// Leaves space for so many bytes, until the repair. Other than with [`Trouble::NoSpace`] a write does what it can, and
+    /// Leaves space for so many bytes, until the repair. Other than with [`DiskFault::NoSpace`] a write does what it can, and
     /// syncs and removals are done, as on a disk of the system's.
-    pub fn limit(&self, bytes: usize) {
+    pub fn limit_space(&self, bytes: usize) {
         self.state().room = Some(bytes);
     }
 
     /// Takes the directory away until the repair.
-    pub fn vanish(&self) {
+    pub fn remove_directory(&self) {
         self.state().missing = true;
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// One call: the trouble that it is in, if any.
-    fn call(&self) -> Option<Trouble> {
+    fn call(&self) -> Option<DiskFault> {
         let (pause, trouble) = {
             let mut state = self.state();
             let number = state.calls;
@@ -143,11 +143,11 @@
     }
 }
 
-fn error(trouble: Trouble) -> io::Error {
+fn error(trouble: DiskFault) -> io::Error {
     match trouble {
-        Trouble::NoSpace => io::ErrorKind::StorageFull.into(),
-        Trouble::ReadOnly => io::ErrorKind::ReadOnlyFilesystem.into(),
-        Trouble::Io | Trouble::Short => io::Error::other("input/output error"),
+        DiskFault::NoSpace => io::ErrorKind::StorageFull.into(),
+        DiskFault::ReadOnly => io::ErrorKind::ReadOnlyFilesystem.into(),
+        DiskFault::Io | DiskFault::ShortWrite => io::Error::other("input/output error"),
     }
 }
 
@@ -177,7 +177,7 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<SimFile> {
-        if let Some(trouble) = self.call().filter(|t| *t != Trouble::Short) {
+        if let Some(trouble) = self.call().filter(|t| *t != DiskFault::ShortWrite) {
             return Err(error(trouble));
         }
         let mut state = self.state();
@@ -193,13 +193,13 @@
         let trouble = self.call();
         let count = match trouble {
             None => bytes.len(),
-            Some(Trouble::NoSpace | Trouble::ReadOnly) => 0,
-            Some(Trouble::Io | Trouble::Short) => bytes.len().div_ceil(2),
+            Some(DiskFault::NoSpace | DiskFault::ReadOnly) => 0,
+            Some(DiskFault::Io | DiskFault::ShortWrite) => bytes.len().div_ceil(2),
         };
         let mut state = self.state();
         let room = state.room.unwrap_or(usize::MAX);
         if room == 0 && trouble.is_none() {
-            return Err(error(Trouble::NoSpace));
+            return Err(error(DiskFault::NoSpace));
         }
         let count = count.min(room);
         state.room = state.room.map(|room| room - count);
@@ -211,13 +211,13 @@
             state.ops.push(Op::Write(file.0.clone(), bytes[..count].to_vec()));
         }
         match trouble {
-            None | Some(Trouble::Short) => Ok(count),
+            None | Some(DiskFault::ShortWrite) => Ok(count),
             Some(trouble) => Err(error(trouble)),
         }
     }
 
     fn sync(&mut self, file: &mut SimFile) -> io::Result<()> {
-        let trouble = self.call().filter(|t| *t != Trouble::Short);
+        let trouble = self.call().filter(|t| *t != DiskFault::ShortWrite);
         let mut state = self.state();
         state.ops.push(match trouble {
             None => Op::Sync(file.0.clone()),
@@ -227,7 +227,7 @@
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        if let Some(trouble) = self.call().filter(|t| *t != Trouble::Short) {
+        if let Some(trouble) = self.call().filter(|t| *t != DiskFault::ShortWrite) {
             return Err(error(trouble));
         }
         self.state().ops.push(Op::SyncDirectory);
@@ -248,7 +248,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if let Some(trouble) = self.call().filter(|t| *t != Trouble::Short) {
+        if let Some(trouble) = self.call().filter(|t| *t != DiskFault::ShortWrite) {
             return Err(error(trouble));
         }
         let mut state = self.state();
@@ -272,7 +272,7 @@
 }
 
 /// The files after a crash behind these operations; of the last one, where it is a write, only `torn` bytes had been done.
-pub fn image(ops: &[Op], torn: Option<usize>, mut loss: Loss<'_>) -> BTreeMap<String, Vec<u8>> {
+pub fn files_after_crash(ops: &[Op], torn: Option<usize>, mut loss: Loss<'_>) -> BTreeMap<String, Vec<u8>> {
     #[derive(Default)]
     struct File {
         content: Vec<u8>,
@@ -327,10 +327,10 @@
             Loss::All => content.truncate(synced),
             Loss::Prefix(count) => content.truncate(synced + *count),
             Loss::Pages(there) => {
-                for page in synced / PAGE..content.len().div_ceil(PAGE) {
+                for page in synced / PAGE_BYTES..content.len().div_ceil(PAGE_BYTES) {
                     if !there(name, page) {
-                        let end = ((page + 1) * PAGE).min(content.len());
-                        content[(page * PAGE).max(synced)..end].fill(0);
+                        let end = ((page + 1) * PAGE_BYTES).min(content.len());
+                        content[(page * PAGE_BYTES).max(synced)..end].fill(0);
                     }
                 }
             }
