--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -133,7 +133,7 @@
         Err(CallError::Silent(message)) => (ListFailure::Silent, message),
         Err(CallError::Malformed(message)) => {
             consumer.forget_version();
-            (ListFailure::Broken, format!("malformed line dropped: {message}"))
+            (ListFailure::Broken, format!("unreadable line dropped: {message}"))
         }
     };
     ListStreamEnd { failure, message: words }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,11 +1,11 @@
 //! HTTP/1.1 around the core: clients, servers, discovery, and a node as a process.
 //!
 //! This crate moves bytes and makes no decisions; those are the core's. [`config`] reads the configuration
-//! that the platform provides, [`run`] runs a node, and [`run_workers`] runs it on several cores. Below these
-//! the modules depend on each other in one direction: `workers` → `node` → `clients`, `management` →
-//! `carrier` → `upstream`, `discovery` → `pool` → `sock`. `body` streams bodies too large to buffer, within
-//! `budget`; `scan` finds the end of a client's requests; `inherited` takes over the platform's socket;
-//! `signals` waits for signals.
+//! that the platform provides, [`run`] runs a node, and [`run_workers`] runs it on several cores. Below
+//! these the modules depend on each other in one direction: `workers` → `node` → `clients`, `management` →
+//! `http_transport` → `upstream`, `discovery` → `pool` → `watched_stream`. `body` streams bodies too large
+//! to buffer, within `memory_budget`; `request_scanner` finds the end of a client's requests;
+//! `inherited_listener` takes over the platform's socket; `signals` waits for signals.
 
 mod body;
 mod clients;
