--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -237,7 +237,7 @@
                 node.transport().discovery_addr.set(config.discovery);
                 node.list_source_moved();
                 if let Some(field) = node.transport().config.changed_restart_only_field(&config) {
-                    tracing::warn!(target: "reload", "{field} has changed in the file; it takes effect at the next start");
+                    tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
                 }
             }
             Err(message) => tracing::warn!(target: "reload", "{message}; the old configuration stays"),
