--- a/crates/quota/examples/measure.rs
+++ b/crates/quota/examples/measure.rs
@@ -1,4 +1,4 @@
-//! What a quota costs and how much of it is used: `cargo run --release -p magpietally-quota --example measure`.
+//! Observation a quota costs and how much of it is used: `cargo run --release -p magpietally-quota --example measure`.
 //!
 //! Sizes as arguments; without any 10, 100 and 500. One table: use and bytes in virtual time, nanoseconds by this
 //! machine's clock.
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_consensus::{Proposal, Topic};
-use magpietally_quota::check::{check, Fault, What};
+use magpietally_quota::check::{check, Observation, Violation};
 use magpietally_quota::sim::Sim;
 use magpietally_quota::{Policy, Settings, Tenant, Verdict};
 
@@ -89,8 +89,8 @@
     let from = sim.model.now();
     sim.run(2 * S);
     let moved = sim.admitted(from) as f64 / quota / 2.0;
-    let over = check(&sim.records).iter().filter(|f| matches!(f, Fault::Over { .. })).count();
-    assert!(sim.records.iter().any(|r| matches!(r.what, What::Admitted { .. })));
+    let over = check(&sim.records).iter().filter(|f| matches!(f, Violation::WindowExceeded { .. })).count();
+    assert!(sim.records.iter().any(|r| matches!(r.what, Observation::Admitted { .. })));
     let each = f64::from(secs) * nodes as f64;
     Fleet { used, moved, sent: sent as f64 / each, learnt: learnt as f64 / f64::from(secs), entries, over }
 }
--- a/crates/quota/src/check.rs
+++ b/crates/quota/src/check.rs
@@ -15,9 +15,9 @@
 
 use crate::policy::{Policy, Tenant};
 
-/// What is recorded.
+/// Observation is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Observation {
     /// A policy took hold, everywhere at this moment.
     Policy(Policy),
     /// A session began.
@@ -59,7 +59,7 @@
         /// Changes when its bucket was made smaller.
         lowered: u32,
     },
-    /// What the log says was counted of a day.
+    /// Observation the log says was counted of a day.
     Counted {
         /// Whose.
         tenant: String,
@@ -81,15 +81,15 @@
     pub node: u32,
     /// Which of its sessions.
     pub session: u64,
-    /// What.
-    pub what: What,
+    /// Observation.
+    pub what: Observation,
 }
 
-/// What was broken.
+/// Observation was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Violation {
     /// More than rate x time + burst was admitted in a window that ends at `at`.
-    Over {
+    WindowExceeded {
         /// Whose.
         tenant: String,
         /// The window's end.
@@ -98,7 +98,7 @@
         by: u64,
     },
     /// The same of one part: of a class's kept part, or of the common part (empty class), which then took of a kept one.
-    PartOver {
+    PoolExceeded {
         /// Whose.
         tenant: String,
         /// Of which class.
@@ -107,7 +107,7 @@
         at: Duration,
     },
     /// More of a class than its day allows.
-    DayOver {
+    DailyLimitExceeded {
         /// Whose.
         tenant: String,
         /// Of which class.
@@ -116,7 +116,7 @@
         day: u32,
     },
     /// The day's count is less than was admitted.
-    DayForgotten {
+    DailyCountTooLow {
         /// Whose.
         tenant: String,
         /// Of which class.
@@ -125,7 +125,7 @@
         day: u32,
     },
     /// A session served with more than its reserve after the log had ended its parts.
-    AfterLease {
+    ServedAfterLease {
         /// Which node.
         node: u32,
         /// When.
@@ -149,18 +149,22 @@
     },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Over { tenant, at, by } => write!(f, "{tenant}: {by} tokens over in a window up to {at:?}"),
-            Self::PartOver { tenant, class, at } => {
+            Self::WindowExceeded { tenant, at, by } => {
+                write!(f, "{tenant}: {by} tokens over in a window up to {at:?}")
+            }
+            Self::PoolExceeded { tenant, class, at } => {
                 write!(f, "{tenant}: the part of {class:?} is over at {at:?}")
             }
-            Self::DayOver { tenant, class, day } => write!(f, "{tenant}: too many {class} on day {day}"),
-            Self::DayForgotten { tenant, class, day } => {
+            Self::DailyLimitExceeded { tenant, class, day } => {
+                write!(f, "{tenant}: too many {class} on day {day}")
+            }
+            Self::DailyCountTooLow { tenant, class, day } => {
                 write!(f, "{tenant}: more {class} admitted on day {day} than counted")
             }
-            Self::AfterLease { node, at } => {
+            Self::ServedAfterLease { node, at } => {
                 write!(f, "node {node} served at {at:?}, after its lease was ended")
             }
             Self::NotEmptyAtStart { node, session, tenant } => {
@@ -244,7 +248,7 @@
     ended: BTreeMap<(u32, u64), bool>,
     spent: BTreeMap<(u32, u64, String), u64>,
     told: BTreeMap<Place, (Duration, u64, u32)>,
-    faults: Vec<Fault>,
+    violations: Vec<Violation>,
 }
 
 impl Checker {
@@ -263,19 +267,23 @@
     fn admitted(&mut self, r: &Record, tenant: &str, class: &str, cost: u64, kept: bool, day: Option<u32>) {
         let (at, name) = (r.at, tenant.to_owned());
         if let Some(by) = self.fleet.get_mut(tenant).and_then(|b| b.take(at, cost)) {
-            self.faults.push(Fault::Over { tenant: name.clone(), at, by });
+            self.violations.push(Violation::WindowExceeded { tenant: name.clone(), at, by });
         }
         let part = if kept { class.to_owned() } else { String::new() };
         let over = self.parts.get_mut(&(name.clone(), part.clone())).and_then(|b| b.take(at, cost));
         if over.is_some() {
-            self.faults.push(Fault::PartOver { tenant: name.clone(), class: part, at });
+            self.violations.push(Violation::PoolExceeded { tenant: name.clone(), class: part, at });
         }
         let Some(t) = self.policy.tenants.iter().find(|t| t.name == tenant) else { return };
         if let (Some(day), Some((_, limit))) = (day, t.per_day.iter().find(|d| d.0 == class)) {
             let (n, most) = self.days.entry((name.clone(), class.to_owned(), day)).or_default();
             (*n, *most) = (*n + 1, (*most).max(*limit));
             if *n == *most + 1 {
-                self.faults.push(Fault::DayOver { tenant: name.clone(), class: class.to_owned(), day });
+                self.violations.push(Violation::DailyLimitExceeded {
+                    tenant: name.clone(),
+                    class: class.to_owned(),
+                    day,
+                });
             }
         }
         let who = (r.node, r.session);
@@ -285,9 +293,9 @@
             let minted = u128::from(t.rate_milli) * (at - *began).as_nanos() / 1_000;
             // A higher rate may have held before: only what no policy allowed since is told, by one that never changed.
             if u128::from(*spent) * TOKEN as u128 > minted && self.policy.version <= 1 {
-                let fault = Fault::NotEmptyAtStart { node: r.node, session: r.session, tenant: name };
-                if !self.faults.contains(&fault) {
-                    self.faults.push(fault);
+                let violation = Violation::NotEmptyAtStart { node: r.node, session: r.session, tenant: name };
+                if !self.violations.contains(&violation) {
+                    self.violations.push(violation);
                 }
             }
         }
@@ -297,31 +305,31 @@
     fn record(&mut self, r: &Record) {
         let who = (r.node, r.session);
         match &r.what {
-            What::Policy(p) => self.policy(r.at, p),
-            What::Started => {
+            Observation::Policy(p) => self.policy(r.at, p),
+            Observation::Started => {
                 self.started.insert(who, r.at);
             }
-            What::Ended { all } => {
+            Observation::Ended { all } => {
                 self.ended.insert(who, *all);
             }
-            What::Renewed => {
+            Observation::Renewed => {
                 self.ended.remove(&who);
             }
-            What::Admitted { tenant, class, cost, kept, day, rate } => {
+            Observation::Admitted { tenant, class, cost, kept, day, rate } => {
                 self.admitted(r, tenant, class, *cost, *kept, *day);
                 let whole =
                     self.policy.tenants.iter().find(|t| t.name == *tenant).map_or(0, |t| t.rate_milli);
                 let reserve = whole * crate::RATE_RESERVE / u64::from(crate::UNIT);
                 if self.ended.get(&who).is_some_and(|all| *all || *rate > reserve) {
-                    self.faults.push(Fault::AfterLease { node: r.node, at: r.at });
+                    self.violations.push(Violation::ServedAfterLease { node: r.node, at: r.at });
                 }
             }
-            What::Refused { tenant, class, retry_after, sure, rate, lowered } => {
+            Observation::Refused { tenant, class, retry_after, sure, rate, lowered } => {
                 let place = (r.node, r.session, tenant.clone(), class.clone());
                 let kept = self.told.get(&place);
                 if *sure && kept.is_some_and(|(due, had, low)| r.at >= *due && rate >= had && lowered == low)
                 {
-                    self.faults.push(Fault::RetryAfterBroken { node: r.node, at: r.at });
+                    self.violations.push(Violation::RetryAfterBroken { node: r.node, at: r.at });
                     self.told.remove(&place);
                 } else if kept.is_some_and(|(_, had, low)| rate < had || lowered != low) {
                     self.told.remove(&place);
@@ -332,23 +340,27 @@
                     self.told.insert(place, (due + Duration::from_millis(1), *rate, *lowered));
                 }
             }
-            What::Counted { tenant, class, day, count } => {
+            Observation::Counted { tenant, class, day, count } => {
                 let key = (tenant.clone(), class.clone(), *day);
                 if self.days.get(&key).is_some_and(|(n, _)| n > count) {
-                    self.faults.push(Fault::DayForgotten { tenant: key.0, class: key.1, day: *day });
+                    self.violations.push(Violation::DailyCountTooLow {
+                        tenant: key.0,
+                        class: key.1,
+                        day: *day,
+                    });
                 }
             }
         }
     }
 }
 
-/// What is broken in `records`, which may come in any order; those of one moment count in the order given.
-pub fn check(records: &[Record]) -> Vec<Fault> {
+/// Observation is broken in `records`, which may come in any order; those of one moment count in the order given.
+pub fn check(records: &[Record]) -> Vec<Violation> {
     let mut order: Vec<&Record> = records.iter().collect();
     order.sort_by_key(|r| r.at);
     let mut checker = Checker::default();
     for r in order {
         checker.record(r);
     }
-    checker.faults
+    checker.violations
 }
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -1,11 +1,11 @@
-//! What part 4 promises, each sentence a test; and the checker shown what it has to catch.
+//! Observation part 4 promises, each sentence a test; and the checker shown what it has to catch.
 
 use std::time::Duration;
 
 use magpietally_consensus::StateMachine;
 use magpietally_transport::{Name, Peer, Session};
 
-use crate::check::{check, Fault, Record, What};
+use crate::check::{check, Observation, Record, Violation};
 use crate::quota::Planted;
 use crate::sim::Sim;
 use crate::{Kept, Policy, Quota, Settings, Tenant, Verdict, Why};
@@ -140,7 +140,7 @@
     sim.run(20 * S);
     let from = sim.model.now();
     sim.run(20 * S);
-    let own = |r: &&Record| r.node == 3 && r.at >= from && matches!(r.what, What::Admitted { .. });
+    let own = |r: &&Record| r.node == 3 && r.at >= from && matches!(r.what, Observation::Admitted { .. });
     let served = sim.records.iter().filter(own).count();
     assert!(served >= 5, "{served} served by the one cut off");
     whole(&sim, 5);
@@ -156,8 +156,10 @@
     let (from, mut asked, mut got) = (3 * S, 0, 0);
     for r in sim.records.iter().filter(|r| r.at >= from) {
         match &r.what {
-            What::Admitted { class, .. } if class == "fee-payment" => (asked, got) = (asked + 1, got + 1),
-            What::Refused { class, .. } if class == "fee-payment" => asked += 1,
+            Observation::Admitted { class, .. } if class == "fee-payment" => {
+                (asked, got) = (asked + 1, got + 1)
+            }
+            Observation::Refused { class, .. } if class == "fee-payment" => asked += 1,
             _ => {}
         }
     }
@@ -181,7 +183,8 @@
     sim.run(5 * S);
     sim.count(CLUBS, "signup");
     whole(&sim, 7);
-    let days = sim.records.iter().filter(|r| matches!(r.what, What::Admitted { day: Some(_), .. })).count();
+    let days =
+        sim.records.iter().filter(|r| matches!(r.what, Observation::Admitted { day: Some(_), .. })).count();
     assert!((30..=60).contains(&days), "{days} signups");
     // And through a snapshot, as a store keeps it.
     let (old, now) = sim.model.machine(0).expect("running");
@@ -205,7 +208,7 @@
     assert_eq!(sim.model.machine(1).expect("running").0.state().day().0, day + 1);
     whole(&sim, 8);
     for d in [day, day + 1] {
-        let of = |r: &&Record| matches!(r.what, What::Admitted { day, .. } if day == Some(d));
+        let of = |r: &&Record| matches!(r.what, Observation::Admitted { day, .. } if day == Some(d));
         let n = sim.records.iter().filter(of).count();
         assert!((5..=10).contains(&n), "{n} signups on day {d}");
     }
@@ -293,9 +296,13 @@
         sim.model.set_isolated(2, true);
         sim.run(6 * S);
         let faults = check(&sim.records);
-        let told = faults.iter().any(|f| matches!(f, Fault::AfterLease { node: 2, .. }));
+        let told = faults.iter().any(|f| matches!(f, Violation::ServedAfterLease { node: 2, .. }));
         assert_eq!(told, caught, "{faults:?}");
-        assert_eq!(faults.iter().any(|f| matches!(f, Fault::Over { .. })), caught, "{faults:?}");
+        assert_eq!(
+            faults.iter().any(|f| matches!(f, Violation::WindowExceeded { .. })),
+            caught,
+            "{faults:?}"
+        );
     }
 }
 
@@ -310,7 +317,7 @@
         sim.start(0);
         sim.run(4 * S);
         let faults = check(&sim.records);
-        let told = faults.iter().any(|f| matches!(f, Fault::NotEmptyAtStart { node: 0, session: 2, .. }));
+        let told = faults.iter().any(|f| matches!(f, Violation::NotEmptyAtStart { node: 0, session: 2, .. }));
         assert_eq!(told, caught, "{faults:?}");
     }
 }
@@ -326,8 +333,12 @@
             sim.run(3 * S);
         }
         let faults = check(&sim.records);
-        assert_eq!(faults.iter().any(|f| matches!(f, Fault::Over { .. })), caught, "{faults:?}");
-        assert_eq!(faults.iter().any(|f| matches!(f, Fault::PartOver { .. })), caught, "{faults:?}");
+        assert_eq!(
+            faults.iter().any(|f| matches!(f, Violation::WindowExceeded { .. })),
+            caught,
+            "{faults:?}"
+        );
+        assert_eq!(faults.iter().any(|f| matches!(f, Violation::PoolExceeded { .. })), caught, "{faults:?}");
     }
 }
 
@@ -339,7 +350,11 @@
         sim.ask(0..2, CLUBS, "signup", 20.0);
         sim.run(6 * S);
         let faults = check(&sim.records);
-        assert_eq!(faults.iter().any(|f| matches!(f, Fault::DayOver { .. })), caught, "{faults:?}");
+        assert_eq!(
+            faults.iter().any(|f| matches!(f, Violation::DailyLimitExceeded { .. })),
+            caught,
+            "{faults:?}"
+        );
     }
 }
 
@@ -354,14 +369,14 @@
     let mut records = sim.records.clone();
     for r in &mut records {
         match &mut r.what {
-            What::Counted { count, .. } => *count = 1,
-            What::Refused { retry_after, .. } => *retry_after = Duration::ZERO,
+            Observation::Counted { count, .. } => *count = 1,
+            Observation::Refused { retry_after, .. } => *retry_after = Duration::ZERO,
             _ => {}
         }
     }
     let faults = check(&records);
-    assert!(faults.iter().any(|f| matches!(f, Fault::DayForgotten { .. })), "{faults:?}");
-    assert!(faults.iter().any(|f| matches!(f, Fault::RetryAfterBroken { .. })), "{faults:?}");
+    assert!(faults.iter().any(|f| matches!(f, Violation::DailyCountTooLow { .. })), "{faults:?}");
+    assert!(faults.iter().any(|f| matches!(f, Violation::RetryAfterBroken { .. })), "{faults:?}");
 }
 
 #[test]
@@ -373,12 +388,12 @@
         let mut times: Vec<u64> = (0..12).map(|_| rng.random_range(0..9000)).collect();
         times.sort_unstable();
         let mut records =
-            vec![Record { at: Duration::ZERO, node: 0, session: 0, what: What::Policy(plain(2, 4)) }];
+            vec![Record { at: Duration::ZERO, node: 0, session: 0, what: Observation::Policy(plain(2, 4)) }];
         records.extend(times.iter().map(|&t| Record {
             at: MS * t as u32,
             node: 0,
             session: 1,
-            what: What::Admitted {
+            what: Observation::Admitted {
                 tenant: CLUBS.into(),
                 class: "lookup".into(),
                 cost: 1,
@@ -389,7 +404,7 @@
         }));
         let pairs = |i: usize, j: usize| (j - i + 1) as u64 * 1000 > 4000 + 2 * (times[j] - times[i]);
         let want = (0..12).any(|i| (i..12).any(|j| pairs(i, j)));
-        let got = check(&records).iter().any(|f| matches!(f, Fault::Over { .. }));
+        let got = check(&records).iter().any(|f| matches!(f, Violation::WindowExceeded { .. }));
         assert_eq!(got, want, "{times:?}");
         (found, clean) = (found + u32::from(got), clean + u32::from(!got));
     }
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -9,11 +9,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::check::{Record, What};
+use crate::check::{Observation, Record};
 use crate::entry::Body;
 use crate::{Policy, Quota, Settings, State, Verdict, Why};
 
-/// What one node is asked for.
+/// Observation one node is asked for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// Which node.
@@ -30,7 +30,7 @@
 pub struct Sim {
     /// The log and its nodes.
     pub model: Model<Quota>,
-    /// What is asked for from now on.
+    /// Observation is asked for from now on.
     pub demand: Vec<Demand>,
     /// All that happened, by the true time.
     pub records: Vec<Record>,
@@ -78,7 +78,7 @@
     ) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x9e37);
         let mut model = Model::new(seed, Faults::default(), 1_800_000_000_000);
-        let mut records = vec![at(Duration::ZERO, 0, 0, What::Policy(policy.clone()))];
+        let mut records = vec![at(Duration::ZERO, 0, 0, Observation::Policy(policy.clone()))];
         for i in 0..nodes {
             let clocks = Clocks {
                 boot_at_zero: Duration::from_secs(rng.random_range(1..100_000)),
@@ -88,7 +88,7 @@
             // A name of digits and one letter.
             let name = Name::new(&format!("n{i}")).unwrap_or_default();
             model.add(name, clocks, make(settings, policy, plant));
-            records.push(at(Duration::ZERO, i, 1, What::Started));
+            records.push(at(Duration::ZERO, i, 1, Observation::Started));
         }
         Self {
             model,
@@ -150,14 +150,19 @@
             let before = self.log.clone_if_end(d);
             let changed = self.log.apply(now, d);
             if let Some((peer, _)) = changed.report.filter(|(p, _)| self.ended.remove(p)) {
-                self.records.push(at(now, number(&peer), peer.session.0, What::Renewed));
+                self.records.push(at(now, number(&peer), peer.session.0, Observation::Renewed));
             }
             if let (Some(before), Some(Body::End(ends))) = (before, Body::decode(&d.proposal.body)) {
                 for (sid, _, all) in ends {
                     let gone = all && self.log.peer(sid).is_none();
                     let lost = before.holds(sid) && !self.log.holds(sid);
                     if let Some(peer) = before.peer(sid).filter(|_| gone || lost) {
-                        self.records.push(at(now, number(peer), peer.session.0, What::Ended { all: gone }));
+                        self.records.push(at(
+                            now,
+                            number(peer),
+                            peer.session.0,
+                            Observation::Ended { all: gone },
+                        ));
                         self.ended.insert(peer.clone());
                     }
                 }
@@ -192,11 +197,11 @@
         let what = match spent.verdict {
             Verdict::Admitted => {
                 let (cost, kept, day, rate) = (spent.cost, spent.kept, spent.day, spent.rate);
-                What::Admitted { tenant, class, cost, kept, day, rate }
+                Observation::Admitted { tenant, class, cost, kept, day, rate }
             }
             Verdict::Refused { retry_after, why } if self.refusals => {
                 let (sure, rate, lowered) = (why == Why::Rate, spent.rate, spent.lowered);
-                What::Refused { tenant, class, retry_after, sure, rate, lowered }
+                Observation::Refused { tenant, class, retry_after, sure, rate, lowered }
             }
             _ => return,
         };
@@ -206,7 +211,7 @@
     /// A policy takes hold everywhere at this moment; who does not run learns it before it serves.
     pub fn set_policy(&mut self, policy: &Policy) {
         self.policy = policy.clone();
-        self.records.push(at(self.model.now(), 0, 0, What::Policy(policy.clone())));
+        self.records.push(at(self.model.now(), 0, 0, Observation::Policy(policy.clone())));
         for i in 0..self.model.len() {
             match self.model.machine(i) {
                 Some((q, now)) => {
@@ -229,12 +234,12 @@
         self.sessions[i] += 1;
         self.behind.remove(&i);
         self.model.start(i, make(self.settings, &self.policy, self.plant));
-        self.records.push(at(self.model.now(), i, self.sessions[i], What::Started));
+        self.records.push(at(self.model.now(), i, self.sessions[i], Observation::Started));
     }
 
-    /// What was admitted from `from` on, in tokens.
+    /// Observation was admitted from `from` on, in tokens.
     pub fn admitted(&self, from: Duration) -> u64 {
-        let cost = |r: &Record| if let What::Admitted { cost, .. } = r.what { cost } else { 0 };
+        let cost = |r: &Record| if let Observation::Admitted { cost, .. } = r.what { cost } else { 0 };
         self.records.iter().filter(|r| r.at >= from).map(cost).sum()
     }
 
@@ -243,7 +248,7 @@
         let day = self.log.day().0;
         let count = self.log.granted(crate::policy::number(tenant, class, "day"));
         let (tenant, class) = (tenant.to_owned(), class.to_owned());
-        self.records.push(at(self.model.now(), 0, 0, What::Counted { tenant, class, day, count }));
+        self.records.push(at(self.model.now(), 0, 0, Observation::Counted { tenant, class, day, count }));
     }
 
     /// One random fault, or the end of one.
@@ -308,6 +313,6 @@
     peer.name.as_str().get(1..).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn at(at: Duration, node: usize, session: u64, what: What) -> Record {
+fn at(at: Duration, node: usize, session: u64, what: Observation) -> Record {
     Record { at, node: node as u32, session: Session(session).0, what }
 }
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -105,7 +105,7 @@
     }
 
     /// A record of the quotas' checker.
-    pub fn record_quota(&self, at: Duration, what: quota_check::What) {
+    pub fn record_quota(&self, at: Duration, what: quota_check::Observation) {
         if self.keeps_records() {
             self.record(&Line::Quota(quota_check::Record {
                 at,
@@ -142,7 +142,7 @@
         while rooms.settings.len() > VERSIONS_KEPT {
             rooms.settings.pop_first();
         }
-        self.record_quota(now.boot, quota_check::What::Policy(quotas.clone()));
+        self.record_quota(now.boot, quota_check::Observation::Policy(quotas.clone()));
         tracing::info!(target: "fleet", "version {} is active: {} tenants with a quota", active.0, quotas.tenants.len());
     }
 }
@@ -186,7 +186,7 @@
                     let sure = why == Why::Rate;
                     self.record_quota(
                         now,
-                        quota_check::What::Refused {
+                        quota_check::Observation::Refused {
                             tenant: tenant.clone(),
                             class: class.to_string(),
                             retry_after,
@@ -199,7 +199,7 @@
                 }
                 Verdict::Admitted => self.record_quota(
                     now,
-                    quota_check::What::Admitted {
+                    quota_check::Observation::Admitted {
                         tenant: tenant.clone(),
                         class: class.to_string(),
                         cost: spent.cost,
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -217,7 +217,7 @@
         quota.sort_by_key(|r| r.at);
         // A policy takes hold at one moment; each node says so when it learns of it.
         quota.retain(|r| match &r.what {
-            quota_check::What::Policy(p) => versions.insert(p.version),
+            quota_check::Observation::Policy(p) => versions.insert(p.version),
             _ => true,
         });
         (policy, quota, log)
@@ -335,7 +335,7 @@
 }
 
 /// Demand moves from one node to another, again and again: each is asked until it has served so many, ten seconds at most.
-fn move_demand(f: &mut Fleet, rate: f64, most: u64) -> Vec<quota_check::Fault> {
+fn move_demand(f: &mut Fleet, rate: f64, most: u64) -> Vec<quota_check::Violation> {
     f.wait_ready(&ALL);
     f.write_policy(&format!("[tenants.punjab-clubs]\nrate_per_s = {rate:.1}\nburst = 400\n"));
     f.wait_version(1, &ALL);
@@ -351,7 +351,8 @@
         f.end_load();
     }
     let (_, quota, _) = f.all_records();
-    let admitted = quota.iter().filter(|r| matches!(r.what, quota_check::What::Admitted { .. })).count();
+    let admitted =
+        quota.iter().filter(|r| matches!(r.what, quota_check::Observation::Admitted { .. })).count();
     assert!(admitted > 100, "{admitted} requests admitted: the records say little");
     quota_check::check(&quota)
 }
@@ -363,7 +364,8 @@
     let mut faulty = Fleet::new("fleet-quota-planted", 24, Some((&ALL, "level-moves")));
     // So slow a rate that a busy machine, too, spends what moved before the quota could have filled again.
     let found = move_demand(&mut faulty, 5.0, 250);
-    let over = |fault: &quota_check::Fault| matches!(fault, quota_check::Fault::Over { .. });
+    let over =
+        |fault: &quota_check::Violation| matches!(fault, quota_check::Violation::WindowExceeded { .. });
     assert!(found.iter().any(over), "the checker found nothing over: {found:?}");
 }
 
