--- a/crates/quota/examples/measure.rs
+++ b/crates/quota/examples/measure.rs
@@ -9,7 +9,7 @@
 use magpietally_consensus::{Proposal, Topic};
 use magpietally_quota::check::{check, Observation, Violation};
 use magpietally_quota::sim::Sim;
-use magpietally_quota::{Policy, Settings, Tenant, Verdict};
+use magpietally_quota::{Policy, Settings, SpendDecision, Tenant};
 
 const S: Duration = Duration::from_secs(1);
 const TENANTS: usize = 16;
@@ -111,7 +111,7 @@
         at += Duration::from_nanos(2_500_000 / tenants as u64);
         let tenant = &names[n as usize % tenants];
         let spent = q.spend(black_box(at), black_box(tenant), "lookup", key.then_some(n));
-        admitted += u64::from(spent.verdict == Verdict::Admitted);
+        admitted += u64::from(spent.decision == SpendDecision::Admitted);
     }
     (begun.elapsed().as_nanos() as f64 / rounds as f64, admitted as f64 / rounds as f64)
 }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -29,7 +29,7 @@
     /// With what is set aside alone.
     low: (u64, u64),
     /// Counts each time that the bucket was made smaller: what was promised before is void.
-    pub lowered: u32,
+    pub reductions: u32,
 }
 
 impl Bucket {
@@ -44,7 +44,7 @@
         }
         let ends = |at: Duration| self.last < at && now >= at;
         if ends(until.main) || ends(until.reserve) {
-            self.lowered = self.lowered.wrapping_add(1);
+            self.reductions = self.reductions.wrapping_add(1);
         }
         self.fill(now.min(until.main), self.full);
         if now < until.main {
@@ -76,7 +76,7 @@
         let low = Share { main: 0, ..share };
         let full = (share.rate(rate), share.cap(burst));
         let less = full.0 < self.full.0 || full.1 < self.full.1;
-        self.lowered = self.lowered.wrapping_add(u32::from(less));
+        self.reductions = self.reductions.wrapping_add(u32::from(less));
         (self.full, self.low) = (full, (low.rate(rate), low.cap(burst)));
         self.level = self.level.min(if now < until.main { self.full.1 } else { self.low.1 });
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -3,7 +3,7 @@
 //! The log's state divides every pool of tokens (a tenant's common part, each part kept for a class) into **parts of a
 //! million**, one number a node; a node's bucket has that part of the rate and of the burst under the policy the node
 //! has now. The parts never add up to more than the whole, a part begins with an empty bucket, and a bucket is only ever
-//! filled by time: so all nodes together stay within rate x time + burst in every window. Why, and what was ruled out:
+//! filled by time: so all nodes together stay within rate x time + burst in every window. RefusalReason, and what was ruled out:
 //! `docs/design/quota.md`.
 //!
 //! Central types: [`Quota`] (one node's room: [`Quota::spend`] is the one call on a request's path), [`Policy`] (what
@@ -26,6 +26,6 @@
 pub use division::{Share, CAP_RESERVE, RATE_RESERVE, UNIT};
 pub use entry::{Body, DayItem, Item, Report};
 pub use policy::{Kept, Policy, PolicyError, Tenant, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
-pub use quota::{Quota, Settings, Why};
-pub use quota::{Spent, Verdict};
+pub use quota::{Quota, RefusalReason, Settings};
+pub use quota::{SpendDecision, SpendResult};
 pub use state::State;
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -8,7 +8,7 @@
 use crate::check::{check, Observation, Record, Violation};
 use crate::quota::Planted;
 use crate::sim::Sim;
-use crate::{Kept, Policy, Quota, Settings, Tenant, Verdict, Why};
+use crate::{Kept, Policy, Quota, RefusalReason, Settings, SpendDecision, Tenant};
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
@@ -276,14 +276,14 @@
     sim.ask(0..1, CLUBS, "lookup", 5.0);
     sim.run(5 * S);
     let (q, now) = sim.model.machine(0).expect("running");
-    let mut say = |key| q.spend(now.boot, CLUBS, "lookup", key).verdict;
-    assert_eq!(say(Some(7)), Verdict::Admitted);
-    assert_eq!([say(Some(7)), say(Some(7))], [Verdict::Repeat; 2]);
-    assert_eq!(say(Some(7)), Verdict::Admitted);
-    while say(None) == Verdict::Admitted {}
-    assert_eq!(say(Some(7)), Verdict::Repeat);
-    assert!(matches!(say(Some(8)), Verdict::Refused { why: Why::Rate, .. }));
-    assert_eq!(q.spend(now.boot, "nobody", "lookup", None).verdict, Verdict::Unlimited);
+    let mut say = |key| q.spend(now.boot, CLUBS, "lookup", key).decision;
+    assert_eq!(say(Some(7)), SpendDecision::Admitted);
+    assert_eq!([say(Some(7)), say(Some(7))], [SpendDecision::Repeat; 2]);
+    assert_eq!(say(Some(7)), SpendDecision::Admitted);
+    while say(None) == SpendDecision::Admitted {}
+    assert_eq!(say(Some(7)), SpendDecision::Repeat);
+    assert!(matches!(say(Some(8)), SpendDecision::Refused { reason: RefusalReason::RateExceeded, .. }));
+    assert_eq!(q.spend(now.boot, "nobody", "lookup", None).decision, SpendDecision::Unlimited);
 }
 
 #[test]
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -47,22 +47,22 @@
     }
 }
 
-/// Why a request was refused.
+/// RefusalReason a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// The bucket does not hold what it costs; it will, after the time told, if nobody else takes it and the lease lasts.
-    Rate,
+    RateExceeded,
     /// This node has no part that is large enough; it asks for one. The time told is an estimate.
     NoShare,
     /// This node holds none of the day's count, but the log may have some left. The time told is an estimate.
-    DayShare,
+    NoDailyShare,
     /// The day's count is used up, or out on lease: the time told is the rest of the day by the log's clock.
-    Day,
+    DailyLimit,
 }
 
 /// What is to become of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SpendDecision {
     /// The tenant has no quota.
     Unlimited,
     /// Admitted, and paid for.
@@ -73,26 +73,26 @@
     Refused {
         /// When to come again; a carrier rounds it up to whole seconds.
         retry_after: Duration,
-        /// Why.
-        why: Why,
+        /// RefusalReason.
+        reason: RefusalReason,
     },
 }
 
 /// A verdict and what stood behind it, for records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spent {
+pub struct SpendResult {
     /// The verdict.
-    pub verdict: Verdict,
+    pub decision: SpendDecision,
     /// What the request costs, in tokens.
     pub cost: u64,
     /// Whether it was paid out of the part kept for its class.
-    pub kept: bool,
+    pub from_class_quota: bool,
     /// The day whose count it was taken from, in days since 1970.
     pub day: Option<u32>,
     /// This node's rate in the pool asked last, in thousandths of a token a second.
-    pub rate: u64,
+    pub rate_milli: u64,
     /// Changes whenever this node's bucket was made smaller.
-    pub lowered: u32,
+    pub reductions: u32,
 }
 
 struct Local {
@@ -236,37 +236,43 @@
 
     /// Whether a request may be served: to be asked once for each request, with a clock read for it in the same breath;
     /// the node's own retries and second copies are the same request. `key` is a hash of its `Idempotency-Key`.
-    pub fn spend(&mut self, now: Duration, tenant: &str, class: &str, key: Option<u64>) -> Spent {
-        let mut spent =
-            Spent { verdict: Verdict::Unlimited, cost: 0, kept: false, day: None, rate: 0, lowered: 0 };
+    pub fn spend(&mut self, now: Duration, tenant: &str, class: &str, key: Option<u64>) -> SpendResult {
+        let mut spent = SpendResult {
+            decision: SpendDecision::Unlimited,
+            cost: 0,
+            from_class_quota: false,
+            day: None,
+            rate_milli: 0,
+            reductions: 0,
+        };
         let Some(&t) = self.policy.by_name.get(tenant) else { return spent };
         let rules = &self.policy.tenants[t];
         let class = rules.classes.iter().find(|c| c.name == class);
         let (cost, kept, day) = class.map_or((1, None, None), |c| (c.cost, c.kept, c.day));
         spent.cost = cost;
         if key.is_some_and(|k| self.repeats.free(now, t as u32, k)) {
-            spent.verdict = Verdict::Repeat;
+            spent.decision = SpendDecision::Repeat;
             return spent;
         }
         self.pools[rules.common].used = Some(now);
         if let Some(d) = day {
             self.days[d].window.add(now, 1);
             if self.days[d].tokens == 0 || now >= self.until.reserve {
-                spent.verdict = self.no_day(now, d);
+                spent.decision = self.no_day(now, d);
                 return spent;
             }
         }
-        let mut refused: Option<(Duration, Why)> = None;
+        let mut refused: Option<(Duration, RefusalReason)> = None;
         for place in kept.into_iter().chain([rules.common]) {
             let pool = &mut self.pools[place];
             pool.used = Some(now);
             pool.window.add(now, cost);
             pool.bucket.settle(now, self.until);
-            spent.lowered = spent.lowered.wrapping_add(pool.bucket.lowered);
-            spent.rate = pool.bucket.fills(now, self.until).0;
+            spent.reductions = spent.reductions.wrapping_add(pool.bucket.reductions);
+            spent.rate_milli = pool.bucket.fills(now, self.until).0;
             if pool.bucket.take(cost) {
-                spent.verdict = Verdict::Admitted;
-                spent.kept = Some(place) == kept;
+                spent.decision = SpendDecision::Admitted;
+                spent.from_class_quota = Some(place) == kept;
                 if let Some(d) = day {
                     self.days[d].tokens -= 1;
                     spent.day = Some(self.day);
@@ -276,25 +282,29 @@
                 }
                 return spent;
             }
-            let wait =
-                pool.bucket.wait(now, self.until, cost).map_or((ASKS, Why::NoShare), |w| (w, Why::Rate));
+            let wait = pool
+                .bucket
+                .wait(now, self.until, cost)
+                .map_or((ASKS, RefusalReason::NoShare), |w| (w, RefusalReason::RateExceeded));
             // A time that is sure is better than an estimate, and a shorter one than a longer.
-            let better = refused.is_none_or(|r| (wait.1 != Why::Rate, wait.0) < (r.1 != Why::Rate, r.0));
+            let better = refused.is_none_or(|r| {
+                (wait.1 != RefusalReason::RateExceeded, wait.0) < (r.1 != RefusalReason::RateExceeded, r.0)
+            });
             refused = if better { Some(wait) } else { refused };
         }
-        let (retry_after, why) = refused.unwrap_or((ASKS, Why::NoShare));
-        spent.verdict = Verdict::Refused { retry_after, why };
+        let (retry_after, reason) = refused.unwrap_or((ASKS, RefusalReason::NoShare));
+        spent.decision = SpendDecision::Refused { retry_after, reason };
         spent
     }
 
-    fn no_day(&self, now: Duration, d: usize) -> Verdict {
+    fn no_day(&self, now: Duration, d: usize) -> SpendDecision {
         let (id, limit) = self.policy.days[d];
         if self.state.granted(id) < limit {
-            return Verdict::Refused { retry_after: ASKS, why: Why::DayShare };
+            return SpendDecision::Refused { retry_after: ASKS, reason: RefusalReason::NoDailyShare };
         }
         let left = Duration::from_millis(DAY_MS - self.state.day().1 % DAY_MS);
         let retry_after = left.saturating_sub(now.saturating_sub(self.stamped)).max(ASKS);
-        Verdict::Refused { retry_after, why: Why::Day }
+        SpendDecision::Refused { retry_after, reason: RefusalReason::DailyLimit }
     }
 
     /// What of `class`'s count of today has been granted to all nodes: never less than was admitted.
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -11,7 +11,7 @@
 
 use crate::check::{Observation, Record};
 use crate::entry::Body;
-use crate::{Policy, Quota, Settings, State, Verdict, Why};
+use crate::{Policy, Quota, RefusalReason, Settings, SpendDecision, State};
 
 /// Observation one node is asked for.
 #[derive(Clone, Debug, PartialEq)]
@@ -194,13 +194,15 @@
         }
         let Demand { tenant, class, .. } = self.demand[demand].clone();
         let spent = q.spend(local.boot, &tenant, &class, None);
-        let what = match spent.verdict {
-            Verdict::Admitted => {
-                let (cost, kept, day, rate) = (spent.cost, spent.kept, spent.day, spent.rate);
+        let what = match spent.decision {
+            SpendDecision::Admitted => {
+                let (cost, kept, day, rate) =
+                    (spent.cost, spent.from_class_quota, spent.day, spent.rate_milli);
                 Observation::Admitted { tenant, class, cost, kept, day, rate }
             }
-            Verdict::Refused { retry_after, why } if self.refusals => {
-                let (sure, rate, lowered) = (why == Why::Rate, spent.rate, spent.lowered);
+            SpendDecision::Refused { retry_after, reason } if self.refusals => {
+                let (sure, rate, lowered) =
+                    (reason == RefusalReason::RateExceeded, spent.rate_milli, spent.reductions);
                 Observation::Refused { tenant, class, retry_after, sure, rate, lowered }
             }
             _ => return,
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -13,7 +13,7 @@
 use magpietally_policy_change::{
     check as policy_check, Admission, Epoch, PolicyChange, ProposeError, RefusalWhy, Version,
 };
-use magpietally_quota::{check as quota_check, Quota, Verdict, Why};
+use magpietally_quota::{check as quota_check, Quota, RefusalReason, SpendDecision};
 use magpietally_transport::{Now, Peer};
 use serde::Serialize;
 
@@ -181,9 +181,9 @@
                 (k.len() as u64) << 32 | u64::from(crc.finalize())
             });
             let spent = rooms.quota.spend(now, tenant, class, key);
-            match spent.verdict {
-                Verdict::Refused { retry_after, why } => {
-                    let sure = why == Why::Rate;
+            match spent.decision {
+                SpendDecision::Refused { retry_after, reason } => {
+                    let sure = reason == RefusalReason::RateExceeded;
                     self.record_quota(
                         now,
                         quota_check::Observation::Refused {
@@ -191,24 +191,24 @@
                             class: class.to_string(),
                             retry_after,
                             sure,
-                            rate: spent.rate,
-                            lowered: spent.lowered,
+                            rate: spent.rate_milli,
+                            lowered: spent.reductions,
                         },
                     );
                     return AdmissionDecision::OverQuota { retry_after: ms(retry_after) };
                 }
-                Verdict::Admitted => self.record_quota(
+                SpendDecision::Admitted => self.record_quota(
                     now,
                     quota_check::Observation::Admitted {
                         tenant: tenant.clone(),
                         class: class.to_string(),
                         cost: spent.cost,
-                        kept: spent.kept,
+                        kept: spent.from_class_quota,
                         day: spent.day,
-                        rate: spent.rate,
+                        rate: spent.rate_milli,
                     },
                 ),
-                Verdict::Unlimited | Verdict::Repeat => {}
+                SpendDecision::Unlimited | SpendDecision::Repeat => {}
             }
         }
         self.record_policy(now, policy_check::What::Arrived { request });
