--- a/crates/config/src/fleet_policy.rs
+++ b/crates/config/src/fleet_policy.rs
@@ -302,7 +302,7 @@
 
 impl Tenant {
     /// Its quota over the fleet, where it has one.
-    fn quota(&self, name: &str, ground: &Ground) -> Result<Option<quota::Tenant>, At> {
+    fn quota(&self, name: &str, ground: &Ground) -> Result<Option<quota::TenantQuota>, At> {
         let (rate, burst) = match (self.rate_per_s, self.burst) {
             (Some(rate), Some(burst)) => (rate, burst),
             (None, None) if self.cost.is_empty() && self.kept.is_empty() && self.per_day.is_empty() => {
@@ -319,10 +319,10 @@
         }
         let kept = self.kept.iter().map(|(class, k)| {
             let rate_milli = milli(k.rate_per_s, &["tenants", name, "kept", class, "rate_per_s"])?;
-            Ok(quota::Kept { class: class.clone(), rate_milli, burst: k.burst })
+            Ok(quota::ClassQuota { class: class.clone(), rate_milli, burst: k.burst })
         });
         let counts = |map: &BTreeMap<String, u64>| map.iter().map(|(c, n)| (c.clone(), *n)).collect();
-        Ok(Some(quota::Tenant {
+        Ok(Some(quota::TenantQuota {
             name: name.to_string(),
             rate_milli: milli(rate, &["tenants", name, "rate_per_s"])?,
             burst,
--- a/crates/quota/examples/measure.rs
+++ b/crates/quota/examples/measure.rs
@@ -9,7 +9,7 @@
 use magpietally_consensus::{Proposal, Topic};
 use magpietally_quota::check::{check, Observation, Violation};
 use magpietally_quota::sim::Sim;
-use magpietally_quota::{Policy, Settings, SpendDecision, Tenant};
+use magpietally_quota::{Policy, Settings, SpendDecision, TenantQuota};
 
 const S: Duration = Duration::from_secs(1);
 const TENANTS: usize = 16;
@@ -22,11 +22,11 @@
 
 fn policy(tenants: usize, nodes: usize, share: u64) -> Policy {
     let rate = PER_NODE * nodes as u64;
-    let tenant = |t| Tenant {
+    let tenant = |t| TenantQuota {
         name: name(t),
         rate_milli: rate * 1000 / share,
         burst: (2 * rate / share).max(1),
-        ..Tenant::default()
+        ..TenantQuota::default()
     };
     Policy { version: 1, tenants: (0..tenants).map(tenant).collect() }
 }
--- a/crates/quota/src/check.rs
+++ b/crates/quota/src/check.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::policy::{Policy, Tenant};
+use crate::policy::{Policy, TenantQuota};
 
 /// Observation is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -224,7 +224,7 @@
 }
 
 /// The parts of a tenant: (class or empty, rate, burst).
-fn parts(t: &Tenant) -> Vec<(String, u64, u64)> {
+fn parts(t: &TenantQuota) -> Vec<(String, u64, u64)> {
     let (mut rate, mut burst, mut parts) = (t.rate_milli, t.burst, Vec::new());
     for k in &t.kept {
         rate = rate.saturating_sub(k.rate_milli);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use division::{Share, CAP_RESERVE, RATE_RESERVE, UNIT};
 pub use entry::{Body, DayItem, Item, Report};
-pub use policy::{Kept, Policy, PolicyError, Tenant, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
+pub use policy::{ClassQuota, Policy, PolicyError, TenantQuota, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
 pub use quota::{Quota, RefusalReason, Settings};
 pub use quota::{SpendDecision, SpendResult};
 pub use state::State;
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -14,7 +14,7 @@
 
 /// A part of a tenant's quota that only one class can use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct ClassQuota {
     /// The class.
     pub class: String,
     /// Of the tenant's rate, in thousandths of a token a second.
@@ -25,7 +25,7 @@
 
 /// One tenant's quota over the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tenant {
+pub struct TenantQuota {
     /// Whose.
     pub name: String,
     /// Thousandths of a token a second.
@@ -35,7 +35,7 @@
     /// What a request of a class costs, in tokens; of any other class one.
     pub costs: Vec<(String, u64)>,
     /// Parts kept for classes: taken from the rate and burst above, not added to them.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<ClassQuota>,
     /// Requests of a class a day.
     pub per_day: Vec<(String, u64)>,
 }
@@ -46,7 +46,7 @@
     /// The policy's version.
     pub version: u64,
     /// Who has a quota; everybody else is not limited.
-    pub tenants: Vec<Tenant>,
+    pub tenants: Vec<TenantQuota>,
 }
 
 /// Why a policy was refused.
@@ -57,15 +57,15 @@
     /// A tenant's list names more than [`CLASSES_MAX`] classes.
     TooManyClasses(String),
     /// A tenant, or a class in one of its lists, stands there twice.
-    Twice(String),
+    Duplicate(String),
     /// A rate, burst, cost or count that is zero or above [`TOKENS_MAX`].
     OutOfRange(String),
     /// The kept parts leave the common part without rate or burst.
-    KeptTooMuch(String),
+    NothingLeftForCommonPool(String),
     /// A class costs more than the burst that it may draw on: it could never be admitted.
     CostAboveBurst(String, String),
     /// Two pools have the same number; one of the names has to change.
-    SameNumber(String),
+    PoolIdCollision(String),
 }
 
 impl fmt::Display for PolicyError {
@@ -75,20 +75,20 @@
                 write!(f, "{n} tenants with a quota, at most {TENANTS_MAX} are allowed")
             }
             Self::TooManyClasses(t) => write!(f, "tenant {t}: a list names more than {CLASSES_MAX} classes"),
-            Self::Twice(t) => write!(f, "{t} stands there twice"),
+            Self::Duplicate(t) => write!(f, "{t} stands there twice"),
             Self::OutOfRange(t) => {
                 write!(
                     f,
                     "tenant {t}: rates, bursts, costs and counts are above 0 and at most {TOKENS_MAX} tokens"
                 )
             }
-            Self::KeptTooMuch(t) => {
+            Self::NothingLeftForCommonPool(t) => {
                 write!(f, "tenant {t}: the kept parts leave nothing for the other classes")
             }
             Self::CostAboveBurst(t, c) => {
                 write!(f, "tenant {t}: a {c} costs more than the burst it may draw on")
             }
-            Self::SameNumber(t) => {
+            Self::PoolIdCollision(t) => {
                 write!(f, "tenant {t}: a pool's number is taken by another's; change the name")
             }
         }
@@ -153,7 +153,7 @@
     let mut seen = std::collections::BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return Err(PolicyError::Twice(format!("tenant {tenant}: class {name}")));
+            return Err(PolicyError::Duplicate(format!("tenant {tenant}: class {name}")));
         }
         if seen.len() > CLASSES_MAX {
             return Err(PolicyError::TooManyClasses(tenant.to_owned()));
@@ -162,7 +162,7 @@
     Ok(())
 }
 
-impl Tenant {
+impl TenantQuota {
     fn check(&self) -> Result<(), PolicyError> {
         let t = || self.name.clone();
         once(&self.name, self.costs.iter().map(|c| &c.0))?;
@@ -176,7 +176,7 @@
         }
         let (rate, burst) = self.common();
         if rate == 0 || burst == 0 {
-            return Err(PolicyError::KeptTooMuch(t()));
+            return Err(PolicyError::NothingLeftForCommonPool(t()));
         }
         for (class, cost) in self.costs.iter().map(|(c, n)| (c, *n)) {
             if cost > burst {
@@ -220,13 +220,13 @@
                 let id = number(&t.name, class, kind);
                 let taken = numbers.insert(id, ()).is_some();
                 if taken {
-                    Err(PolicyError::SameNumber(t.name.clone()))
+                    Err(PolicyError::PoolIdCollision(t.name.clone()))
                 } else {
                     Ok(id)
                 }
             };
             if c.by_name.insert(t.name.clone(), c.tenants.len()).is_some() {
-                return Err(PolicyError::Twice(format!("tenant {}", t.name)));
+                return Err(PolicyError::Duplicate(format!("tenant {}", t.name)));
             }
             let (rate_milli, burst) = t.common();
             let common = c.pools.len();
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -8,15 +8,15 @@
 use crate::check::{check, Observation, Record, Violation};
 use crate::quota::Planted;
 use crate::sim::Sim;
-use crate::{Kept, Policy, Quota, RefusalReason, Settings, SpendDecision, Tenant};
+use crate::{ClassQuota, Policy, Quota, RefusalReason, Settings, SpendDecision, TenantQuota};
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
 const CLUBS: &str = "punjab-clubs";
 
 fn policy(version: u64, rate: u64, burst: u64, signups: u64) -> Policy {
-    let kept = Kept { class: "fee-payment".into(), rate_milli: rate * 100, burst: burst / 4 };
-    let tenant = Tenant {
+    let kept = ClassQuota { class: "fee-payment".into(), rate_milli: rate * 100, burst: burst / 4 };
+    let tenant = TenantQuota {
         name: CLUBS.into(),
         rate_milli: rate * 1000,
         burst,
@@ -28,7 +28,7 @@
 }
 
 fn plain(rate: u64, burst: u64) -> Policy {
-    let tenant = Tenant { name: CLUBS.into(), rate_milli: rate * 1000, burst, ..Tenant::default() };
+    let tenant = TenantQuota { name: CLUBS.into(), rate_milli: rate * 1000, burst, ..TenantQuota::default() };
     Policy { version: 1, tenants: vec![tenant] }
 }
 
