--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -41,38 +41,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Claim {
     /// Demand, in parts of a million of the pool's rate, at most [`UNIT`].
-    pub want: u32,
+    pub demand: u32,
     /// Less than this serves nobody.
-    pub least: u32,
+    pub min_share: u32,
     /// What it has.
     pub held: u32,
 }
 
 /// What each claim should have: a fair share by demand (nobody gets more than it wants while another wants for some);
 /// what is left over goes to all in proportion, for demand that grows. Where the pool is too small for so many, those
-/// that hold some come first, then those that want most.
+/// that hold some come first, then those that demand most.
 pub(crate) fn targets(claims: &[Claim]) -> Vec<u32> {
     let mut out = vec![0; claims.len()];
-    let mut who: Vec<usize> = (0..claims.len()).filter(|&i| claims[i].want > 0).collect();
-    let Some(least) = who.iter().map(|&i| claims[i].least).max() else { return out };
-    let least = least.clamp(1, UNIT);
-    let fit = (UNIT / least) as usize;
+    let mut who: Vec<usize> = (0..claims.len()).filter(|&i| claims[i].demand > 0).collect();
+    let Some(min_share) = who.iter().map(|&i| claims[i].min_share).max() else { return out };
+    let min_share = min_share.clamp(1, UNIT);
+    let fit = (UNIT / min_share) as usize;
     if who.len() > fit {
-        who.sort_by_key(|&i| (std::cmp::Reverse((claims[i].held, claims[i].want)), i));
+        who.sort_by_key(|&i| (std::cmp::Reverse((claims[i].held, claims[i].demand)), i));
         who.truncate(fit);
     }
-    let want = |i: usize| u64::from(claims[i].want.max(least).min(UNIT));
-    who.sort_by_key(|&i| (want(i), i));
-    let sum: u64 = who.iter().map(|&i| want(i)).sum();
+    let demand = |i: usize| u64::from(claims[i].demand.max(min_share).min(UNIT));
+    who.sort_by_key(|&i| (demand(i), i));
+    let sum: u64 = who.iter().map(|&i| demand(i)).sum();
     let mut left = u64::from(UNIT);
     if sum <= left {
         for &i in &who {
-            out[i] = (want(i) * left / sum) as u32;
+            out[i] = (demand(i) * left / sum) as u32;
         }
         return out;
     }
     for (n, &i) in who.iter().enumerate() {
-        let part = want(i).min(left / (who.len() - n) as u64);
+        let part = demand(i).min(left / (who.len() - n) as u64);
         out[i] = part as u32;
         left -= part;
     }
--- a/crates/quota/src/division/tests.rs
+++ b/crates/quota/src/division/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn claim(want: u32) -> Claim {
-    Claim { want, least: 1, held: 0 }
+fn claim(demand: u32) -> Claim {
+    Claim { demand, min_share: 1, held: 0 }
 }
 
 #[test]
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_pool_too_small_for_all_serves_as_many_as_it_can_and_holders_first() {
-    let least = 400_000;
-    let c = |want, held| Claim { want, least, held };
+    let min_share = 400_000;
+    let c = |demand, held| Claim { demand, min_share, held };
     assert_eq!(targets(&[c(UNIT, 0), c(5, 0), c(7, 1)]), [600_000, 0, 400_000]);
 }
--- a/crates/quota/src/entry.rs
+++ b/crates/quota/src/entry.rs
@@ -11,28 +11,28 @@
 
 /// One pool in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct PoolReport {
     /// The pool's number.
     pub pool: u32,
     /// Demand, in parts of a million of the pool's rate.
-    pub want: u32,
+    pub demand: u32,
     /// The smallest part that serves anybody.
-    pub least: u32,
+    pub min_share: u32,
     /// The sender spends under at most this part since it asked, and until it sees this decided or displaced.
-    pub keep: u32,
+    pub share_limit: u32,
 }
 
 /// One day's count in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DayItem {
+pub struct DailyCountReport {
     /// The count's number.
     pub pool: u32,
     /// Days since 1970, as the sender knows them.
     pub day: u32,
     /// How many more it wants.
-    pub want: u32,
+    pub requested: u32,
     /// How many it gives back: taken out of its own hands before it proposed this.
-    pub give: u32,
+    pub returned: u32,
     /// The day's limit under the sender's policy.
     pub limit: u64,
 }
@@ -43,29 +43,29 @@
     /// The sender's number for it, growing within its session.
     pub seq: u32,
     /// The policy's version that the sender has.
-    pub version: u64,
+    pub policy_version: u64,
     /// How long its parts by demand last from its asking, in milliseconds.
     pub term_ms: u32,
     /// How long what is set aside for it lasts, in milliseconds.
     pub reserve_ms: u32,
     /// It spends under at most this part of the reserve from now on.
-    pub keep_reserve: u32,
+    pub reserve_limit: u32,
     /// Pools that changed.
-    pub items: Vec<Item>,
+    pub items: Vec<PoolReport>,
     /// Day counts.
-    pub days: Vec<DayItem>,
+    pub days: Vec<DailyCountReport>,
 }
 
 /// The body of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum ProposalBody {
     /// A node's report.
     Report(Report),
     /// Leases that have ended for their holders: (holder's number, the grant's index, the reserve too).
-    End(Vec<(u32, u64, bool)>),
+    EndLeases(Vec<(u32, u64, bool)>),
 }
 
-impl Body {
+impl ProposalBody {
     pub(crate) fn encode(&self) -> Vec<u8> {
         // Plain values of bounded lists: postcard has nothing to refuse.
         postcard::to_stdvec(self).unwrap_or_default()
@@ -75,7 +75,7 @@
         let body: Self = postcard::from_bytes(bytes).ok()?;
         let fits = match &body {
             Self::Report(r) => r.items.len() <= ITEMS_MAX && r.days.len() <= DAYS_MAX,
-            Self::End(ends) => ends.len() <= ENDS_MAX,
+            Self::EndLeases(ends) => ends.len() <= ENDS_MAX,
         };
         fits.then_some(body)
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -24,7 +24,7 @@
 mod properties;
 
 pub use division::{Share, CAP_RESERVE, RATE_RESERVE, UNIT};
-pub use entry::{Body, DayItem, Item, Report};
+pub use entry::{DailyCountReport, PoolReport, ProposalBody, Report};
 pub use policy::{ClassQuota, Policy, PolicyError, TenantQuota, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
 pub use quota::{Quota, RefusalReason, Settings};
 pub use quota::{SpendDecision, SpendResult};
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -247,13 +247,19 @@
             0 => (0..40).map(|_| byte()).collect(),
             _ => {
                 let mut n = || u32::from_le_bytes([byte(), byte(), byte() & 15, 0]);
-                let items = vec![crate::Item { pool: n() % 4, want: n(), least: n(), keep: n() }; 2];
+                let items =
+                    vec![
+                        crate::PoolReport { pool: n() % 4, demand: n(), min_share: n(), share_limit: n() };
+                        2
+                    ];
                 let (day, pool) = (0, n() % 4);
-                let days = vec![crate::DayItem { pool, day, want: n(), give: n(), limit: 1000 }];
-                let (seq, keep_reserve) = (n() % 50, n());
-                let (term_ms, reserve_ms, version) = (1, 2, 1);
-                let report = crate::Report { seq, version, term_ms, reserve_ms, keep_reserve, items, days };
-                crate::Body::Report(report).encode()
+                let days =
+                    vec![crate::DailyCountReport { pool, day, requested: n(), returned: n(), limit: 1000 }];
+                let (seq, reserve_limit) = (n() % 50, n());
+                let (term_ms, reserve_ms, policy_version) = (1, 2, 1);
+                let report =
+                    crate::Report { seq, policy_version, term_ms, reserve_ms, reserve_limit, items, days };
+                crate::ProposalBody::Report(report).encode()
             }
         };
         let proposal = Proposal { topic: Topic::Quota, proposer: peer(1 + index % 7), id: index, body };
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -8,13 +8,13 @@
 
 use crate::bucket::{Bucket, Until};
 use crate::division::{Share, UNIT};
-use crate::entry::{Body, DayItem, Item, Report, DAYS_MAX, ITEMS_MAX};
+use crate::entry::{DailyCountReport, PoolReport, ProposalBody, Report, DAYS_MAX, ITEMS_MAX};
 use crate::policy::{Compiled, Policy, PolicyError};
 use crate::repeat::Repeats;
 use crate::state::{State, TERM_MAX_MS};
 use crate::window::{Window, SLOT};
 
-/// Two reports of a node lie at least so far apart: it bounds what one node costs the log, and is an eighth of the two
+/// Two reports of a node lie at min_share so far apart: it bounds what one node costs the log, and is an eighth of the two
 /// seconds in which demand that moved is to be followed.
 const GAP: Duration = Duration::from_millis(250);
 /// A report that was not seen decided is said anew after this long: several times what deciding takes.
@@ -106,7 +106,7 @@
 struct Day {
     tokens: u32,
     /// To be told as given back.
-    give: u32,
+    returned: u32,
     window: Window,
 }
 
@@ -226,7 +226,7 @@
             let mut day = old_days.get(id).map_or(Day::default(), |(_, d)| *d);
             if old_days.get(id).is_some_and(|(before, _)| limit < before) {
                 // Granted under the higher limit: void, and the log grants anew by the lower one.
-                day.give = day.give.saturating_add(std::mem::take(&mut day.tokens));
+                day.returned = day.returned.saturating_add(std::mem::take(&mut day.tokens));
             }
             self.days.push(day);
         }
@@ -398,17 +398,22 @@
         }
         (self.day, self.stamped) = (self.state.day().0, now);
         for day in &mut self.days {
-            (day.tokens, day.give) = (0, 0);
+            (day.tokens, day.returned) = (0, 0);
         }
     }
 
     /// Pools that have something to tell, and what.
-    fn items(&mut self, now: Duration) -> Vec<Item> {
+    fn items(&mut self, now: Duration) -> Vec<PoolReport> {
         let sid = self.state.sid(&self.me);
         let part = |id| sid.and_then(|s| self.state.part(id, s));
         let mut items = Vec::new();
         self.gone.retain(|id| !self.places.contains_key(id) && part(*id).is_some());
-        items.extend(self.gone.iter().take(ITEMS_MAX).map(|&pool| Item { pool, want: 0, least: 1, keep: 0 }));
+        items.extend(self.gone.iter().take(ITEMS_MAX).map(|&pool| PoolReport {
+            pool,
+            demand: 0,
+            min_share: 1,
+            share_limit: 0,
+        }));
         for place in 0..self.pools.len() {
             let pool = &self.policy.pools[place];
             let known = sid.and_then(|s| self.state.part(pool.id, s));
@@ -417,38 +422,38 @@
             if items.len() >= ITEMS_MAX || (idle && known.is_none()) {
                 continue;
             }
-            let want = u128::from(local.window.sum(now)) * 1_000_000_000 / u128::from(pool.rate_milli);
-            let want = want.min(u128::from(UNIT)) as u32;
-            let least = u64::from(UNIT) * 100 * pool.dearest / (pool.burst * 80);
-            let least = least.clamp(1, u64::from(UNIT)) as u32 + 1;
+            let demand = u128::from(local.window.sum(now)) * 1_000_000_000 / u128::from(pool.rate_milli);
+            let demand = demand.min(u128::from(UNIT)) as u32;
+            let min_share = u64::from(UNIT) * 100 * pool.dearest / (pool.burst * 80);
+            let min_share = min_share.clamp(1, u64::from(UNIT)) as u32 + 1;
             let id = pool.id;
-            let (told, target, another) = self.state.target(id, sid.unwrap_or(u32::MAX), want, least);
+            let (told, target, another) = self.state.target(id, sid.unwrap_or(u32::MAX), demand, min_share);
             // A pause of a second gives up what others call for; nobody calling, it waits.
-            let wants = if want == 0 && !idle && !another && known.is_some() { 1 } else { want };
+            let wants = if demand == 0 && !idle && !another && known.is_some() { 1 } else { demand };
             let held = self.share(place).main;
-            let Some((log_want, log_held)) = known else {
+            let Some((log_demand, log_held)) = known else {
                 if wants > 0 {
-                    items.push(Item { pool: id, want: wants, least, keep: UNIT });
+                    items.push(PoolReport { pool: id, demand: wants, min_share, share_limit: UNIT });
                 }
                 continue;
             };
             if wants == 0 {
-                items.push(Item { pool: id, want: 0, least, keep: 0 });
+                items.push(PoolReport { pool: id, demand: 0, min_share, share_limit: 0 });
                 continue;
             }
             // Told is only what changes something: more where this node lacks, less where another does.
             let far = |a: u32, b: u32| a.abs_diff(b) > a.max(b) / 8 + 2_000;
             let lower = another && log_held > target && far(log_held, target);
             let less = another && told > target && far(told, target);
-            let lacks = held < want + want / 4;
-            let more =
-                lacks && ((target > told && far(told, target)) || (want > log_want && far(want, log_want)));
+            let lacks = held < demand + demand / 4;
+            let more = lacks
+                && ((target > told && far(told, target)) || (demand > log_demand && far(demand, log_demand)));
             if lower || less || more {
-                items.push(Item {
+                items.push(PoolReport {
                     pool: id,
-                    want: wants,
-                    least,
-                    keep: if lower { target.min(held) } else { UNIT },
+                    demand: wants,
+                    min_share,
+                    share_limit: if lower { target.min(held) } else { UNIT },
                 });
             }
         }
@@ -456,7 +461,7 @@
     }
 
     /// Day counts that have something to tell.
-    fn day_items(&mut self, now: Duration) -> Vec<DayItem> {
+    fn day_items(&mut self, now: Duration) -> Vec<DailyCountReport> {
         let mut items = Vec::new();
         for rules in &self.policy.tenants {
             let used = self.pools[rules.common].used;
@@ -465,20 +470,20 @@
                 let (pool, limit) = self.policy.days[d];
                 let day = &mut self.days[d];
                 if !busy {
-                    day.give = day.give.saturating_add(std::mem::take(&mut day.tokens));
+                    day.returned = day.returned.saturating_add(std::mem::take(&mut day.tokens));
                 }
                 let left = limit.saturating_sub(self.state.granted(pool));
                 let lately = day.window.sum(now);
-                let mut want = 0;
+                let mut requested = 0;
                 if busy && left > 0 && u64::from(day.tokens) <= lately / 4 {
                     // Half a second's worth, for what a node holds when it dies is lost to the day; and never more than
                     // leaves as much again for each other node.
                     let fair = (left / (2 * self.state.members().max(1) as u64)).max(1);
-                    want = (lately / 2).clamp(1, fair).min(u64::from(u32::MAX)) as u32;
+                    requested = (lately / 2).clamp(1, fair).min(u64::from(u32::MAX)) as u32;
                 }
-                if (want > 0 || day.give > 0) && items.len() < DAYS_MAX {
-                    let give = std::mem::take(&mut day.give);
-                    items.push(DayItem { pool, day: self.day, want, give, limit });
+                if (requested > 0 || day.returned > 0) && items.len() < DAYS_MAX {
+                    let returned = std::mem::take(&mut day.returned);
+                    items.push(DailyCountReport { pool, day: self.day, requested, returned, limit });
                 }
             }
         }
@@ -507,21 +512,21 @@
         let (seq, target) = (self.seq, self.state.reserve_target());
         let reserve = sid.and_then(|s| self.state.member(s)).map_or(0, |m| m.1);
         // Only what is well above its part is given up: nodes come and go.
-        let keep_reserve = if reserve > target + target / 8 { target } else { UNIT };
-        let lowers = |promise: (u32, u32), keep: u32, decided: u32| {
-            (if promise.1 > decided { promise.0.min(keep) } else { keep }, seq)
+        let reserve_limit = if reserve > target + target / 8 { target } else { UNIT };
+        let lowers = |promise: (u32, u32), share_limit: u32, decided: u32| {
+            (if promise.1 > decided { promise.0.min(share_limit) } else { share_limit }, seq)
         };
-        self.promised_reserve = lowers(self.promised_reserve, keep_reserve, self.decided);
+        self.promised_reserve = lowers(self.promised_reserve, reserve_limit, self.decided);
         for item in &items {
             let old = self.promised.get(&item.pool).copied().unwrap_or((UNIT, 0));
-            self.promised.insert(item.pool, lowers(old, item.keep, self.decided));
+            self.promised.insert(item.pool, lowers(old, item.share_limit, self.decided));
         }
         for item in &items {
             if let Some(&place) = self.places.get(&item.pool) {
                 self.refresh(now, place);
             }
         }
-        if keep_reserve < UNIT {
+        if reserve_limit < UNIT {
             self.refresh_all(now);
         }
         if self.asked.len() >= ASKED_MAX {
@@ -532,14 +537,14 @@
         let ms = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
         let report = Report {
             seq,
-            version: self.policy.version,
+            policy_version: self.policy.version,
             term_ms: ms(self.settings.term),
             reserve_ms: ms(self.settings.reserve),
-            keep_reserve,
+            reserve_limit,
             items,
             days,
         };
-        self.out.push_back(Body::Report(report).encode());
+        self.out.push_back(ProposalBody::Report(report).encode());
     }
 }
 
@@ -567,7 +572,7 @@
                 let day = &mut self.days[place];
                 // Granted under another limit: not to be spent, but given back.
                 let current = self.policy.days[place].1 == limit;
-                let hands = if current { &mut day.tokens } else { &mut day.give };
+                let hands = if current { &mut day.tokens } else { &mut day.returned };
                 *hands = hands.saturating_add(n);
                 #[cfg(any(test, feature = "planted"))]
                 if self.planted == Some(Planted::GrantTwice) {
@@ -606,7 +611,7 @@
             self.chores = now.boot + CHORES;
             let lapsed = self.state.lapsed(now.boot);
             if !lapsed.is_empty() {
-                self.out.push_back(Body::End(lapsed).encode());
+                self.out.push_back(ProposalBody::EndLeases(lapsed).encode());
             }
         }
         self.report(now.boot);
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64;
 
 use crate::check::{Observation, Record};
-use crate::entry::Body;
+use crate::entry::ProposalBody;
 use crate::{Policy, Quota, RefusalReason, Settings, SpendDecision, State};
 
 /// Observation one node is asked for.
@@ -152,7 +152,9 @@
             if let Some((peer, _)) = changed.report.filter(|(p, _)| self.ended.remove(p)) {
                 self.records.push(at(now, number(&peer), peer.session.0, Observation::Renewed));
             }
-            if let (Some(before), Some(Body::End(ends))) = (before, Body::decode(&d.proposal.body)) {
+            if let (Some(before), Some(ProposalBody::EndLeases(ends))) =
+                (before, ProposalBody::decode(&d.proposal.body))
+            {
                 for (sid, _, all) in ends {
                     let gone = all && self.log.peer(sid).is_none();
                     let lost = before.holds(sid) && !self.log.holds(sid);
@@ -306,7 +308,8 @@
 
 impl State {
     fn clone_if_end(&self, d: &magpietally_consensus::DecidedEntry) -> Option<State> {
-        matches!(Body::decode(&d.proposal.body), Some(Body::End(_))).then(|| self.clone())
+        matches!(ProposalBody::decode(&d.proposal.body), Some(ProposalBody::EndLeases(_)))
+            .then(|| self.clone())
     }
 }
 
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::division::{targets, Claim, UNIT};
-use crate::entry::{Body, DayItem, Report};
+use crate::entry::{DailyCountReport, ProposalBody, Report};
 
 /// Sessions that are counted at most: 500 nodes, each restarted some times while its older sessions' reserve lapses.
 const MEMBERS_MAX: usize = 4096;
@@ -40,14 +40,14 @@
 /// One claim on a pool, as the log has it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Part {
-    want: u32,
-    least: u32,
+    demand: u32,
+    min_share: u32,
     held: u32,
 }
 
 impl From<&Part> for Claim {
     fn from(p: &Part) -> Self {
-        Claim { want: p.want, least: p.least, held: p.held }
+        Claim { demand: p.demand, min_share: p.min_share, held: p.held }
     }
 }
 
@@ -97,9 +97,9 @@
             c.day = day;
             c.days.clear();
         }
-        match Body::decode(&decided.proposal.body) {
-            Some(Body::Report(r)) => self.report(now, decided, &r),
-            Some(Body::End(ends)) => {
+        match ProposalBody::decode(&decided.proposal.body) {
+            Some(ProposalBody::Report(r)) => self.report(now, decided, &r),
+            Some(ProposalBody::EndLeases(ends)) => {
                 let mut changed = Changed::default();
                 for (sid, grant, all) in ends {
                     changed.pools.extend(self.end(sid, Index(grant), all));
@@ -132,20 +132,20 @@
         }
         member.seq = r.seq;
         let free = u64::from(UNIT).saturating_sub(reserved) as u32;
-        member.reserve = member.reserve.min(r.keep_reserve);
+        member.reserve = member.reserve.min(r.reserve_limit);
         let lacks = reserve_target(counted).saturating_sub(member.reserve);
         // What it gave up in this very entry is not counted as free: it may be had by the next.
         member.reserve += lacks.min(free / 2);
-        c.version = c.version.max(r.version);
+        c.version = c.version.max(r.policy_version);
         let mut changed = Changed { report: Some((peer.clone(), r.seq)), ..Changed::default() };
         for item in &r.items {
-            self.claim(sid, item.pool, item.want.min(UNIT), item.least.min(UNIT), item.keep);
+            self.claim(sid, item.pool, item.demand.min(UNIT), item.min_share.min(UNIT), item.share_limit);
             changed.pools.push(item.pool);
         }
         for pool in changed.pools.clone() {
             self.divide(pool);
         }
-        let current = r.version >= self.common.version;
+        let current = r.policy_version >= self.common.version;
         changed.days = r.days.iter().filter_map(|d| self.count(d, current)).collect();
         let grant = |term_ms| Grant { holder: peer.clone(), index: decided.index, term_ms };
         self.reserves.grant(now, sid, grant(r.reserve_ms));
@@ -170,10 +170,10 @@
     }
 
     /// A member's claim changes: what it holds may only become less by it.
-    fn claim(&mut self, sid: u32, pool: u32, want: u32, least: u32, keep: u32) {
+    fn claim(&mut self, sid: u32, pool: u32, demand: u32, min_share: u32, share_limit: u32) {
         let Some(member) = self.common.members.get_mut(&sid) else { return };
         let pools = &mut self.common.pools;
-        if want == 0 && keep == 0 {
+        if demand == 0 && share_limit == 0 {
             let Some(parts) = pools.get_mut(&pool) else { return };
             if parts.remove(&sid).is_some() {
                 member.parts -= 1;
@@ -192,8 +192,8 @@
             member.parts += 1;
             self.parts += 1;
         }
-        let part = pools.entry(pool).or_default().entry(sid).or_insert(Part { want, least, held: 0 });
-        *part = Part { want, least, held: part.held.min(keep) };
+        let part = pools.entry(pool).or_default().entry(sid).or_insert(Part { demand, min_share, held: 0 });
+        *part = Part { demand, min_share, held: part.held.min(share_limit) };
     }
 
     /// Gives what is free of a pool to those who have less than they should. Nobody is lowered: holders do that.
@@ -213,17 +213,17 @@
         }
     }
 
-    fn count(&mut self, item: &DayItem, current: bool) -> Option<(u32, u64, u32)> {
+    fn count(&mut self, item: &DailyCountReport, current: bool) -> Option<(u32, u64, u32)> {
         let days = &mut self.common.days;
         if item.day != self.common.day || (!days.contains_key(&item.pool) && days.len() >= DAYS_MAX) {
             return None;
         }
         let granted = days.entry(item.pool).or_default();
-        *granted = granted.saturating_sub(u64::from(item.give));
+        *granted = granted.saturating_sub(u64::from(item.returned));
         if !current {
             return None;
         }
-        let n = u64::from(item.want).min(item.limit.saturating_sub(*granted));
+        let n = u64::from(item.requested).min(item.limit.saturating_sub(*granted));
         *granted += n;
         Some((item.pool, item.limit, n as u32))
     }
@@ -278,12 +278,12 @@
 
     /// What a member wants and holds of a pool.
     pub(crate) fn part(&self, pool: u32, sid: u32) -> Option<(u32, u32)> {
-        self.common.pools.get(&pool)?.get(&sid).map(|p| (p.want, p.held))
+        self.common.pools.get(&pool)?.get(&sid).map(|p| (p.demand, p.held))
     }
 
-    /// What a member should have of a pool: as the log knows its demand, and if it wanted `want`. And whether another
-    /// clearly has less than it wants and should have, or, `want` being nothing, than it wants.
-    pub(crate) fn target(&self, pool: u32, sid: u32, want: u32, least: u32) -> (u32, u32, bool) {
+    /// What a member should have of a pool: as the log knows its demand, and if it wanted `demand`. And whether another
+    /// clearly has less than it wants and should have, or, `demand` being nothing, than it wants.
+    pub(crate) fn target(&self, pool: u32, sid: u32, demand: u32, min_share: u32) -> (u32, u32, bool) {
         let none = BTreeMap::new();
         let parts = self.common.pools.get(&pool).unwrap_or(&none);
         let mut claims: Vec<Claim> = parts.values().map(Claim::from).collect();
@@ -292,14 +292,14 @@
         if parts.contains_key(&sid) {
             known = targets(&claims)[place];
         } else {
-            claims.insert(place, Claim { want, least, held: 0 });
+            claims.insert(place, Claim { demand, min_share, held: 0 });
         }
-        (claims[place].want, claims[place].least) = (want, least);
+        (claims[place].demand, claims[place].min_share) = (demand, min_share);
         let targets = targets(&claims);
         let lacks = |(c, t): (&Claim, &u32)| {
             // While many nodes' demand moves away at once, the log's old word of the others' keeps targets low.
-            let needs = (*t).min(c.want.saturating_add(c.want / 4));
-            let needs = if want == 0 { needs.max(c.want) } else { needs };
+            let needs = (*t).min(c.demand.saturating_add(c.demand / 4));
+            let needs = if demand == 0 { needs.max(c.demand) } else { needs };
             needs > c.held + c.held / 8 + 2_000
         };
         let another = claims.iter().zip(&targets).enumerate().any(|(i, ct)| i != place && lacks(ct));
