--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -12,9 +12,9 @@
 
 /// When a node's rights end, by its boot clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Until {
+pub(crate) struct LeaseExpiry {
     /// Its parts by demand.
-    pub main: Duration,
+    pub by_demand: Duration,
     /// And what is set aside for it.
     pub reserve: Duration,
 }
@@ -38,23 +38,23 @@
     }
 
     /// Fills up to `now`: with the lease's part as long as it lasted, then with the reserve's, then not at all.
-    pub fn settle(&mut self, now: Duration, until: Until) {
+    pub fn settle(&mut self, now: Duration, expiry: LeaseExpiry) {
         if now <= self.last {
             return;
         }
         let ends = |at: Duration| self.last < at && now >= at;
-        if ends(until.main) || ends(until.reserve) {
+        if ends(expiry.by_demand) || ends(expiry.reserve) {
             self.reductions = self.reductions.wrapping_add(1);
         }
-        self.fill(now.min(until.main), self.full);
-        if now < until.main {
+        self.fill(now.min(expiry.by_demand), self.full);
+        if now < expiry.by_demand {
             return;
         }
         if self.level > self.low.1 {
             self.level = self.low.1;
         }
-        self.fill(now.min(until.reserve), self.low);
-        if now >= until.reserve {
+        self.fill(now.min(expiry.reserve), self.low);
+        if now >= expiry.reserve {
             self.level = 0;
         }
         self.last = now;
@@ -70,15 +70,15 @@
 
     /// Sets the part anew, of a pool of `rate` thousandths of a token a second and `burst` tokens. What is in the bucket
     /// stays, up to the new cap: a larger share adds nothing but its faster filling.
-    pub fn set(&mut self, now: Duration, until: Until, share: Share, rate: u64, burst: u64) {
-        self.settle(now, until);
+    pub fn set(&mut self, now: Duration, expiry: LeaseExpiry, share: Share, rate: u64, burst: u64) {
+        self.settle(now, expiry);
         let burst = burst.saturating_mul(TOKEN);
-        let low = Share { main: 0, ..share };
+        let low = Share { by_demand: 0, ..share };
         let full = (share.rate(rate), share.cap(burst));
         let less = full.0 < self.full.0 || full.1 < self.full.1;
         self.reductions = self.reductions.wrapping_add(u32::from(less));
         (self.full, self.low) = (full, (low.rate(rate), low.cap(burst)));
-        self.level = self.level.min(if now < until.main { self.full.1 } else { self.low.1 });
+        self.level = self.level.min(if now < expiry.by_demand { self.full.1 } else { self.low.1 });
     }
 
     /// Takes `cost` tokens if they are there; settled to the same moment before.
@@ -91,11 +91,11 @@
         there
     }
 
-    /// How long until `cost` tokens are there, with the share as it is; none if never.
-    pub fn wait(&self, now: Duration, until: Until, cost: u64) -> Option<Duration> {
-        let (rate, cap) = if now < until.main { self.full } else { self.low };
+    /// How long expiry `cost` tokens are there, with the share as it is; none if never.
+    pub fn wait(&self, now: Duration, expiry: LeaseExpiry, cost: u64) -> Option<Duration> {
+        let (rate, cap) = if now < expiry.by_demand { self.full } else { self.low };
         let cost = cost.saturating_mul(TOKEN);
-        if cap < cost || rate == 0 || now >= until.reserve {
+        if cap < cost || rate == 0 || now >= expiry.reserve {
             return None;
         }
         let lacks = u128::from(cost.saturating_sub(self.level));
@@ -104,8 +104,8 @@
     }
 
     /// The rate now (thousandths of a token a second) and the cap (billionths of a token).
-    pub fn fills(&self, now: Duration, until: Until) -> (u64, u64) {
-        if now < until.main {
+    pub fn fills(&self, now: Duration, expiry: LeaseExpiry) -> (u64, u64) {
+        if now < expiry.by_demand {
             self.full
         } else {
             self.low
--- a/crates/quota/src/check.rs
+++ b/crates/quota/src/check.rs
@@ -319,7 +319,7 @@
                 self.admitted(r, tenant, class, *cost, *kept, *day);
                 let whole =
                     self.policy.tenants.iter().find(|t| t.name == *tenant).map_or(0, |t| t.rate_milli);
-                let reserve = whole * crate::RATE_RESERVE / u64::from(crate::UNIT);
+                let reserve = whole * crate::RATE_RESERVE_PPM / u64::from(crate::WHOLE_PPM);
                 if self.ended.get(&who).is_some_and(|all| *all || *rate > reserve) {
                     self.violations.push(Violation::ServedAfterLease { node: r.node, at: r.at });
                 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -23,7 +23,7 @@
 #[cfg(test)]
 mod properties;
 
-pub use division::{Share, CAP_RESERVE, RATE_RESERVE, UNIT};
+pub use division::{Share, BURST_RESERVE_PPM, RATE_RESERVE_PPM, WHOLE_PPM};
 pub use entry::{DailyCountReport, PoolReport, ProposalBody, Report};
 pub use policy::{ClassQuota, Policy, PolicyError, TenantQuota, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
 pub use quota::{Quota, RefusalReason, Settings};
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -6,8 +6,8 @@
 use magpietally_consensus::{DecidedEntry, HeldLease, SnapshotError, StateMachine, Topic};
 use magpietally_transport::{Now, Peer};
 
-use crate::bucket::{Bucket, Until};
-use crate::division::{Share, UNIT};
+use crate::bucket::{Bucket, LeaseExpiry};
+use crate::division::{Share, WHOLE_PPM};
 use crate::entry::{DailyCountReport, PoolReport, ProposalBody, Report, DAYS_MAX, ITEMS_MAX};
 use crate::policy::{Compiled, Policy, PolicyError};
 use crate::repeat::Repeats;
@@ -130,7 +130,7 @@
     reported: Option<Duration>,
     seq: u32,
     decided: u32,
-    until: Until,
+    expiry: LeaseExpiry,
     repeats: Repeats,
     /// When the stamp last grew, for the rest of the day.
     stamped: Duration,
@@ -169,12 +169,12 @@
             day: 0,
             gone: Vec::new(),
             promised: HashMap::new(),
-            promised_reserve: (UNIT, 0),
+            promised_reserve: (WHOLE_PPM, 0),
             asked: VecDeque::new(),
             reported: None,
             seq: 0,
             decided: 0,
-            until: Until::default(),
+            expiry: LeaseExpiry::default(),
             repeats: Repeats::default(),
             stamped: now.boot,
             chores: now.boot,
@@ -257,7 +257,7 @@
         self.pools[rules.common].used = Some(now);
         if let Some(d) = day {
             self.days[d].window.add(now, 1);
-            if self.days[d].tokens == 0 || now >= self.until.reserve {
+            if self.days[d].tokens == 0 || now >= self.expiry.reserve {
                 spent.decision = self.no_day(now, d);
                 return spent;
             }
@@ -267,9 +267,9 @@
             let pool = &mut self.pools[place];
             pool.used = Some(now);
             pool.window.add(now, cost);
-            pool.bucket.settle(now, self.until);
+            pool.bucket.settle(now, self.expiry);
             spent.reductions = spent.reductions.wrapping_add(pool.bucket.reductions);
-            spent.rate_milli = pool.bucket.fills(now, self.until).0;
+            spent.rate_milli = pool.bucket.fills(now, self.expiry).0;
             if pool.bucket.take(cost) {
                 spent.decision = SpendDecision::Admitted;
                 spent.from_class_quota = Some(place) == kept;
@@ -284,7 +284,7 @@
             }
             let wait = pool
                 .bucket
-                .wait(now, self.until, cost)
+                .wait(now, self.expiry, cost)
                 .map_or((ASKS, RefusalReason::NoShare), |w| (w, RefusalReason::RateExceeded));
             // A time that is sure is better than an estimate, and a shorter one than a longer.
             let better = refused.is_none_or(|r| {
@@ -316,8 +316,8 @@
     /// all nodes, at every moment, at most a million each.
     pub fn in_hand(&self, now: Duration) -> (u32, u32) {
         let share = if self.pools.is_empty() { Share::default() } else { self.share(0) };
-        let held = |until: Duration, part: u32| if now < until { part } else { 0 };
-        (held(self.until.main, share.main), held(self.until.reserve, share.reserve))
+        let held = |expiry: Duration, part: u32| if now < expiry { part } else { 0 };
+        (held(self.expiry.by_demand, share.by_demand), held(self.expiry.reserve, share.reserve))
     }
 
     /// What follows from the entries.
@@ -337,9 +337,9 @@
         let capped =
             |n: u32, promise: (u32, u32)| if promise.1 > self.decided { n.min(promise.0) } else { n };
         let held = self.state.part(id, sid).map_or(0, |p| p.1);
-        let main = capped(held, self.promised.get(&id).copied().unwrap_or((UNIT, 0)));
+        let by_demand = capped(held, self.promised.get(&id).copied().unwrap_or((WHOLE_PPM, 0)));
         let reserve = self.state.member(sid).map_or(0, |m| m.1);
-        Share { main, reserve: capped(reserve, self.promised_reserve) }
+        Share { by_demand, reserve: capped(reserve, self.promised_reserve) }
     }
 
     fn refresh(&mut self, now: Duration, place: usize) {
@@ -347,11 +347,11 @@
         let pool = &self.policy.pools[place];
         let bucket = &mut self.pools[place].bucket;
         #[cfg(any(test, feature = "planted"))]
-        let before = bucket.fills(now, self.until);
-        bucket.set(now, self.until, share, pool.rate_milli, pool.burst);
+        let before = bucket.fills(now, self.expiry);
+        bucket.set(now, self.expiry, share, pool.rate_milli, pool.burst);
         #[cfg(any(test, feature = "planted"))]
         {
-            let after = bucket.fills(now, self.until);
+            let after = bucket.fills(now, self.expiry);
             let first =
                 after.1 > before.1 && self.decided <= 2 && self.planted == Some(Planted::ForgetsSpent);
             if first || (after.1 > before.1 && self.planted == Some(Planted::LevelMoves)) {
@@ -374,21 +374,21 @@
         let asked = self.asked.iter().find(|a| a.0 == seq).map(|a| a.1);
         self.asked.retain(|a| a.0 > seq);
         let Some(asked) = asked else { return };
-        if now >= self.until.main {
+        if now >= self.expiry.by_demand {
             // It had ended: what each bucket lost by that has to be taken before the lease begins anew.
             for pool in &mut self.pools {
-                pool.bucket.settle(now, self.until);
+                pool.bucket.settle(now, self.expiry);
             }
         }
-        let later = |until, term| {
-            HeldLease::new(Duration::ZERO, until).or_later(HeldLease::new(asked, term)).expires_at()
+        let later = |expiry, term| {
+            HeldLease::new(Duration::ZERO, expiry).or_later(HeldLease::new(asked, term)).expires_at()
         };
-        self.until.main = later(self.until.main, self.settings.term);
-        self.until.reserve = later(self.until.reserve, self.settings.reserve);
+        self.expiry.by_demand = later(self.expiry.by_demand, self.settings.term);
+        self.expiry.reserve = later(self.expiry.reserve, self.settings.reserve);
         #[cfg(any(test, feature = "planted"))]
         if self.planted == Some(Planted::AfterLease) {
             let never = Duration::from_secs(1 << 30);
-            self.until = Until { main: never, reserve: never };
+            self.expiry = LeaseExpiry { by_demand: never, reserve: never };
         }
     }
 
@@ -423,17 +423,17 @@
                 continue;
             }
             let demand = u128::from(local.window.sum(now)) * 1_000_000_000 / u128::from(pool.rate_milli);
-            let demand = demand.min(u128::from(UNIT)) as u32;
-            let min_share = u64::from(UNIT) * 100 * pool.dearest / (pool.burst * 80);
-            let min_share = min_share.clamp(1, u64::from(UNIT)) as u32 + 1;
+            let demand = demand.min(u128::from(WHOLE_PPM)) as u32;
+            let min_share = u64::from(WHOLE_PPM) * 100 * pool.dearest / (pool.burst * 80);
+            let min_share = min_share.clamp(1, u64::from(WHOLE_PPM)) as u32 + 1;
             let id = pool.id;
             let (told, target, another) = self.state.target(id, sid.unwrap_or(u32::MAX), demand, min_share);
             // A pause of a second gives up what others call for; nobody calling, it waits.
             let wants = if demand == 0 && !idle && !another && known.is_some() { 1 } else { demand };
-            let held = self.share(place).main;
+            let held = self.share(place).by_demand;
             let Some((log_demand, log_held)) = known else {
                 if wants > 0 {
-                    items.push(PoolReport { pool: id, demand: wants, min_share, share_limit: UNIT });
+                    items.push(PoolReport { pool: id, demand: wants, min_share, share_limit: WHOLE_PPM });
                 }
                 continue;
             };
@@ -453,7 +453,7 @@
                     pool: id,
                     demand: wants,
                     min_share,
-                    share_limit: if lower { target.min(held) } else { UNIT },
+                    share_limit: if lower { target.min(held) } else { WHOLE_PPM },
                 });
             }
         }
@@ -499,9 +499,9 @@
         let holds = sid.is_some()
             && self.policy.pools.iter().any(|p| self.state.part(p.id, sid.unwrap_or(0)).is_some());
         let left = if holds {
-            self.until.main.saturating_sub(now) < self.settings.term.mul_f64(2.0 / 3.0)
+            self.expiry.by_demand.saturating_sub(now) < self.settings.term.mul_f64(2.0 / 3.0)
         } else {
-            self.until.reserve.saturating_sub(now) < self.settings.reserve.mul_f64(0.75)
+            self.expiry.reserve.saturating_sub(now) < self.settings.reserve.mul_f64(0.75)
         };
         let items = self.items(now);
         let days = self.day_items(now);
@@ -512,13 +512,13 @@
         let (seq, target) = (self.seq, self.state.reserve_target());
         let reserve = sid.and_then(|s| self.state.member(s)).map_or(0, |m| m.1);
         // Only what is well above its part is given up: nodes come and go.
-        let reserve_limit = if reserve > target + target / 8 { target } else { UNIT };
+        let reserve_limit = if reserve > target + target / 8 { target } else { WHOLE_PPM };
         let lowers = |promise: (u32, u32), share_limit: u32, decided: u32| {
             (if promise.1 > decided { promise.0.min(share_limit) } else { share_limit }, seq)
         };
         self.promised_reserve = lowers(self.promised_reserve, reserve_limit, self.decided);
         for item in &items {
-            let old = self.promised.get(&item.pool).copied().unwrap_or((UNIT, 0));
+            let old = self.promised.get(&item.pool).copied().unwrap_or((WHOLE_PPM, 0));
             self.promised.insert(item.pool, lowers(old, item.share_limit, self.decided));
         }
         for item in &items {
@@ -526,7 +526,7 @@
                 self.refresh(now, place);
             }
         }
-        if reserve_limit < UNIT {
+        if reserve_limit < WHOLE_PPM {
             self.refresh_all(now);
         }
         if self.asked.len() >= ASKED_MAX {
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -7,7 +7,7 @@
 use magpietally_transport::Peer;
 use serde::{Deserialize, Serialize};
 
-use crate::division::{targets, Claim, UNIT};
+use crate::division::{targets, Claim, WHOLE_PPM};
 use crate::entry::{DailyCountReport, ProposalBody, Report};
 
 /// Sessions that are counted at most: 500 nodes, each restarted some times while its older sessions' reserve lapses.
@@ -23,7 +23,7 @@
 /// Milliseconds of the log's clock in a day.
 const DAY_MS: u64 = 86_400_000;
 /// Of the reserve, half is given to the nodes that are counted, so that new ones find some of it at once.
-const RESERVED: u32 = UNIT / 2;
+const RESERVED: u32 = WHOLE_PPM / 2;
 
 /// One session that is counted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -131,7 +131,7 @@
             return Changed::default();
         }
         member.seq = r.seq;
-        let free = u64::from(UNIT).saturating_sub(reserved) as u32;
+        let free = u64::from(WHOLE_PPM).saturating_sub(reserved) as u32;
         member.reserve = member.reserve.min(r.reserve_limit);
         let lacks = reserve_target(counted).saturating_sub(member.reserve);
         // What it gave up in this very entry is not counted as free: it may be had by the next.
@@ -139,7 +139,13 @@
         c.version = c.version.max(r.policy_version);
         let mut changed = Changed { report: Some((peer.clone(), r.seq)), ..Changed::default() };
         for item in &r.items {
-            self.claim(sid, item.pool, item.demand.min(UNIT), item.min_share.min(UNIT), item.share_limit);
+            self.claim(
+                sid,
+                item.pool,
+                item.demand.min(WHOLE_PPM),
+                item.min_share.min(WHOLE_PPM),
+                item.share_limit,
+            );
             changed.pools.push(item.pool);
         }
         for pool in changed.pools.clone() {
@@ -201,7 +207,7 @@
         let Some(parts) = self.common.pools.get_mut(&pool) else { return };
         let claims: Vec<Claim> = parts.values().map(Claim::from).collect();
         let held: u64 = claims.iter().map(|c| u64::from(c.held)).sum();
-        let free = u64::from(UNIT).saturating_sub(held);
+        let free = u64::from(WHOLE_PPM).saturating_sub(held);
         let lacks: Vec<u64> =
             targets(&claims).iter().zip(&claims).map(|(t, c)| u64::from(t.saturating_sub(c.held))).collect();
         let sum: u64 = lacks.iter().sum();
@@ -330,7 +336,7 @@
         self.common.days.get(&count).copied().unwrap_or(0)
     }
 
-    /// The largest sum of parts of any pool, and the sum of the parts of the reserve: each at most [`UNIT`].
+    /// The largest sum of parts of any pool, and the sum of the parts of the reserve: each at most [`WHOLE_PPM`].
     pub fn sums(&self) -> (u64, u64) {
         let pool = |p: &BTreeMap<u32, Part>| p.values().map(|p| u64::from(p.held)).sum();
         let reserve = self.common.members.values().map(|m| u64::from(m.reserve)).sum();
