--- a/crates/quota/examples/measure.rs
+++ b/crates/quota/examples/measure.rs
@@ -9,7 +9,7 @@
 use magpietally_consensus::{Proposal, Topic};
 use magpietally_quota::check::{check, Observation, Violation};
 use magpietally_quota::sim::Sim;
-use magpietally_quota::{Policy, Settings, SpendDecision, TenantQuota};
+use magpietally_quota::{LeaseSettings, Policy, SpendDecision, TenantQuota};
 
 const S: Duration = Duration::from_secs(1);
 const TENANTS: usize = 16;
@@ -64,7 +64,7 @@
 }
 
 fn fleet(nodes: usize, tenants: usize, spread: bool) -> Fleet {
-    let mut sim = Sim::new(1, nodes, &policy(tenants, nodes, 1), Settings::default());
+    let mut sim = Sim::new(1, nodes, &policy(tenants, nodes, 1), LeaseSettings::default());
     sim.refusals = false;
     demand(&mut sim, nodes, tenants, spread);
     sim.run(8 * S);
@@ -97,7 +97,12 @@
 
 /// Nanoseconds a decision: one of `tenants` tenants after the other, half admitted or so.
 fn nanos(tenants: usize, key: bool) -> (f64, f64) {
-    let mut sim = Sim::new(1, 1, &policy(tenants, 10, 1), Settings { term: 600 * S, reserve: 600 * S });
+    let mut sim = Sim::new(
+        1,
+        1,
+        &policy(tenants, 10, 1),
+        LeaseSettings { demand_term: 600 * S, reserve_term: 600 * S },
+    );
     sim.refusals = false;
     for t in 0..tenants {
         sim.ask(0..1, &name(t), "lookup", 2.0);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -26,6 +26,6 @@
 pub use division::{Share, BURST_RESERVE_PPM, RATE_RESERVE_PPM, WHOLE_PPM};
 pub use entry::{DailyCountReport, PoolReport, ProposalBody, Report};
 pub use policy::{ClassQuota, Policy, PolicyError, TenantQuota, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
-pub use quota::{Quota, RefusalReason, Settings};
+pub use quota::{LeaseSettings, Quota, RefusalReason};
 pub use quota::{SpendDecision, SpendResult};
 pub use state::State;
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -8,7 +8,7 @@
 use crate::check::{check, Observation, Record, Violation};
 use crate::quota::Planted;
 use crate::sim::Sim;
-use crate::{ClassQuota, Policy, Quota, RefusalReason, Settings, SpendDecision, TenantQuota};
+use crate::{ClassQuota, LeaseSettings, Policy, Quota, RefusalReason, SpendDecision, TenantQuota};
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
@@ -32,12 +32,12 @@
     Policy { version: 1, tenants: vec![tenant] }
 }
 
-fn short() -> Settings {
-    Settings { term: 2 * S, reserve: 5 * S }
+fn short() -> LeaseSettings {
+    LeaseSettings { demand_term: 2 * S, reserve_term: 5 * S }
 }
 
 /// A mixed run: 5 nodes, all classes, faults every 150 ms and, if asked, changes of quota.
-fn mixed(seed: u64, settings: Settings, plant: fn(&mut Quota), changes: bool) -> Sim {
+fn mixed(seed: u64, settings: LeaseSettings, plant: fn(&mut Quota), changes: bool) -> Sim {
     let mut sim = Sim::planted(seed, 5, &policy(1, 200, 100, 60), settings, plant);
     sim.ask(0..5, CLUBS, "lookup", 150.0);
     sim.ask(0..5, CLUBS, "fee-payment", 60.0);
@@ -84,7 +84,7 @@
 #[test]
 fn with_steady_demand_above_quota_at_least_95_percent_of_it_is_admitted() {
     for (seed, nodes) in [(1, 10), (2, 10), (3, 1)] {
-        let mut sim = Sim::new(seed, 10, &plain(200, 400), Settings::default());
+        let mut sim = Sim::new(seed, 10, &plain(200, 400), LeaseSettings::default());
         sim.ask(0..nodes, CLUBS, "lookup", 600.0);
         sim.run(5 * S);
         let from = sim.model.now();
@@ -98,7 +98,7 @@
 #[test]
 fn two_seconds_after_all_demand_moved_to_another_node_at_least_90_percent_is_admitted() {
     for seed in 0..20 {
-        let mut sim = Sim::new(seed, 10, &plain(200, 400), Settings::default());
+        let mut sim = Sim::new(seed, 10, &plain(200, 400), LeaseSettings::default());
         sim.ask(0..1, CLUBS, "lookup", 300.0);
         sim.run(10 * S);
         sim.demand.clear();
@@ -114,7 +114,7 @@
 
 #[test]
 fn after_a_node_dies_its_share_comes_back_once_its_lease_is_over() {
-    let mut sim = Sim::new(4, 10, &plain(200, 400), Settings::default());
+    let mut sim = Sim::new(4, 10, &plain(200, 400), LeaseSettings::default());
     sim.ask(0..2, CLUBS, "lookup", 600.0);
     sim.run(5 * S);
     sim.kill(1);
@@ -123,7 +123,7 @@
     let meanwhile = sim.admitted(from) as f64 / 600.0;
     assert!(meanwhile < 0.6, "its share was given away under its lease: {meanwhile:.3}");
     // Its lease from its last asking, the waiter's margin, the leader's next chore, the log.
-    sim.run(Settings::default().term.mul_f64(1.02) + S - 3 * S);
+    sim.run(LeaseSettings::default().demand_term.mul_f64(1.02) + S - 3 * S);
     let from = sim.model.now();
     sim.run(5 * S);
     let used = sim.admitted(from) as f64 / 1000.0;
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_node_that_is_cut_off_serves_from_what_was_set_aside_and_nothing_is_over() {
-    let mut sim = Sim::new(5, 5, &plain(200, 400), Settings::default());
+    let mut sim = Sim::new(5, 5, &plain(200, 400), LeaseSettings::default());
     sim.ask(0..5, CLUBS, "lookup", 600.0);
     sim.run(5 * S);
     sim.model.set_isolated(3, true);
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_kept_class_is_never_starved_by_the_same_tenants_others() {
-    let mut sim = Sim::new(6, 3, &policy(1, 200, 400, 60), Settings::default());
+    let mut sim = Sim::new(6, 3, &policy(1, 200, 400, 60), LeaseSettings::default());
     sim.ask(0..3, CLUBS, "lookup", 3000.0);
     sim.ask(0..3, CLUBS, "fee-payment", 15.0);
     sim.run(9 * S);
@@ -188,10 +188,10 @@
     assert!((30..=60).contains(&days), "{days} signups");
     // And through a snapshot, as a store keeps it.
     let (old, now) = sim.model.machine(0).expect("running");
-    let (count, bytes) = (old.day_count(CLUBS, "signup"), old.snapshot());
+    let (count, bytes) = (old.daily_count(CLUBS, "signup"), old.snapshot());
     let mut new = Quota::new(Peer { name: Name::default(), session: Session(9) }, short(), now);
     new.restore(now, &bytes).expect("a snapshot");
-    assert_eq!(new.day_count(CLUBS, "signup"), count);
+    assert_eq!(new.daily_count(CLUBS, "signup"), count);
     assert!(count >= days as u64 && new.restore(now, &bytes[..bytes.len() - 1]).is_err());
 }
 
@@ -200,12 +200,12 @@
     let mut sim = Sim::new(8, 3, &policy(1, 200, 400, 10), short());
     sim.ask(0..3, CLUBS, "signup", 30.0);
     sim.run(4 * S);
-    let day = sim.model.machine(1).expect("running").0.state().day().0;
+    let day = sim.model.machine(1).expect("running").0.state().log_clock().0;
     for i in 0..3 {
         sim.model.set_wall_ahead(i, 86_400_000);
     }
     sim.run(4 * S);
-    assert_eq!(sim.model.machine(1).expect("running").0.state().day().0, day + 1);
+    assert_eq!(sim.model.machine(1).expect("running").0.state().log_clock().0, day + 1);
     whole(&sim, 8);
     for d in [day, day + 1] {
         let of = |r: &&Record| matches!(r.what, Observation::Admitted { day, .. } if day == Some(d));
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_replayed_entry_changes_nothing_in_the_log_nor_in_any_hand() {
-    let mut sim = Sim::new(12, 4, &policy(1, 200, 400, 60), Settings::default());
+    let mut sim = Sim::new(12, 4, &policy(1, 200, 400, 60), LeaseSettings::default());
     sim.ask(0..4, CLUBS, "lookup", 300.0);
     sim.ask(0..2, CLUBS, "signup", 10.0);
     sim.run(5 * S);
@@ -224,11 +224,11 @@
     assert!(log.len() > 20, "{} entries", log.len());
     for i in 0..4 {
         let (q, now) = sim.model.machine(i).expect("running");
-        let (before, hand) = (q.snapshot(), q.in_hand(now.boot));
+        let (before, hand) = (q.snapshot(), q.held_shares(now.boot));
         for d in &log {
             q.apply(now, d);
         }
-        assert!(q.snapshot() == before && q.in_hand(now.boot) == hand, "node {i}");
+        assert!(q.snapshot() == before && q.held_shares(now.boot) == hand, "node {i}");
     }
     sim.run(2 * S);
     whole(&sim, 12);
@@ -267,10 +267,10 @@
             magpietally_transport::Now::at(S),
             &DecidedEntry { index: Index(index), timestamp: Timestamp(0), proposal },
         );
-        let sums = q.state().sums();
+        let sums = q.state().share_sums();
         assert!(sums.0 <= 1_000_000 && sums.1 <= 1_000_000, "{sums:?} at {index}");
     }
-    assert!(q.state().sums().0 > 500_000 && q.state().members() == 7);
+    assert!(q.state().share_sums().0 > 500_000 && q.state().session_count() == 7);
     let mut again = Quota::new(peer(0), short(), magpietally_transport::Now::at(S));
     again.restore(magpietally_transport::Now::at(S), &q.snapshot()).expect("its own snapshot");
     assert!(again.snapshot() == q.snapshot());
@@ -278,7 +278,7 @@
 
 #[test]
 fn a_repeat_of_an_admitted_request_costs_nothing_twice_and_then_costs_again() {
-    let mut sim = Sim::new(9, 1, &plain(10, 10), Settings::default());
+    let mut sim = Sim::new(9, 1, &plain(10, 10), LeaseSettings::default());
     sim.ask(0..1, CLUBS, "lookup", 5.0);
     sim.run(5 * S);
     let (q, now) = sim.model.machine(0).expect("running");
@@ -366,7 +366,7 @@
 
 #[test]
 fn the_checker_catches_a_count_that_forgets_and_a_retry_after_that_lies() {
-    let mut sim = Sim::new(10, 2, &policy(1, 200, 400, 60), Settings::default());
+    let mut sim = Sim::new(10, 2, &policy(1, 200, 400, 60), LeaseSettings::default());
     sim.ask(0..2, CLUBS, "signup", 20.0);
     sim.ask(0..2, CLUBS, "lookup", 200.0);
     sim.run(4 * S);
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -33,17 +33,17 @@
 
 /// How long leases last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct LeaseSettings {
     /// Parts by demand last so long after they were asked for; a dead node's are lost for as long.
-    pub term: Duration,
+    pub demand_term: Duration,
     /// What is set aside for a node lasts so long after it last reported: how long one cut off serves.
-    pub reserve: Duration,
+    pub reserve_term: Duration,
 }
 
-impl Default for Settings {
+impl Default for LeaseSettings {
     /// 6 s by demand, renewed every 2 s: three tries, and at 500 nodes 250 entries a second at most. 120 s for the reserve.
     fn default() -> Self {
-        Self { term: Duration::from_secs(6), reserve: Duration::from_secs(120) }
+        Self { demand_term: Duration::from_secs(6), reserve_term: Duration::from_secs(120) }
     }
 }
 
@@ -113,7 +113,7 @@
 /// One node's part of the room.
 pub struct Quota {
     me: Peer,
-    settings: Settings,
+    settings: LeaseSettings,
     state: State,
     policy: Compiled,
     pools: Vec<Local>,
@@ -153,11 +153,11 @@
 
 impl Quota {
     /// A node at its start: it has no part of anything.
-    pub fn new(me: Peer, settings: Settings, now: Now) -> Self {
+    pub fn new(me: Peer, settings: LeaseSettings, now: Now) -> Self {
         // The log takes no longer term, and what is set aside is not to end first.
         let most = Duration::from_millis(u64::from(TERM_MAX_MS));
-        let (term, reserve) = (settings.term.min(most), settings.reserve.min(most));
-        let settings = Settings { term, reserve: reserve.max(term) };
+        let (demand_term, reserve_term) = (settings.demand_term.min(most), settings.reserve_term.min(most));
+        let settings = LeaseSettings { demand_term, reserve_term: reserve_term.max(demand_term) };
         Self {
             me,
             settings,
@@ -187,7 +187,7 @@
 
     /// Plants a fault by its name, for tests of the checkers with whole processes; false where there is none of this name,
     /// and always in a build without the feature `planted`, as every build of the program is.
-    pub fn plant_named(&mut self, name: &str) -> bool {
+    pub fn inject_fault(&mut self, name: &str) -> bool {
         #[cfg(any(test, feature = "planted"))]
         {
             self.planted = match name {
@@ -302,19 +302,19 @@
         if self.state.granted(id) < limit {
             return SpendDecision::Refused { retry_after: ASKS, reason: RefusalReason::NoDailyShare };
         }
-        let left = Duration::from_millis(DAY_MS - self.state.day().1 % DAY_MS);
+        let left = Duration::from_millis(DAY_MS - self.state.log_clock().1 % DAY_MS);
         let retry_after = left.saturating_sub(now.saturating_sub(self.stamped)).max(ASKS);
         SpendDecision::Refused { retry_after, reason: RefusalReason::DailyLimit }
     }
 
     /// What of `class`'s count of today has been granted to all nodes: never less than was admitted.
-    pub fn day_count(&self, tenant: &str, class: &str) -> u64 {
+    pub fn daily_count(&self, tenant: &str, class: &str) -> u64 {
         self.state.granted(crate::policy::number(tenant, class, "day"))
     }
 
     /// The parts of the first pool, and of the reserve, that this node may spend under now, in parts of a million: over
     /// all nodes, at every moment, at most a million each.
-    pub fn in_hand(&self, now: Duration) -> (u32, u32) {
+    pub fn held_shares(&self, now: Duration) -> (u32, u32) {
         let share = if self.pools.is_empty() { Share::default() } else { self.share(0) };
         let held = |expiry: Duration, part: u32| if now < expiry { part } else { 0 };
         (held(self.expiry.by_demand, share.by_demand), held(self.expiry.reserve, share.reserve))
@@ -326,7 +326,7 @@
     }
 
     /// The policy version in use.
-    pub fn version(&self) -> u64 {
+    pub fn policy_version(&self) -> u64 {
         self.policy.version
     }
 
@@ -383,8 +383,8 @@
         let later = |expiry, term| {
             HeldLease::new(Duration::ZERO, expiry).or_later(HeldLease::new(asked, term)).expires_at()
         };
-        self.expiry.by_demand = later(self.expiry.by_demand, self.settings.term);
-        self.expiry.reserve = later(self.expiry.reserve, self.settings.reserve);
+        self.expiry.by_demand = later(self.expiry.by_demand, self.settings.demand_term);
+        self.expiry.reserve = later(self.expiry.reserve, self.settings.reserve_term);
         #[cfg(any(test, feature = "planted"))]
         if self.planted == Some(Planted::AfterLease) {
             let never = Duration::from_secs(1 << 30);
@@ -393,10 +393,10 @@
     }
 
     fn day_turned(&mut self, now: Duration) {
-        if self.state.day().0 == self.day {
+        if self.state.log_clock().0 == self.day {
             return;
         }
-        (self.day, self.stamped) = (self.state.day().0, now);
+        (self.day, self.stamped) = (self.state.log_clock().0, now);
         for day in &mut self.days {
             (day.tokens, day.returned) = (0, 0);
         }
@@ -478,7 +478,7 @@
                 if busy && left > 0 && u64::from(day.tokens) <= lately / 4 {
                     // Half a second's worth, for what a node holds when it dies is lost to the day; and never more than
                     // leaves as much again for each other node.
-                    let fair = (left / (2 * self.state.members().max(1) as u64)).max(1);
+                    let fair = (left / (2 * self.state.session_count().max(1) as u64)).max(1);
                     requested = (lately / 2).clamp(1, fair).min(u64::from(u32::MAX)) as u32;
                 }
                 if (requested > 0 || day.returned > 0) && items.len() < DAYS_MAX {
@@ -499,9 +499,9 @@
         let holds = sid.is_some()
             && self.policy.pools.iter().any(|p| self.state.part(p.id, sid.unwrap_or(0)).is_some());
         let left = if holds {
-            self.expiry.by_demand.saturating_sub(now) < self.settings.term.mul_f64(2.0 / 3.0)
+            self.expiry.by_demand.saturating_sub(now) < self.settings.demand_term.mul_f64(2.0 / 3.0)
         } else {
-            self.expiry.reserve.saturating_sub(now) < self.settings.reserve.mul_f64(0.75)
+            self.expiry.reserve.saturating_sub(now) < self.settings.reserve_term.mul_f64(0.75)
         };
         let items = self.items(now);
         let days = self.day_items(now);
@@ -538,8 +538,8 @@
         let report = Report {
             seq,
             policy_version: self.policy.version,
-            term_ms: ms(self.settings.term),
-            reserve_ms: ms(self.settings.reserve),
+            term_ms: ms(self.settings.demand_term),
+            reserve_ms: ms(self.settings.reserve_term),
             reserve_limit,
             items,
             days,
@@ -556,9 +556,9 @@
     fn apply(&mut self, now: Now, decided: &DecidedEntry) {
         let at = now.boot;
         let reserve = |q: &Self| q.state.sid(&q.me).and_then(|s| q.state.member(s)).map(|m| m.1);
-        let (before, stamp) = (reserve(self), self.state.day().1);
+        let (before, stamp) = (reserve(self), self.state.log_clock().1);
         let changed = self.state.apply(at, decided);
-        if self.state.day().1 > stamp {
+        if self.state.log_clock().1 > stamp {
             self.stamped = at;
         }
         self.day_turned(at);
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -11,7 +11,7 @@
 
 use crate::check::{Observation, Record};
 use crate::entry::ProposalBody;
-use crate::{Policy, Quota, RefusalReason, Settings, SpendDecision, State};
+use crate::{LeaseSettings, Policy, Quota, RefusalReason, SpendDecision, State};
 
 /// Observation one node is asked for.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,7 +40,7 @@
     pub sums: (u64, u64),
     /// The largest sums that the running nodes had in their hands at any moment.
     pub in_hands: (u64, u64),
-    settings: Settings,
+    settings: LeaseSettings,
     policy: Policy,
     sessions: Vec<u64>,
     /// Nodes that were stopped when the policy changed: they learn it before they serve.
@@ -53,7 +53,11 @@
     plant: fn(&mut Quota),
 }
 
-fn make(settings: Settings, policy: &Policy, plant: fn(&mut Quota)) -> impl FnOnce(Peer, Now) -> Quota + '_ {
+fn make(
+    settings: LeaseSettings,
+    policy: &Policy,
+    plant: fn(&mut Quota),
+) -> impl FnOnce(Peer, Now) -> Quota + '_ {
     move |me, now| {
         let mut q = Quota::new(me, settings, now);
         plant(&mut q);
@@ -65,7 +69,7 @@
 
 impl Sim {
     /// `nodes` nodes under one policy, with clocks that differ as far as they may.
-    pub fn new(seed: u64, nodes: usize, policy: &Policy, settings: Settings) -> Self {
+    pub fn new(seed: u64, nodes: usize, policy: &Policy, settings: LeaseSettings) -> Self {
         Self::planted(seed, nodes, policy, settings, |_| {})
     }
 
@@ -73,7 +77,7 @@
         seed: u64,
         nodes: usize,
         policy: &Policy,
-        settings: Settings,
+        settings: LeaseSettings,
         plant: fn(&mut Quota),
     ) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x9e37);
@@ -137,7 +141,7 @@
         let mut sums = (0, 0);
         for i in 0..self.model.len() {
             if let Some((q, now)) = self.model.machine(i) {
-                let (main, reserve) = q.in_hand(now.boot);
+                let (main, reserve) = q.held_shares(now.boot);
                 sums = (sums.0 + u64::from(main), sums.1 + u64::from(reserve));
             }
         }
@@ -169,7 +173,7 @@
                     }
                 }
             }
-            let sums = self.log.sums();
+            let sums = self.log.share_sums();
             self.sums = (self.sums.0.max(sums.0), self.sums.1.max(sums.1));
             self.read += 1;
         }
@@ -249,7 +253,7 @@
 
     /// Records what the log says of a day's count.
     pub fn count(&mut self, tenant: &str, class: &str) {
-        let day = self.log.day().0;
+        let day = self.log.log_clock().0;
         let count = self.log.granted(crate::policy::number(tenant, class, "day"));
         let (tenant, class) = (tenant.to_owned(), class.to_owned());
         self.records.push(at(self.model.now(), 0, 0, Observation::Counted { tenant, class, day, count }));
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -323,12 +323,12 @@
     }
 
     /// How many sessions are counted.
-    pub fn members(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.common.members.len()
     }
 
     /// Days since 1970 by the log's clock, and its last stamp in milliseconds.
-    pub fn day(&self) -> (u32, u64) {
+    pub fn log_clock(&self) -> (u32, u64) {
         (self.common.day, self.common.stamp_ms)
     }
 
@@ -337,7 +337,7 @@
     }
 
     /// The largest sum of parts of any pool, and the sum of the parts of the reserve: each at most [`WHOLE_PPM`].
-    pub fn sums(&self) -> (u64, u64) {
+    pub fn share_sums(&self) -> (u64, u64) {
         let pool = |p: &BTreeMap<u32, Part>| p.values().map(|p| u64::from(p.held)).sum();
         let reserve = self.common.members.values().map(|m| u64::from(m.reserve)).sum();
         (self.common.pools.values().map(pool).max().unwrap_or(0), reserve)
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -70,9 +70,9 @@
     });
     let policy = PolicyChange::new(me.clone(), options.policy.clone(), check, now)
         .map_err(|e| Failure::Wrong(format!("fleet: {e}")))?;
-    let mut quota = Quota::new(me.clone(), magpietally_quota::Settings::default(), now);
+    let mut quota = Quota::new(me.clone(), magpietally_quota::LeaseSettings::default(), now);
     if let Some(planted) = &options.planted {
-        quota.plant_named(planted);
+        quota.inject_fault(planted);
     }
     let records = options.records.as_ref().map(|path| {
         let open = || OpenOptions::new().append(true).create(true).open(path);
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -110,8 +110,9 @@
     }
     if let Some(planted) = &parsed.planted {
         // The quotas' are planted once their room is there.
-        let mut probe = Quota::new(Peer::default(), magpietally_quota::Settings::default(), Now::default());
-        if !policy.plant_named(planted) && !probe.plant_named(planted) {
+        let mut probe =
+            Quota::new(Peer::default(), magpietally_quota::LeaseSettings::default(), Now::default());
+        if !policy.plant_named(planted) && !probe.inject_fault(planted) {
             return Err(fail("planted", format!("{planted:?} is no fault of this build")));
         }
     }
