--- a/crates/quota/examples/measure.rs
+++ b/crates/quota/examples/measure.rs
@@ -37,11 +37,11 @@
     let rate = 3.0 * (PER_NODE * nodes as u64) as f64;
     for t in 0..tenants {
         if spread {
-            sim.ask(0..nodes, &name(t), "lookup", rate);
+            sim.add_demand(0..nodes, &name(t), "lookup", rate);
         } else {
             let third = (nodes / 3).max(1);
             let from = (t * third) % nodes;
-            sim.ask(from..(from + third).min(nodes), &name(t), "lookup", rate);
+            sim.add_demand(from..(from + third).min(nodes), &name(t), "lookup", rate);
         }
     }
 }
@@ -65,14 +65,14 @@
 
 fn fleet(nodes: usize, tenants: usize, spread: bool) -> Fleet {
     let mut sim = Sim::new(1, nodes, &policy(tenants, nodes, 1), LeaseSettings::default());
-    sim.refusals = false;
+    sim.record_refusals = false;
     demand(&mut sim, nodes, tenants, spread);
     sim.run(8 * S);
     let (from, first) = (sim.model.now(), sim.model.log().len());
     let secs = 10;
     sim.run(secs * S);
     let quota = (PER_NODE * nodes as u64 * tenants as u64) as f64;
-    let used = sim.admitted(from) as f64 / quota / f64::from(secs);
+    let used = sim.admitted_tokens(from) as f64 / quota / f64::from(secs);
     let log = &sim.model.log()[first..];
     let size = |p: &Proposal| postcard::to_stdvec(p).map_or(0, |b| b.len());
     let sent: usize = log.iter().map(|d| size(&d.proposal)).sum();
@@ -88,7 +88,7 @@
     sim.run(2 * S);
     let from = sim.model.now();
     sim.run(2 * S);
-    let moved = sim.admitted(from) as f64 / quota / 2.0;
+    let moved = sim.admitted_tokens(from) as f64 / quota / 2.0;
     let over = check(&sim.records).iter().filter(|f| matches!(f, Violation::WindowExceeded { .. })).count();
     assert!(sim.records.iter().any(|r| matches!(r.what, Observation::Admitted { .. })));
     let each = f64::from(secs) * nodes as f64;
@@ -103,9 +103,9 @@
         &policy(tenants, 10, 1),
         LeaseSettings { demand_term: 600 * S, reserve_term: 600 * S },
     );
-    sim.refusals = false;
+    sim.record_refusals = false;
     for t in 0..tenants {
-        sim.ask(0..1, &name(t), "lookup", 2.0);
+        sim.add_demand(0..1, &name(t), "lookup", 2.0);
     }
     sim.run(3 * S);
     let names: Vec<String> = (0..tenants).map(name).collect();
--- a/crates/quota/src/properties.rs
+++ b/crates/quota/src/properties.rs
@@ -38,28 +38,28 @@
 
 /// A mixed run: 5 nodes, all classes, faults every 150 ms and, if asked, changes of quota.
 fn mixed(seed: u64, settings: LeaseSettings, plant: fn(&mut Quota), changes: bool) -> Sim {
-    let mut sim = Sim::planted(seed, 5, &policy(1, 200, 100, 60), settings, plant);
-    sim.ask(0..5, CLUBS, "lookup", 150.0);
-    sim.ask(0..5, CLUBS, "fee-payment", 60.0);
-    sim.ask(1..3, CLUBS, "signup", 20.0);
+    let mut sim = Sim::with_injected_fault(seed, 5, &policy(1, 200, 100, 60), settings, plant);
+    sim.add_demand(0..5, CLUBS, "lookup", 150.0);
+    sim.add_demand(0..5, CLUBS, "fee-payment", 60.0);
+    sim.add_demand(1..3, CLUBS, "signup", 20.0);
     sim.run(S);
     for n in 0..50u64 {
-        sim.any_fault();
+        sim.inject_random_fault();
         if changes && n % 12 == 5 {
             let (rate, burst) = [(80, 50), (300, 200), (40, 180), (200, 100)][(n / 12) as usize % 4];
             sim.set_policy(&policy(2 + n, rate, burst, 60 - n));
         }
         sim.run(150 * MS);
     }
-    sim.heal();
+    sim.end_all_faults();
     sim.run(S);
-    sim.count(CLUBS, "signup");
+    sim.record_daily_count(CLUBS, "signup");
     sim
 }
 
 fn whole(sim: &Sim, seed: u64) {
     assert_eq!(check(&sim.records), [], "seed {seed}");
-    let most = (sim.sums.0.max(sim.in_hands.0), sim.sums.1.max(sim.in_hands.1));
+    let most = (sim.max_share_sums.0.max(sim.max_held_sums.0), sim.max_share_sums.1.max(sim.max_held_sums.1));
     assert!(most.0 <= 1_000_000 && most.1 <= 1_000_000, "seed {seed}: parts of {most:?}");
 }
 
@@ -69,7 +69,7 @@
     for seed in 0..160 {
         let sim = mixed(seed, short(), |_| {}, false);
         whole(&sim, seed);
-        admitted += sim.admitted(Duration::ZERO);
+        admitted += sim.admitted_tokens(Duration::ZERO);
     }
     assert!(admitted > 160 * 300, "only {admitted} tokens were spent: nothing was put to the test");
 }
@@ -85,11 +85,11 @@
 fn with_steady_demand_above_quota_at_least_95_percent_of_it_is_admitted() {
     for (seed, nodes) in [(1, 10), (2, 10), (3, 1)] {
         let mut sim = Sim::new(seed, 10, &plain(200, 400), LeaseSettings::default());
-        sim.ask(0..nodes, CLUBS, "lookup", 600.0);
+        sim.add_demand(0..nodes, CLUBS, "lookup", 600.0);
         sim.run(5 * S);
         let from = sim.model.now();
         sim.run(20 * S);
-        let used = sim.admitted(from) as f64 / (200.0 * 20.0);
+        let used = sim.admitted_tokens(from) as f64 / (200.0 * 20.0);
         assert!(used >= 0.95, "{nodes} busy nodes: {used:.3}");
         whole(&sim, seed);
     }
@@ -99,14 +99,14 @@
 fn two_seconds_after_all_demand_moved_to_another_node_at_least_90_percent_is_admitted() {
     for seed in 0..20 {
         let mut sim = Sim::new(seed, 10, &plain(200, 400), LeaseSettings::default());
-        sim.ask(0..1, CLUBS, "lookup", 300.0);
+        sim.add_demand(0..1, CLUBS, "lookup", 300.0);
         sim.run(10 * S);
         sim.demand.clear();
-        sim.ask(7..8, CLUBS, "lookup", 300.0);
+        sim.add_demand(7..8, CLUBS, "lookup", 300.0);
         sim.run(2 * S);
         let from = sim.model.now();
         sim.run(S);
-        let used = sim.admitted(from) as f64 / 200.0;
+        let used = sim.admitted_tokens(from) as f64 / 200.0;
         assert!(used >= 0.9, "seed {seed}: {used:.3}");
         whole(&sim, seed);
     }
@@ -115,18 +115,18 @@
 #[test]
 fn after_a_node_dies_its_share_comes_back_once_its_lease_is_over() {
     let mut sim = Sim::new(4, 10, &plain(200, 400), LeaseSettings::default());
-    sim.ask(0..2, CLUBS, "lookup", 600.0);
+    sim.add_demand(0..2, CLUBS, "lookup", 600.0);
     sim.run(5 * S);
     sim.kill(1);
     let from = sim.model.now();
     sim.run(3 * S);
-    let meanwhile = sim.admitted(from) as f64 / 600.0;
+    let meanwhile = sim.admitted_tokens(from) as f64 / 600.0;
     assert!(meanwhile < 0.6, "its share was given away under its lease: {meanwhile:.3}");
     // Its lease from its last asking, the waiter's margin, the leader's next chore, the log.
     sim.run(LeaseSettings::default().demand_term.mul_f64(1.02) + S - 3 * S);
     let from = sim.model.now();
     sim.run(5 * S);
-    let used = sim.admitted(from) as f64 / 1000.0;
+    let used = sim.admitted_tokens(from) as f64 / 1000.0;
     assert!(used >= 0.9, "{used:.3}");
     whole(&sim, 4);
 }
@@ -134,7 +134,7 @@
 #[test]
 fn a_node_that_is_cut_off_serves_from_what_was_set_aside_and_nothing_is_over() {
     let mut sim = Sim::new(5, 5, &plain(200, 400), LeaseSettings::default());
-    sim.ask(0..5, CLUBS, "lookup", 600.0);
+    sim.add_demand(0..5, CLUBS, "lookup", 600.0);
     sim.run(5 * S);
     sim.model.set_isolated(3, true);
     sim.run(20 * S);
@@ -149,8 +149,8 @@
 #[test]
 fn a_kept_class_is_never_starved_by_the_same_tenants_others() {
     let mut sim = Sim::new(6, 3, &policy(1, 200, 400, 60), LeaseSettings::default());
-    sim.ask(0..3, CLUBS, "lookup", 3000.0);
-    sim.ask(0..3, CLUBS, "fee-payment", 15.0);
+    sim.add_demand(0..3, CLUBS, "lookup", 3000.0);
+    sim.add_demand(0..3, CLUBS, "fee-payment", 15.0);
     sim.run(9 * S);
     // Every node has had its first payment by then: buckets begin empty.
     let (from, mut asked, mut got) = (3 * S, 0, 0);
@@ -170,7 +170,7 @@
 fn the_days_count_survives_a_restart_of_every_node_at_once_and_never_counts_less_than_was_admitted() {
     let mut sim = Sim::new(7, 4, &policy(1, 200, 400, 60), short());
     for _ in 0..3 {
-        sim.ask(0..4, CLUBS, "signup", 10.0);
+        sim.add_demand(0..4, CLUBS, "signup", 10.0);
         sim.run(2 * S);
         for i in 0..4 {
             sim.kill(i);
@@ -178,10 +178,10 @@
         for i in 0..4 {
             sim.start(i);
         }
-        sim.count(CLUBS, "signup");
+        sim.record_daily_count(CLUBS, "signup");
     }
     sim.run(5 * S);
-    sim.count(CLUBS, "signup");
+    sim.record_daily_count(CLUBS, "signup");
     whole(&sim, 7);
     let days =
         sim.records.iter().filter(|r| matches!(r.what, Observation::Admitted { day: Some(_), .. })).count();
@@ -198,7 +198,7 @@
 #[test]
 fn a_new_day_begins_by_the_logs_word_and_old_tokens_are_void() {
     let mut sim = Sim::new(8, 3, &policy(1, 200, 400, 10), short());
-    sim.ask(0..3, CLUBS, "signup", 30.0);
+    sim.add_demand(0..3, CLUBS, "signup", 30.0);
     sim.run(4 * S);
     let day = sim.model.machine(1).expect("running").0.state().log_clock().0;
     for i in 0..3 {
@@ -217,8 +217,8 @@
 #[test]
 fn a_replayed_entry_changes_nothing_in_the_log_nor_in_any_hand() {
     let mut sim = Sim::new(12, 4, &policy(1, 200, 400, 60), LeaseSettings::default());
-    sim.ask(0..4, CLUBS, "lookup", 300.0);
-    sim.ask(0..2, CLUBS, "signup", 10.0);
+    sim.add_demand(0..4, CLUBS, "lookup", 300.0);
+    sim.add_demand(0..2, CLUBS, "signup", 10.0);
     sim.run(5 * S);
     let log = sim.model.log().to_vec();
     assert!(log.len() > 20, "{} entries", log.len());
@@ -279,7 +279,7 @@
 #[test]
 fn a_repeat_of_an_admitted_request_costs_nothing_twice_and_then_costs_again() {
     let mut sim = Sim::new(9, 1, &plain(10, 10), LeaseSettings::default());
-    sim.ask(0..1, CLUBS, "lookup", 5.0);
+    sim.add_demand(0..1, CLUBS, "lookup", 5.0);
     sim.run(5 * S);
     let (q, now) = sim.model.machine(0).expect("running");
     let mut say = |key| q.spend(now.boot, CLUBS, "lookup", key).decision;
@@ -296,8 +296,8 @@
 fn the_checker_catches_a_node_that_serves_after_its_lease() {
     let plant: fn(&mut Quota) = |q| q.planted = Some(Planted::AfterLease);
     for (plant, caught) in [(plant, true), (|_| {}, false)] {
-        let mut sim = Sim::planted(2, 3, &plain(200, 100), short(), plant);
-        sim.ask(0..3, CLUBS, "lookup", 600.0);
+        let mut sim = Sim::with_injected_fault(2, 3, &plain(200, 100), short(), plant);
+        sim.add_demand(0..3, CLUBS, "lookup", 600.0);
         sim.run(3 * S);
         sim.model.set_isolated(2, true);
         sim.run(6 * S);
@@ -316,8 +316,8 @@
 fn the_checker_catches_a_node_that_forgets_what_it_spent() {
     let plant: fn(&mut Quota) = |q| q.planted = Some(Planted::ForgetsSpent);
     for (plant, caught) in [(plant, true), (|_| {}, false)] {
-        let mut sim = Sim::planted(1, 3, &plain(50, 400), short(), plant);
-        sim.ask(0..1, CLUBS, "lookup", 1000.0);
+        let mut sim = Sim::with_injected_fault(1, 3, &plain(50, 400), short(), plant);
+        sim.add_demand(0..1, CLUBS, "lookup", 1000.0);
         sim.run(3 * S);
         sim.kill(0);
         sim.start(0);
@@ -332,10 +332,10 @@
 fn the_checker_catches_a_share_that_moves_with_its_level() {
     let plant: fn(&mut Quota) = |q| q.planted = Some(Planted::LevelMoves);
     for (plant, caught) in [(plant, true), (|_| {}, false)] {
-        let mut sim = Sim::planted(2, 3, &plain(50, 400), short(), plant);
+        let mut sim = Sim::with_injected_fault(2, 3, &plain(50, 400), short(), plant);
         for n in 0..4 {
             sim.demand.clear();
-            sim.ask(n % 3..n % 3 + 1, CLUBS, "lookup", 400.0);
+            sim.add_demand(n % 3..n % 3 + 1, CLUBS, "lookup", 400.0);
             sim.run(3 * S);
         }
         let faults = check(&sim.records);
@@ -352,8 +352,8 @@
 fn the_checker_catches_a_grant_that_is_taken_twice() {
     let plant: fn(&mut Quota) = |q| q.planted = Some(Planted::GrantTwice);
     for (plant, caught) in [(plant, true), (|_| {}, false)] {
-        let mut sim = Sim::planted(3, 2, &policy(1, 200, 400, 20), short(), plant);
-        sim.ask(0..2, CLUBS, "signup", 20.0);
+        let mut sim = Sim::with_injected_fault(3, 2, &policy(1, 200, 400, 20), short(), plant);
+        sim.add_demand(0..2, CLUBS, "signup", 20.0);
         sim.run(6 * S);
         let faults = check(&sim.records);
         assert_eq!(
@@ -367,10 +367,10 @@
 #[test]
 fn the_checker_catches_a_count_that_forgets_and_a_retry_after_that_lies() {
     let mut sim = Sim::new(10, 2, &policy(1, 200, 400, 60), LeaseSettings::default());
-    sim.ask(0..2, CLUBS, "signup", 20.0);
-    sim.ask(0..2, CLUBS, "lookup", 200.0);
+    sim.add_demand(0..2, CLUBS, "signup", 20.0);
+    sim.add_demand(0..2, CLUBS, "lookup", 200.0);
     sim.run(4 * S);
-    sim.count(CLUBS, "signup");
+    sim.record_daily_count(CLUBS, "signup");
     whole(&sim, 10);
     let mut records = sim.records.clone();
     for r in &mut records {
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -23,7 +23,7 @@
     /// Of which class.
     pub class: String,
     /// Requests a second, at random moments.
-    pub rate: f64,
+    pub rate_per_s: f64,
 }
 
 /// The fleet.
@@ -35,11 +35,11 @@
     /// All that happened, by the true time.
     pub records: Vec<Record>,
     /// Whether refusals are recorded and hands weighed too; off where only speed is wanted.
-    pub refusals: bool,
+    pub record_refusals: bool,
     /// The largest sums of parts seen after any entry.
-    pub sums: (u64, u64),
+    pub max_share_sums: (u64, u64),
     /// The largest sums that the running nodes had in their hands at any moment.
-    pub in_hands: (u64, u64),
+    pub max_held_sums: (u64, u64),
     settings: LeaseSettings,
     policy: Policy,
     sessions: Vec<u64>,
@@ -70,10 +70,10 @@
 impl Sim {
     /// `nodes` nodes under one policy, with clocks that differ as far as they may.
     pub fn new(seed: u64, nodes: usize, policy: &Policy, settings: LeaseSettings) -> Self {
-        Self::planted(seed, nodes, policy, settings, |_| {})
+        Self::with_injected_fault(seed, nodes, policy, settings, |_| {})
     }
 
-    pub(crate) fn planted(
+    pub(crate) fn with_injected_fault(
         seed: u64,
         nodes: usize,
         policy: &Policy,
@@ -98,9 +98,9 @@
             model,
             demand: Vec::new(),
             records,
-            refusals: true,
-            sums: (0, 0),
-            in_hands: (0, 0),
+            record_refusals: true,
+            max_share_sums: (0, 0),
+            max_held_sums: (0, 0),
             settings,
             policy: policy.clone(),
             sessions: vec![1; nodes],
@@ -114,13 +114,13 @@
     }
 
     /// Demand of one class, evenly over some nodes, in place of all before.
-    pub fn ask(&mut self, nodes: std::ops::Range<usize>, tenant: &str, class: &str, rate: f64) {
-        let each = rate / nodes.len().max(1) as f64;
+    pub fn add_demand(&mut self, nodes: std::ops::Range<usize>, tenant: &str, class: &str, rate_per_s: f64) {
+        let each = rate_per_s / nodes.len().max(1) as f64;
         self.demand.extend(nodes.map(|node| Demand {
             node,
             tenant: tenant.to_owned(),
             class: class.to_owned(),
-            rate: each,
+            rate_per_s: each,
         }));
     }
 
@@ -131,7 +131,7 @@
             self.model.run(Duration::from_millis(1), |_| {});
             self.read_log();
             self.serve();
-            if self.refusals {
+            if self.record_refusals {
                 self.weigh();
             }
         }
@@ -145,7 +145,7 @@
                 sums = (sums.0 + u64::from(main), sums.1 + u64::from(reserve));
             }
         }
-        self.in_hands = (self.in_hands.0.max(sums.0), self.in_hands.1.max(sums.1));
+        self.max_held_sums = (self.max_held_sums.0.max(sums.0), self.max_held_sums.1.max(sums.1));
     }
 
     fn read_log(&mut self) {
@@ -174,7 +174,7 @@
                 }
             }
             let sums = self.log.share_sums();
-            self.sums = (self.sums.0.max(sums.0), self.sums.1.max(sums.1));
+            self.max_share_sums = (self.max_share_sums.0.max(sums.0), self.max_share_sums.1.max(sums.1));
             self.read += 1;
         }
     }
@@ -182,8 +182,8 @@
     fn serve(&mut self) {
         let now = self.model.now();
         for i in 0..self.demand.len() {
-            let Demand { node, rate, .. } = self.demand[i];
-            let mut due = rate / 1000.0;
+            let Demand { node, rate_per_s, .. } = self.demand[i];
+            let mut due = rate_per_s / 1000.0;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
                     self.one(now, node, i);
@@ -206,7 +206,7 @@
                     (spent.cost, spent.from_class_quota, spent.day, spent.rate_milli);
                 Observation::Admitted { tenant, class, cost, kept, day, rate }
             }
-            SpendDecision::Refused { retry_after, reason } if self.refusals => {
+            SpendDecision::Refused { retry_after, reason } if self.record_refusals => {
                 let (sure, rate, lowered) =
                     (reason == RefusalReason::RateExceeded, spent.rate_milli, spent.reductions);
                 Observation::Refused { tenant, class, retry_after, sure, rate, lowered }
@@ -246,13 +246,13 @@
     }
 
     /// Observation was admitted from `from` on, in tokens.
-    pub fn admitted(&self, from: Duration) -> u64 {
+    pub fn admitted_tokens(&self, from: Duration) -> u64 {
         let cost = |r: &Record| if let Observation::Admitted { cost, .. } = r.what { cost } else { 0 };
         self.records.iter().filter(|r| r.at >= from).map(cost).sum()
     }
 
     /// Records what the log says of a day's count.
-    pub fn count(&mut self, tenant: &str, class: &str) {
+    pub fn record_daily_count(&mut self, tenant: &str, class: &str) {
         let day = self.log.log_clock().0;
         let count = self.log.granted(crate::policy::number(tenant, class, "day"));
         let (tenant, class) = (tenant.to_owned(), class.to_owned());
@@ -260,7 +260,7 @@
     }
 
     /// One random fault, or the end of one.
-    pub fn any_fault(&mut self) {
+    pub fn inject_random_fault(&mut self) {
         let n = self.model.len();
         let i = self.rng.random_range(0..n);
         match self.rng.random_range(0..12) {
@@ -296,7 +296,7 @@
     }
 
     /// All faults end: everybody runs, the first node leads.
-    pub fn heal(&mut self) {
+    pub fn end_all_faults(&mut self) {
         for i in 0..self.model.len() {
             self.model.set_isolated(i, false);
             self.model.set_paused(i, false);
