--- a/crates/policy_change/examples/measure.rs
+++ b/crates/policy_change/examples/measure.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use magpietally_consensus::model::{Clocks, Faults, Model};
-use magpietally_policy_change::{End, Outcome, PolicyChange, Settings};
+use magpietally_policy_change::{PolicyChange, ProposalOutcome, ProposalStatus, Settings};
 use magpietally_transport::Name;
 
 const MS: Duration = Duration::from_millis(1);
@@ -40,11 +40,11 @@
     let took = model.run_until(Duration::from_secs(60), |model| {
         (0..up).all(|i| model.machine(i).is_some_and(|(m, _)| m.state().active.0 > 0))
     })?;
-    let outcome = model.machine(1)?.0.outcome(ticket);
-    if !matches!(outcome, Outcome::Ended(End::Taken(_))) {
+    let outcome = model.machine(1)?.0.proposal_status(ticket);
+    if !matches!(outcome, ProposalStatus::Ended(ProposalOutcome::Taken(_))) {
         return None;
     }
-    let closings = (0..up).filter_map(|i| Some(model.machine(i)?.0.figures().last_closing)).collect();
+    let closings = (0..up).filter_map(|i| Some(model.machine(i)?.0.metrics().last_closing)).collect();
     Some((took, closings))
 }
 
--- a/crates/policy_change/src/gate.rs
+++ b/crates/policy_change/src/admission.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::entry::Version;
-use crate::room::PolicyChange;
+use crate::protocol::PolicyChange;
 #[cfg(any(test, feature = "planted"))]
-use crate::settings::Plant;
+use crate::settings::InjectedFault;
 use crate::settings::WithoutLease;
 
 /// A node that was not asked anything for so long is taken as having been stopped: three of its own beats. A shorter stop
@@ -24,31 +24,31 @@
     /// Which version.
     pub version: Version,
     /// When it was given, by the node's boot clock.
-    pub(crate) begun: Duration,
+    pub(crate) started_at: Duration,
 }
 
 impl Epoch {
     /// The epoch that a request was given at `begun`, from a carrier that keeps its parts.
-    pub fn taken(version: Version, begun: Duration) -> Self {
-        Self { version, begun }
+    pub fn from_parts(version: Version, started_at: Duration) -> Self {
+        Self { version, started_at }
     }
 }
 
-/// A place among the held requests. To be handed back to [`PolicyChange::again`] or [`PolicyChange::forget`].
+/// A place among the held requests. To be handed back to [`PolicyChange::readmit`] or [`PolicyChange::abandon`].
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a held request's place is freed by again() or forget()"]
-pub struct Ticket {
+#[must_use = "a held request's place is freed by readmit() or abandon()"]
+pub struct QueueSlot {
     /// Until when the request is held at most, by the node's boot clock.
-    pub until: Duration,
+    pub expires_at: Duration,
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusalWhy {
+pub enum RejectionReason {
     /// This node holds no lease: it has just started, is cut off from the log, or was stopped.
     NoLease,
     /// Its own check refuses the active document (it joined after the others had accepted it).
-    CantTake,
+    InvalidDocument,
     /// It is leaving.
     Leaving,
     /// The version closes, and the request can't be held: too many are, or it has too little time, or was held too long.
@@ -57,20 +57,20 @@
 
 /// A request that is not decided: 503 with `Retry-After`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why.
-    pub why: RefusalWhy,
+    pub reason: RejectionReason,
     /// After how long the client may come again; the header takes it rounded up to whole seconds.
     pub retry_after: Duration,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self.why {
-            RefusalWhy::NoLease => "this node holds no lease on the policy",
-            RefusalWhy::CantTake => "this node's check refuses the active policy",
-            RefusalWhy::Leaving => "this node is leaving",
-            RefusalWhy::Closing => "the policy is being changed",
+        f.write_str(match self.reason {
+            RejectionReason::NoLease => "this node holds no lease on the policy",
+            RejectionReason::InvalidDocument => "this node's check refuses the active policy",
+            RejectionReason::Leaving => "this node is leaving",
+            RejectionReason::Closing => "the policy is being changed",
         })
     }
 }
@@ -79,20 +79,20 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is decided under this version.
-    Go(Epoch),
-    /// It is held: to be asked again when the room's [`PolicyChange::gate_moved`] changes, and at the ticket's end.
-    Hold(Ticket),
+    Admit(Epoch),
+    /// It is held: to be asked again when the room's [`PolicyChange::reopen_count`] changes, and at the ticket's end.
+    Queue(QueueSlot),
     /// It is refused.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// What the gate counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Requests that were held.
-    pub held: u64,
+    pub queued: u64,
     /// Requests that were refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// How often a version closed at this node and opened again (or the next did).
     pub closings: u64,
     /// The last closing's length.
@@ -106,68 +106,68 @@
     /// read at this very moment.
     ///
     /// # Errors
-    /// Why it may not; [`RefusalWhy::Closing`] while a version closes.
-    pub fn may_begin(&self, now: Duration) -> Result<Version, RefusalWhy> {
+    /// Why it may not; [`RejectionReason::Closing`] while a version closes.
+    pub fn admissible_version(&self, now: Duration) -> Result<Version, RejectionReason> {
         if self.leaving {
-            return Err(RefusalWhy::Leaving);
+            return Err(RejectionReason::Leaving);
         }
-        if !self.leased(now) {
-            return Err(RefusalWhy::NoLease);
+        if !self.has_lease(now) {
+            return Err(RejectionReason::NoLease);
         }
-        if self.cant_take.is_some() {
-            return Err(RefusalWhy::CantTake);
+        if self.document_error.is_some() {
+            return Err(RejectionReason::InvalidDocument);
         }
         if self.closed_at.is_some() {
-            return Err(RefusalWhy::Closing);
+            return Err(RejectionReason::Closing);
         }
         #[cfg(any(test, feature = "planted"))]
-        if let (true, Some(c)) = (self.settings.planted(Plant::ServesProposed), &self.state.change) {
+        if let (true, Some(c)) = (self.settings.injected(InjectedFault::ServesProposed), &self.state.change) {
             return Ok(c.version);
         }
         Ok(self.state.active)
     }
 
     /// A request arrives with so much of its own time left.
-    pub fn begin(&mut self, now: Duration, left: Duration) -> Admission {
-        self.seen(now);
-        self.admit(now, None, left)
+    pub fn admit(&mut self, now: Duration, left: Duration) -> Admission {
+        self.detect_pause(now);
+        self.admit_or_queue(now, None, left)
     }
 
     /// A held request asks again.
-    pub fn again(&mut self, now: Duration, ticket: Ticket) -> Admission {
-        self.seen(now);
+    pub fn readmit(&mut self, now: Duration, ticket: QueueSlot) -> Admission {
+        self.detect_pause(now);
         self.held_now = self.held_now.saturating_sub(1);
-        self.admit(now, Some(ticket.until), Duration::MAX)
+        self.admit_or_queue(now, Some(ticket.expires_at), Duration::MAX)
     }
 
     /// A held request went away.
-    pub fn forget(&mut self, ticket: Ticket) {
-        let Ticket { until: _ } = ticket;
+    pub fn abandon(&mut self, ticket: QueueSlot) {
+        let QueueSlot { expires_at: _ } = ticket;
         self.held_now = self.held_now.saturating_sub(1);
     }
 
-    fn admit(&mut self, now: Duration, until: Option<Duration>, left: Duration) -> Admission {
-        let why = match self.may_begin(now) {
-            Ok(version) => return Admission::Go(Epoch { version, begun: now }),
-            Err(why) => why,
+    fn admit_or_queue(&mut self, now: Duration, expires_at: Option<Duration>, left: Duration) -> Admission {
+        let reason = match self.admissible_version(now) {
+            Ok(version) => return Admission::Admit(Epoch { version, started_at: now }),
+            Err(reason) => reason,
         };
-        if why == RefusalWhy::Closing {
+        if reason == RejectionReason::Closing {
             // Held from its own arrival on, but never past the closing's bound: a change that hangs parks nobody.
-            let latest = self.closed_at.unwrap_or(now) + self.settings.hold_for;
-            let until = until.unwrap_or(latest).min(latest);
-            let fits = left >= until.saturating_sub(now).saturating_add(self.settings.time_left);
-            if now < until && fits && self.held_now < self.settings.held_at_most {
+            let latest = self.closed_at.unwrap_or(now) + self.settings.queue_timeout;
+            let expires_at = expires_at.unwrap_or(latest).min(latest);
+            let fits = left >= expires_at.saturating_sub(now).saturating_add(self.settings.min_time_left);
+            if now < expires_at && fits && self.held_now < self.settings.queue_max {
                 self.held_now += 1;
-                self.figures.held += 1;
-                return Admission::Hold(Ticket { until });
+                self.metrics.queued += 1;
+                return Admission::Queue(QueueSlot { expires_at });
             }
         }
-        self.figures.refused += 1;
-        let retry_after = match why {
-            RefusalWhy::Closing => RETRY_WHILE_CLOSING,
+        self.metrics.rejected += 1;
+        let retry_after = match reason {
+            RejectionReason::Closing => RETRY_WHILE_CLOSING,
             _ => RETRY_WITHOUT_LEASE,
         };
-        Admission::Refuse(Refusal { why, retry_after })
+        Admission::Reject(Rejection { reason, retry_after })
     }
 
     /// Whether a request that was begun may be decided (again) under its version at `now`: the first choice of a server and
@@ -178,46 +178,46 @@
     ///
     /// # Errors
     /// The refusal to answer it with.
-    pub fn may_decide(&mut self, now: Duration, epoch: &Epoch) -> Result<(), Refusal> {
-        self.seen(now);
-        let old = epoch.begun < self.last_stop && epoch.version != self.state.active;
-        if old || epoch.begun < self.void_before {
-            self.figures.refused += 1;
-            return Err(Refusal { why: RefusalWhy::NoLease, retry_after: RETRY_WITHOUT_LEASE });
+    pub fn check_epoch(&mut self, now: Duration, epoch: &Epoch) -> Result<(), Rejection> {
+        self.detect_pause(now);
+        let old = epoch.started_at < self.last_stop && epoch.version != self.state.active;
+        if old || epoch.started_at < self.void_before {
+            self.metrics.rejected += 1;
+            return Err(Rejection { reason: RejectionReason::NoLease, retry_after: RETRY_WITHOUT_LEASE });
         }
         Ok(())
     }
 
     /// Whether `/ready` says 200: this node holds a lease on the active version, can take its document, and no closing has
     /// outlasted the hold.
-    pub fn ready(&self, now: Duration) -> bool {
-        match self.may_begin(now) {
+    pub fn is_ready(&self, now: Duration) -> bool {
+        match self.admissible_version(now) {
             Ok(_) => true,
-            Err(RefusalWhy::Closing) => {
-                self.closed_at.is_some_and(|at| now.saturating_sub(at) < self.settings.hold_for)
+            Err(RejectionReason::Closing) => {
+                self.closed_at.is_some_and(|at| now.saturating_sub(at) < self.settings.queue_timeout)
             }
             Err(_) => false,
         }
     }
 
     /// Changes whenever held requests should ask again: a version opened.
-    pub fn gate_moved(&self) -> u64 {
-        self.figures.closings
+    pub fn reopen_count(&self) -> u64 {
+        self.metrics.closings
     }
 
     /// What the gate counted.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn metrics(&self) -> Metrics {
+        self.metrics
     }
 
     /// Requests held at this moment.
-    pub fn held(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.held_now
     }
 
-    pub(crate) fn leased(&self, now: Duration) -> bool {
+    pub(crate) fn has_lease(&self, now: Duration) -> bool {
         #[cfg(any(test, feature = "planted"))]
-        if self.settings.planted(Plant::ServesAfterLease) && self.held.is_some() {
+        if self.settings.injected(InjectedFault::ServesAfterLease) && self.held.is_some() {
             return true;
         }
         let holds = match self.settings.without_lease {
@@ -229,14 +229,14 @@
     }
 
     /// Every call that may come first after a stop passes here before it does anything else.
-    pub(crate) fn seen(&mut self, now: Duration) {
+    pub(crate) fn detect_pause(&mut self, now: Duration) {
         let gap = now.saturating_sub(self.last_seen);
         self.last_seen = self.last_seen.max(now);
         if gap <= STALL {
             return;
         }
         self.last_stop = now;
-        if self.closed_at.is_some() || !self.leased(now) {
+        if self.closed_at.is_some() || !self.has_lease(now) {
             self.void_before = now;
         }
     }
--- a/crates/policy_change/src/check.rs
+++ b/crates/policy_change/src/check.rs
@@ -10,7 +10,7 @@
 
 /// What a node did or what befell it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Event {
     /// A request came to it; requests are numbered over all nodes.
     Arrived {
         /// Which.
@@ -74,7 +74,7 @@
     /// Which node, by name.
     pub node: String,
     /// What.
-    pub what: What,
+    pub what: Event,
 }
 
 /// What was broken.
@@ -154,7 +154,7 @@
 struct Node {
     /// Down since, and whether it ran on.
     down: Option<(u64, bool)>,
-    /// Past times down: from, to, whether it ran on.
+    /// EndedProposal times down: from, to, whether it ran on.
     gaps: Vec<(u64, u64, bool)>,
 }
 
@@ -177,10 +177,10 @@
         let mut breach = |rule, what| out.push(Breach { rule, at: *at, what });
         let state = nodes.entry(node).or_default();
         match *what {
-            What::Arrived { request } => {
+            Event::Arrived { request } => {
                 requests.insert(request, Request { arrived: *at, version: None });
             }
-            What::Decided { request, version } => {
+            Event::Decided { request, version } => {
                 let known = requests.entry(request).or_insert(Request { arrived: *at, version: None });
                 if known.version.is_some_and(|v| v != version) {
                     let was = known.version.unwrap_or_default();
@@ -216,7 +216,7 @@
                 decided.add(*at, version);
                 first_decided.entry(version).or_insert((*at, node.clone()));
             }
-            What::Left { request, version } => {
+            Event::Left { request, version } => {
                 if requests.get(&request).is_some_and(|r| r.version.is_some_and(|v| v != version)) {
                     breach(
                         Rule::OneVersionARequest,
@@ -225,28 +225,28 @@
                 }
                 left.add(*at, version);
             }
-            What::Proposed { version } => {
+            Event::Proposed { version } => {
                 proposed.insert(version);
             }
-            What::Refused { version } => {
+            Event::Refused { version } => {
                 refused.entry(version).or_insert((*at, node.clone()));
             }
-            What::Ended { version, taken } => {
+            Event::Ended { version, taken } => {
                 ended.entry(version).or_default().entry(taken).or_insert_with(|| node.clone());
             }
-            What::Down { ran } => {
+            Event::Down { ran } => {
                 // Cut off and then stopped as well: from the first on, and it did not run all the while.
                 state.down = match state.down {
                     Some((from, ran_before)) => Some((from, ran_before && ran)),
                     None => Some((*at, ran)),
                 };
             }
-            What::Back => {
+            Event::Back => {
                 if let Some((from, ran)) = state.down.take() {
                     state.gaps.push((from, *at, ran));
                 }
             }
-            What::Ready { version } => {
+            Event::Ready { version } => {
                 let newest = decided.before(*at);
                 if newest > version {
                     breach(
@@ -255,7 +255,7 @@
                     );
                 }
             }
-            What::Final { version } => {
+            Event::Final { version } => {
                 finals.entry(version).or_insert_with(|| node.clone());
             }
         }
--- a/crates/policy_change/src/entry.rs
+++ b/crates/policy_change/src/entry.rs
@@ -6,11 +6,11 @@
 
 /// The largest document, in bytes: a proposal's body less what stands around the document in it (the entry's kind, the
 /// base, the ticket and the lengths take at most 40 bytes; the rest is for later fields).
-pub const DOCUMENT_MAX: usize = BODY_MAX_BYTES - 256;
+pub const DOCUMENT_MAX_BYTES: usize = BODY_MAX_BYTES - 256;
 /// The longest reason of a refusal, in bytes: a file's name, a line, a field and a sentence.
-pub const WHY_MAX: usize = 512;
+pub const REASON_MAX_BYTES: usize = 512;
 /// Expired leases that one entry names at most: the entry stays near 6 KB with the longest names.
-pub const EXPIRED_AT_ONCE: usize = 64;
+pub const EXPIRE_BATCH_MAX: usize = 64;
 
 /// A policy's version: the number of the proposal that founded it. It only grows; a number whose proposal was aborted is
 /// never used again, so there are gaps. 0 is "unversioned": what each node read from its own file before the first change.
@@ -32,26 +32,26 @@
     /// The proposer asks for a lease on the active version, for so long from its asking.
     Join {
         /// The proposer's number for this asking, by which it knows when it asked.
-        ask: u64,
+        request: u64,
         /// How long the lease lasts, in milliseconds.
         term_ms: u32,
-        /// Whether it goes on serving without a lease (`serve`): its lease is then never ended but by [`Entry::Gone`].
-        serves_on: bool,
+        /// Whether it goes on serving without a lease (`serve`): its lease is then never ended but by [`Entry::Evict`].
+        serves_without_lease: bool,
     },
     /// A member asks for its lease to last from now on.
     Renew {
         /// As in [`Entry::Join`].
-        ask: u64,
+        request: u64,
     },
     /// The proposer decides no longer and gives its lease back.
     Leave,
     /// These leases have run out by the clock of a node that leads.
     Expire {
         /// Whose, and the entry that granted each: one renewed since is not ended.
-        lapsed: Vec<(Peer, Index)>,
+        expired: Vec<(Peer, Index)>,
     },
     /// An operator's word that this start of a node does not run any more.
-    Gone {
+    Evict {
         /// Which.
         peer: Peer,
     },
@@ -70,10 +70,10 @@
         version: Version,
     },
     /// A member's check refused the document.
-    Refuse {
+    Reject {
         /// Of which proposal.
         version: Version,
-        /// Why, for the operators; at most [`WHY_MAX`] bytes.
+        /// Why, for the operators; at most [`REASON_MAX_BYTES`] bytes.
         why: String,
     },
     /// A member has learnt that the old version closes, and decides nothing more under it.
@@ -82,7 +82,7 @@
         version: Version,
     },
     /// The time for this step is up by the clock of a node that leads.
-    GiveUp {
+    Timeout {
         /// Which proposal.
         version: Version,
         /// Nothing changes if it is past this step.
@@ -104,9 +104,9 @@
         }
         let (entry, rest) = postcard::take_from_bytes::<Self>(body).ok()?;
         let bounded = match &entry {
-            Self::Propose { document, .. } => document.len() <= DOCUMENT_MAX,
-            Self::Refuse { why, .. } => why.len() <= WHY_MAX,
-            Self::Expire { lapsed } => lapsed.len() <= EXPIRED_AT_ONCE,
+            Self::Propose { document, .. } => document.len() <= DOCUMENT_MAX_BYTES,
+            Self::Reject { why, .. } => why.len() <= REASON_MAX_BYTES,
+            Self::Expire { expired } => expired.len() <= EXPIRE_BATCH_MAX,
             _ => true,
         };
         (rest.is_empty() && bounded).then_some(entry)
--- a/crates/policy_change/src/lib.rs
+++ b/crates/policy_change/src/lib.rs
@@ -12,25 +12,28 @@
 //!
 //! Central types: [`PolicyChange`], [`State`] (what the log says), [`Admission`] and [`Epoch`] (one request's version).
 
-#[cfg(test)]
-mod cases;
+mod admission;
 pub mod check;
 mod entry;
-mod gate;
 #[cfg(test)]
-mod play;
+mod model_check;
 #[cfg(test)]
 mod properties;
-mod room;
+mod protocol;
+#[cfg(test)]
+mod scenarios;
 mod settings;
-mod state;
 #[cfg(test)]
-mod worlds;
+mod simulation;
+mod state;
 
-pub use entry::{Entry, Step, Version, DOCUMENT_MAX, EXPIRED_AT_ONCE, WHY_MAX};
-pub use gate::{Admission, Epoch, Figures, Refusal, RefusalWhy, Ticket};
-pub use room::{Check, Outcome, PolicyChange, ProposeError};
+pub use admission::{Admission, Epoch, Metrics, QueueSlot, Rejection, RejectionReason};
+pub use entry::{Entry, Step, Version, DOCUMENT_MAX_BYTES, EXPIRE_BATCH_MAX, REASON_MAX_BYTES};
+pub use protocol::{DocumentCheck, PolicyChange, ProposalStatus, ProposeError};
 #[cfg(any(test, feature = "planted"))]
-pub use settings::Plant;
+pub use settings::InjectedFault;
 pub use settings::{Settings, SettingsError, WithoutLease};
-pub use state::{Change, Effect, End, Member, Past, State, Why, HISTORY, MEMBERS_MAX, TERM_MS};
+pub use state::{
+    AbortReason, Change, Effect, EndedProposal, Member, ProposalOutcome, State, HISTORY_MAX, MEMBERS_MAX,
+    TERM_RANGE_MS,
+};
--- a/crates/policy_change/src/worlds.rs
+++ b/crates/policy_change/src/model_check.rs
@@ -51,7 +51,7 @@
     fn new() -> Self {
         let mut head = State::default();
         for i in 0..NODES {
-            let join = Entry::Join { ask: 1, term_ms: 1000, serves_on: false };
+            let join = Entry::Join { request: 1, term_ms: 1000, serves_without_lease: false };
             head.apply(Index(i as u64 + 1), &peer(i), join);
         }
         let propose = Entry::Propose { base: Version(0), ticket: 1, document: vec![1] };
@@ -77,11 +77,11 @@
     }
 
     /// The version that node `i` could begin a request under now.
-    fn may_begin(&self, i: usize, rules: &Rules) -> Option<Version> {
+    fn admissible_version(&self, i: usize, rules: &Rules) -> Option<Version> {
         let state = &self.knows[i];
         let member = state.members.get(&peer(i))?;
         let leased = self.over != Some(member.grant.index.0);
-        (leased && (rules.skips_barrier || !state.closing())).then_some(state.active)
+        (leased && (rules.skips_barrier || !state.is_closing())).then_some(state.active)
     }
 
     /// What node `i` would say.
@@ -90,21 +90,21 @@
         let mut out = Vec::new();
         // Once more, or the worlds have no end.
         if !state.members.contains_key(&peer(i)) && self.joins == NODES as u64 {
-            out.push(Entry::Join { ask: 2, term_ms: 1000, serves_on: false });
+            out.push(Entry::Join { request: 2, term_ms: 1000, serves_without_lease: false });
         }
-        let lapsed = state.members.iter().find(|(_, m)| self.over == Some(m.grant.index.0));
-        out.extend(lapsed.map(|(p, m)| Entry::Expire { lapsed: vec![(p.clone(), m.grant.index)] }));
+        let expired = state.members.iter().find(|(_, m)| self.over == Some(m.grant.index.0));
+        out.extend(expired.map(|(p, m)| Entry::Expire { expired: vec![(p.clone(), m.grant.index)] }));
         if let Some(change) = &state.change {
             let (version, step) = (change.version, change.step);
-            if state.members.contains_key(&peer(i)) && !change.done.contains(&peer(i)) {
+            if state.members.contains_key(&peer(i)) && !change.acknowledged.contains(&peer(i)) {
                 out.push(match step {
                     Step::Closing => Entry::Stopped { version },
-                    Step::Voting if rules.refuses == Some(i) => Entry::Refuse { version, why: String::new() },
+                    Step::Voting if rules.refuses == Some(i) => Entry::Reject { version, why: String::new() },
                     Step::Voting => Entry::Accept { version },
                 });
             }
             if i == 0 {
-                out.push(Entry::GiveUp { version, step });
+                out.push(Entry::Timeout { version, step });
             }
         }
         out
@@ -176,7 +176,7 @@
     let mut todo = VecDeque::from([World::new()]);
     seen.insert(World::new().key());
     while let Some(world) = todo.pop_front() {
-        let may: Vec<Version> = (0..NODES).filter_map(|i| world.may_begin(i, rules)).collect();
+        let may: Vec<Version> = (0..NODES).filter_map(|i| world.admissible_version(i, rules)).collect();
         found.versions.extend(&may);
         found.older += usize::from(may.iter().any(|v| *v < world.newest));
         let next = world.next(rules);
@@ -189,7 +189,7 @@
                 usize::from(world.head.change.is_some() || world.knows.iter().any(|k| *k != world.head));
         }
         for mut world in next {
-            let may = (0..NODES).filter_map(|i| world.may_begin(i, rules));
+            let may = (0..NODES).filter_map(|i| world.admissible_version(i, rules));
             world.newest = may.fold(world.newest, Version::max);
             if seen.insert(world.key()) {
                 assert!(seen.len() <= WORLDS_AT_MOST, "more than {WORLDS_AT_MOST} worlds: {found:?}");
--- a/crates/policy_change/src/properties.rs
+++ b/crates/policy_change/src/properties.rs
@@ -7,8 +7,8 @@
 use rand::RngExt;
 
 use crate::check::Breach;
-use crate::play::{short, Play, MS};
-use crate::{End, Outcome, Plant, Settings, WithoutLease};
+use crate::simulation::{short, Play, MS};
+use crate::{InjectedFault, ProposalOutcome, ProposalStatus, Settings, WithoutLease};
 
 const NODES: usize = 5;
 const SEEDS: u64 = 300;
@@ -72,8 +72,8 @@
 }
 
 /// One run: faults for twelve seconds, then none; what the checker finds, and how many changes took hold.
-fn run(seed: u64, plant: Option<Plant>) -> (Vec<Breach>, u64) {
-    let mut settings = vec![Settings { plant, ..short() }; NODES];
+fn run(seed: u64, plant: Option<InjectedFault>) -> (Vec<Breach>, u64) {
+    let mut settings = vec![Settings { injected_fault: plant, ..short() }; NODES];
     if seed.is_multiple_of(4) {
         settings[4].without_lease = WithoutLease::Serve;
     }
@@ -92,12 +92,12 @@
     play.heal();
     // A dead member's lease runs out, what is under way ends, and each has its lease again.
     let s = short();
-    play.run(s.wait() + s.vote_for + s.close_for + 10 * s.again);
+    play.run(s.lease_wait() + s.vote_timeout + s.close_timeout + 10 * s.retry_interval);
     let ticket = play.propose(1, "share = last").expect("it runs and waits for nothing");
-    let took = play.until(LIVE, |p| matches!(p.outcome(1, ticket), Outcome::Ended(_)));
-    let outcome = play.outcome(1, ticket);
+    let took = play.until(LIVE, |p| matches!(p.proposal_status(1, ticket), ProposalStatus::Ended(_)));
+    let outcome = play.proposal_status(1, ticket);
     assert!(
-        took.is_some() && matches!(outcome, Outcome::Ended(End::Taken(_))),
+        took.is_some() && matches!(outcome, ProposalStatus::Ended(ProposalOutcome::Taken(_))),
         "seed {seed}: after all faults a change is {outcome:?}"
     );
     play.load = 0.0;
@@ -126,12 +126,12 @@
 fn each_planted_fault_is_caught_by_the_name_of_its_rule() {
     let plants = [
         (
-            Plant::ServesAfterLease,
+            InjectedFault::ServesAfterLease,
             vec!["all-or-nothing", "no-going-back", "stale-after-return", "ready-too-early"],
         ),
-        (Plant::CountsFromAnswer, vec!["all-or-nothing", "ready-too-early"]),
-        (Plant::SkipsBarrier, vec!["all-or-nothing", "no-going-back"]),
-        (Plant::ServesProposed, vec!["all-or-nothing", "half-taken"]),
+        (InjectedFault::CountsLeaseFromReply, vec!["all-or-nothing", "ready-too-early"]),
+        (InjectedFault::SkipsBarrier, vec!["all-or-nothing", "no-going-back"]),
+        (InjectedFault::ServesProposed, vec!["all-or-nothing", "half-taken"]),
     ];
     for (plant, want) in plants {
         let mut found = BTreeMap::new();
@@ -149,8 +149,9 @@
 }
 
 /// A node is stopped between its asking and the answer, learns of it late, and is cut off while a change is made.
-fn woken_and_cut(seed: u64, plant: Option<Plant>) -> Vec<Breach> {
-    let mut play = Play::new(seed, vec![Settings { plant, ..short() }; NODES], Faults::default());
+fn woken_and_cut(seed: u64, plant: Option<InjectedFault>) -> Vec<Breach> {
+    let mut play =
+        Play::new(seed, vec![Settings { injected_fault: plant, ..short() }; NODES], Faults::default());
     play.run(300 * MS);
     let decided = |p: &mut Play| {
         let unlearnt = &p.model.log()[p.model.learned_count(3)..];
@@ -179,7 +180,7 @@
     let mut caught = 0;
     for seed in 0..20 {
         assert_eq!(woken_and_cut(seed, None), Vec::new(), "seed {seed}");
-        let breaches = woken_and_cut(seed, Some(Plant::CountsFromAnswer));
+        let breaches = woken_and_cut(seed, Some(InjectedFault::CountsLeaseFromReply));
         caught += u32::from(breaches.iter().any(|b| b.rule.name() == "all-or-nothing"));
     }
     assert_eq!(caught, 20, "the planted fault is not caught in every run");
--- a/crates/policy_change/src/room.rs
+++ b/crates/policy_change/src/protocol.rs
@@ -8,39 +8,41 @@
 use magpietally_consensus::{DecidedEntry, HeldLease, Leases, SnapshotError, StateMachine, Topic};
 use magpietally_transport::{Now, Peer};
 
-use crate::entry::{Entry, Step, Version, DOCUMENT_MAX, EXPIRED_AT_ONCE, WHY_MAX};
-use crate::gate::Figures;
+use crate::admission::Metrics;
+use crate::entry::{Entry, Step, Version, DOCUMENT_MAX_BYTES, EXPIRE_BATCH_MAX, REASON_MAX_BYTES};
 use crate::settings::{Settings, SettingsError, WithoutLease};
-use crate::state::{Effect, End, State, MEMBERS_MAX};
+use crate::state::{Effect, ProposalOutcome, State, MEMBERS_MAX};
 
 /// How often a node looks whether something is due: fine enough for every setting, 20 looks a second.
 const BEAT: Duration = Duration::from_millis(50);
 /// Askings for a lease that are remembered with their time: more than a default term's worth of those said in haste. One
 /// that is granted after it was forgotten is not counted, and a later one is.
-const ASKS: usize = 64;
+const REQUESTS_MAX: usize = 64;
 /// Proposals that wait for the carrier at most; the oldest is dropped and said again by its own timer.
 const OUT: usize = 16;
 
 /// The check of a document: pure, the same verdict for the same bytes on the same build.
-pub type Check = Box<dyn Fn(&[u8]) -> Result<(), String> + Send>;
+pub type DocumentCheck = Box<dyn Fn(&[u8]) -> Result<(), String> + Send>;
 
 /// Why a document is not even proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// More than [`DOCUMENT_MAX`] bytes.
+    /// More than [`DOCUMENT_MAX_BYTES`] bytes.
     TooLarge(usize),
     /// This node's own check refuses it.
-    Refused(String),
+    Rejected(String),
     /// This node's last proposal is not decided yet.
-    Waiting(u64),
+    Pending(u64),
 }
 
 impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge(n) => write!(f, "the document has {n} bytes, at most {DOCUMENT_MAX} are allowed"),
-            Self::Refused(why) => f.write_str(why),
-            Self::Waiting(ticket) => write!(f, "proposal {ticket} of this node is not decided yet"),
+            Self::TooLarge(n) => {
+                write!(f, "the document has {n} bytes, at most {DOCUMENT_MAX_BYTES} are allowed")
+            }
+            Self::Rejected(reason) => f.write_str(reason),
+            Self::Pending(ticket) => write!(f, "proposal {ticket} of this node is not decided yet"),
         }
     }
 }
@@ -49,13 +51,13 @@
 
 /// What has become of a proposal of this node's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ProposalStatus {
     /// Not decided yet, as far as this node knows.
     Waiting,
     /// Under way, under this number.
     UnderWay(Version),
     /// It ended.
-    Ended(End),
+    Ended(ProposalOutcome),
     /// It was decided, too long ago to be remembered, or this node never proposed it.
     Unknown,
 }
@@ -72,25 +74,25 @@
 pub struct PolicyChange {
     pub(crate) me: Peer,
     pub(crate) settings: Settings,
-    check: Check,
+    check: DocumentCheck,
     /// (a) What follows from the log.
     pub(crate) state: State,
     // (b) What this node knows by its own clock.
     waits: Leases<Peer>,
     pub(crate) held: Option<HeldLease>,
-    asks: VecDeque<(u64, Duration)>,
-    next_ask: u64,
-    ask_due: Duration,
+    requests: VecDeque<(u64, Duration)>,
+    next_request: u64,
+    request_due: Duration,
     /// The step that the change is at, and when this node learnt so.
     step: Option<(Version, Step, Duration)>,
     say_due: Duration,
     chores_due: Duration,
     verdict: Option<(Version, Result<(), String>)>,
     /// Why this node can't take the active document.
-    pub(crate) cant_take: Option<String>,
+    pub(crate) document_error: Option<String>,
     pub(crate) closed_at: Option<Duration>,
     pub(crate) held_now: usize,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Metrics,
     pub(crate) last_seen: Duration,
     /// Requests begun before this are not decided any more: the node was stopped past the end of its lease, or while the
     /// version closed.
@@ -110,8 +112,8 @@
     ///
     /// # Errors
     /// A setting that does not fit.
-    pub fn new(me: Peer, settings: Settings, check: Check, now: Now) -> Result<Self, SettingsError> {
-        settings.check()?;
+    pub fn new(me: Peer, settings: Settings, check: DocumentCheck, now: Now) -> Result<Self, SettingsError> {
+        settings.validate()?;
         Ok(Self {
             me,
             settings,
@@ -119,17 +121,17 @@
             state: State::default(),
             waits: Leases::default(),
             held: None,
-            asks: VecDeque::new(),
-            next_ask: 1,
-            ask_due: now.boot,
+            requests: VecDeque::new(),
+            next_request: 1,
+            request_due: now.boot,
             step: None,
             say_due: now.boot,
             chores_due: now.boot,
             verdict: None,
-            cant_take: None,
+            document_error: None,
             closed_at: None,
             held_now: 0,
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             last_seen: now.boot,
             void_before: Duration::ZERO,
             last_stop: Duration::ZERO,
@@ -148,23 +150,23 @@
     }
 
     /// Why this node can't take the active document, if it can't.
-    pub fn cant_take(&self) -> Option<&str> {
-        self.cant_take.as_deref()
+    pub fn document_error(&self) -> Option<&str> {
+        self.document_error.as_deref()
     }
 
-    /// Wants `document` to be the policy, made against version `base`; the ticket to ask [`PolicyChange::outcome`] with.
+    /// Wants `document` to be the policy, made against version `base`; the ticket to ask [`PolicyChange::proposal_status`] with.
     /// A document that goes back to an older text is a change like any other.
     ///
     /// # Errors
     /// Why it is not proposed at all.
     pub fn propose(&mut self, now: Now, base: Version, document: Vec<u8>) -> Result<u64, ProposeError> {
-        if document.len() > DOCUMENT_MAX {
+        if document.len() > DOCUMENT_MAX_BYTES {
             return Err(ProposeError::TooLarge(document.len()));
         }
         if let Some(wanted) = &self.wanted {
-            return Err(ProposeError::Waiting(wanted.ticket));
+            return Err(ProposeError::Pending(wanted.ticket));
         }
-        (self.check)(&document).map_err(ProposeError::Refused)?;
+        (self.check)(&document).map_err(ProposeError::Rejected)?;
         self.last_ticket += 1;
         self.wanted = Some(Wanted { base, ticket: self.last_ticket, document, due: now.boot });
         self.due = now.boot;
@@ -172,24 +174,24 @@
     }
 
     /// What has become of the proposal with this ticket.
-    pub fn outcome(&self, ticket: u64) -> Outcome {
+    pub fn proposal_status(&self, ticket: u64) -> ProposalStatus {
         if self.wanted.as_ref().is_some_and(|w| w.ticket == ticket) {
-            return Outcome::Waiting;
+            return ProposalStatus::Waiting;
         }
         let mine = |by: &Peer, t: u64| *by == self.me && t == ticket;
-        if let Some(change) = self.state.change.as_ref().filter(|c| mine(&c.by, c.ticket)) {
-            return Outcome::UnderWay(change.version);
+        if let Some(change) = self.state.change.as_ref().filter(|c| mine(&c.proposer, c.ticket)) {
+            return ProposalStatus::UnderWay(change.version);
         }
-        match self.state.history.iter().rev().find(|p| mine(&p.by, p.ticket)) {
-            Some(past) => Outcome::Ended(past.end.clone()),
-            None => Outcome::Unknown,
+        match self.state.history.iter().rev().find(|p| mine(&p.proposer, p.ticket)) {
+            Some(past) => ProposalStatus::Ended(past.outcome.clone()),
+            None => ProposalStatus::Unknown,
         }
     }
 
     /// An operator's word that this start of a node does not run any more and never will; whether there was room for it, as
     /// there is for [`MEMBERS_MAX`] at a time.
     /// If it does run, it may go on serving under an older version: the word is the operator's.
-    pub fn gone(&mut self, now: Now, peer: Peer) -> bool {
+    pub fn evict(&mut self, now: Now, peer: Peer) -> bool {
         if self.gone.len() >= MEMBERS_MAX {
             return false;
         }
@@ -201,11 +203,11 @@
     /// A planned end: nothing new is decided from now on, and the lease is given back.
     pub fn leave(&mut self, now: Now) {
         self.leaving = true;
-        (self.ask_due, self.due) = (now.boot, now.boot);
+        (self.request_due, self.due) = (now.boot, now.boot);
     }
 
     /// Whether the log has taken the lease back, so that no change waits for this node.
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.leaving && !self.state.members.contains_key(&self.me)
     }
 
@@ -224,24 +226,24 @@
             self.say_due = now.boot;
         }
         if self.state.active != was_active {
-            self.cant_take = match &self.verdict {
+            self.document_error = match &self.verdict {
                 Some((version, verdict)) if *version == self.state.active => verdict.clone().err(),
                 _ => (self.check)(&self.state.document).err(),
             };
         }
         #[allow(unused_mut)]
-        let mut closing = self.state.closing();
+        let mut closing = self.state.is_closing();
         #[cfg(any(test, feature = "planted"))]
-        if self.settings.planted(crate::settings::Plant::SkipsBarrier) {
+        if self.settings.injected(crate::settings::InjectedFault::SkipsBarrier) {
             closing = false;
         }
         match (self.closed_at, closing) {
             (None, true) => self.closed_at = Some(now.boot),
             (Some(at), false) => {
                 let length = now.boot.saturating_sub(at);
-                self.figures.closings += 1;
-                self.figures.last_closing = length;
-                self.figures.longest_closing = self.figures.longest_closing.max(length);
+                self.metrics.closings += 1;
+                self.metrics.last_closing = length;
+                self.metrics.longest_closing = self.metrics.longest_closing.max(length);
                 self.closed_at = None;
             }
             // One closing after the other, learnt at once: the hold counts from the first.
@@ -255,45 +257,46 @@
     }
 
     /// Asks for a lease, or for a longer one.
-    fn ask(&mut self, now: Now) {
+    fn request_lease(&mut self, now: Now) {
         let member = self.state.members.contains_key(&self.me);
         if self.leaving {
-            if member && now.boot >= self.ask_due {
-                self.ask_due = now.boot + self.settings.again;
+            if member && now.boot >= self.request_due {
+                self.request_due = now.boot + self.settings.retry_interval;
                 self.say(Entry::Leave);
             }
             return;
         }
-        if now.boot < self.ask_due {
+        if now.boot < self.request_due {
             return;
         }
-        let ask = self.next_ask;
-        self.next_ask += 1;
-        if self.asks.len() >= ASKS {
-            self.asks.pop_front();
+        let request = self.next_request;
+        self.next_request += 1;
+        if self.requests.len() >= REQUESTS_MAX {
+            self.requests.pop_front();
         }
-        self.asks.push_back((ask, now.boot));
+        self.requests.push_back((request, now.boot));
         let fresh =
             self.held.is_some_and(|h| h.expires_at().saturating_sub(now.boot) * 2 > self.settings.term)
                 && member;
         // Usually each third of the term; when two in a row came to nothing, in haste.
-        self.ask_due = now.boot + if fresh { self.settings.term / 3 } else { self.settings.again };
+        self.request_due =
+            now.boot + if fresh { self.settings.term / 3 } else { self.settings.retry_interval };
         self.say(if member {
-            Entry::Renew { ask }
+            Entry::Renew { request }
         } else {
-            let serves_on = self.settings.without_lease == WithoutLease::Serve;
-            Entry::Join { ask, term_ms: self.settings.term_ms(), serves_on }
+            let serves_without_lease = self.settings.without_lease == WithoutLease::Serve;
+            Entry::Join { request, term_ms: self.settings.term_ms(), serves_without_lease }
         });
     }
 
     /// Answers the change under way, until the answer is seen decided.
     fn answer(&mut self, now: Now) {
         let Some(change) = &self.state.change else { return };
-        let counted = self.state.members.contains_key(&self.me) && !change.done.contains(&self.me);
+        let counted = self.state.members.contains_key(&self.me) && !change.acknowledged.contains(&self.me);
         if !counted || now.boot < self.say_due {
             return;
         }
-        self.say_due = now.boot + self.settings.again;
+        self.say_due = now.boot + self.settings.retry_interval;
         let version = change.version;
         let entry = match change.step {
             Step::Closing => Entry::Stopped { version },
@@ -302,7 +305,7 @@
                     self.verdict = Some((version, (self.check)(&change.document)));
                 }
                 match &self.verdict {
-                    Some((_, Err(why))) => Entry::Refuse { version, why: cut(why) },
+                    Some((_, Err(why))) => Entry::Reject { version, why: cut(why) },
                     _ => Entry::Accept { version },
                 }
             }
@@ -312,7 +315,7 @@
 
     /// Says this node's own wants: a proposal, and nodes that are gone.
     fn want(&mut self, now: Now) {
-        let again = self.settings.again;
+        let again = self.settings.retry_interval;
         let member = self.state.members.contains_key(&self.me);
         if let Some(wanted) = self.wanted.as_mut().filter(|w| member && now.boot >= w.due) {
             wanted.due = now.boot + again;
@@ -324,7 +327,7 @@
         if let Some((peer, due)) = self.gone.iter_mut().find(|(_, due)| now.boot >= *due) {
             *due = now.boot + again;
             let peer = peer.clone();
-            self.say(Entry::Gone { peer });
+            self.say(Entry::Evict { peer });
         }
     }
 
@@ -333,34 +336,34 @@
         if now.boot < self.chores_due {
             return;
         }
-        let lapsed: Vec<_> = self
+        let expired: Vec<_> = self
             .waits
             .expired(now.boot)
-            .filter(|(peer, _)| self.state.members.get(*peer).is_some_and(|m| !m.serves_on))
-            .take(EXPIRED_AT_ONCE)
+            .filter(|(peer, _)| self.state.members.get(*peer).is_some_and(|m| !m.serves_without_lease))
+            .take(EXPIRE_BATCH_MAX)
             .map(|(peer, grant)| (peer.clone(), grant.index))
             .collect();
         let over = self.step.filter(|(_, step, since)| {
             let limit = match step {
-                Step::Voting => self.settings.vote_for,
-                Step::Closing => self.settings.close_for,
+                Step::Voting => self.settings.vote_timeout,
+                Step::Closing => self.settings.close_timeout,
             };
             now.boot >= *since + limit
         });
-        if !lapsed.is_empty() {
-            self.say(Entry::Expire { lapsed });
-            self.chores_due = now.boot + self.settings.again;
+        if !expired.is_empty() {
+            self.say(Entry::Expire { expired });
+            self.chores_due = now.boot + self.settings.retry_interval;
         }
         if let Some((version, step, _)) = over {
-            self.say(Entry::GiveUp { version, step });
-            self.chores_due = now.boot + self.settings.again;
+            self.say(Entry::Timeout { version, step });
+            self.chores_due = now.boot + self.settings.retry_interval;
         }
     }
 }
 
 /// A reason within its bound, cut at a character.
 fn cut(why: &str) -> String {
-    let mut end = why.len().min(WHY_MAX);
+    let mut end = why.len().min(REASON_MAX_BYTES);
     while !why.is_char_boundary(end) {
         end -= 1;
     }
@@ -373,18 +376,22 @@
     }
 
     fn apply(&mut self, now: Now, decided: &DecidedEntry) {
-        self.seen(now.boot);
+        self.detect_pause(now.boot);
         let Some(entry) = Entry::decode(&decided.proposal.body) else { return };
         let renewal = matches!(entry, Entry::Renew { .. });
         let was_active = self.state.active;
         for effect in self.state.apply(decided.index, &decided.proposal.proposer, entry) {
             match effect {
-                Effect::Granted(peer, grant, ask) => {
+                Effect::Granted(peer, grant, request) => {
                     if peer == self.me {
                         let term = Duration::from_millis(u64::from(grant.term_ms));
-                        let asked = self.asks.iter().find(|(a, _)| *a == ask).map(|(_, at)| *at);
+                        let asked =
+                            self.requests.iter().find(|(number, _)| *number == request).map(|(_, at)| *at);
                         #[cfg(any(test, feature = "planted"))]
-                        let asked = match self.settings.planted(crate::settings::Plant::CountsFromAnswer) {
+                        let asked = match self
+                            .settings
+                            .injected(crate::settings::InjectedFault::CountsLeaseFromReply)
+                        {
                             true => Some(now.boot),
                             false => asked,
                         };
@@ -399,7 +406,7 @@
                     self.waits.end(&peer, grant);
                     if peer == self.me {
                         self.held = None;
-                        self.ask_due = now.boot;
+                        self.request_due = now.boot;
                     }
                 }
             }
@@ -415,7 +422,7 @@
     }
 
     fn restore(&mut self, now: Now, snapshot: &[u8]) -> Result<(), SnapshotError> {
-        self.seen(now.boot);
+        self.detect_pause(now.boot);
         let state: State = postcard::from_bytes(snapshot).map_err(|e| SnapshotError(e.to_string()))?;
         let was_active = self.state.active;
         self.state = state;
@@ -424,15 +431,15 @@
         if !self.state.members.contains_key(&self.me) {
             self.held = None;
         }
-        self.ask_due = now.boot;
+        self.request_due = now.boot;
         self.settle(now, was_active);
         Ok(())
     }
 
     fn tick(&mut self, now: Now, leading: bool) {
-        self.seen(now.boot);
+        self.detect_pause(now.boot);
         self.due = now.boot + BEAT;
-        self.ask(now);
+        self.request_lease(now);
         self.answer(now);
         self.want(now);
         if leading {
--- a/crates/policy_change/src/play.rs
+++ b/crates/policy_change/src/simulation.rs
@@ -10,9 +10,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::check::{self, Breach, Record, What};
+use crate::check::{self, Breach, Event, Record};
 use crate::{
-    Admission, Check, End, Entry, Epoch, Outcome, Past, PolicyChange, Settings, State, Step, Ticket,
+    Admission, DocumentCheck, EndedProposal, Entry, Epoch, PolicyChange, ProposalOutcome, ProposalStatus,
+    QueueSlot, Settings, State, Step,
 };
 
 pub(crate) const MS: Duration = Duration::from_millis(1);
@@ -22,18 +23,18 @@
     let term = 2000 * MS;
     Settings {
         term,
-        again: 100 * MS,
-        vote_for: 3200 * MS,
-        close_for: 600 * MS,
-        hold_for: 300 * MS,
-        held_at_most: 8,
-        time_left: 100 * MS,
+        retry_interval: 100 * MS,
+        vote_timeout: 3200 * MS,
+        close_timeout: 600 * MS,
+        queue_timeout: 300 * MS,
+        queue_max: 8,
+        min_time_left: 100 * MS,
         ..Settings::default()
     }
 }
 
 /// A node's check refuses a document that names it after a `!`.
-fn checker(name: &Name) -> Check {
+fn checker(name: &Name) -> DocumentCheck {
     let mark = format!("!{name}");
     Box::new(move |document| {
         let text = String::from_utf8_lossy(document);
@@ -55,9 +56,9 @@
 #[derive(Default)]
 struct Local {
     flights: Vec<Flight>,
-    held: Vec<(u64, Ticket)>,
+    held: Vec<(u64, QueueSlot)>,
     moved: u64,
-    last_past: Option<Past>,
+    last_past: Option<EndedProposal>,
     told: BTreeSet<(u64, bool)>,
     proposed: u64,
     killed: bool,
@@ -100,7 +101,7 @@
         Self { model, records: Vec::new(), rng, settings, locals, requests: 0, load: 0.02 }
     }
 
-    fn record(&mut self, i: usize, what: What) {
+    fn record(&mut self, i: usize, what: Event) {
         let at = self.model.now().as_nanos() as u64;
         self.records.push(Record { at, node: format!("n{i}"), what });
     }
@@ -110,9 +111,9 @@
         change(&mut self.locals[i]);
         let is = self.locals[i].down();
         if is {
-            self.record(i, What::Down { ran });
+            self.record(i, Event::Down { ran });
         } else if was {
-            self.record(i, What::Back);
+            self.record(i, Event::Back);
         }
     }
 
@@ -121,7 +122,7 @@
         let cut = self.locals[i].cut;
         self.locals[i] =
             Local { killed: true, cut, told: std::mem::take(&mut self.locals[i].told), ..Local::default() };
-        self.record(i, What::Down { ran: false });
+        self.record(i, Event::Down { ran: false });
     }
 
     pub(crate) fn start(&mut self, i: usize) {
@@ -151,8 +152,8 @@
         machine.propose(now, base, document.as_bytes().to_vec()).ok()
     }
 
-    pub(crate) fn outcome(&mut self, i: usize, ticket: u64) -> Outcome {
-        self.node(i).outcome(ticket)
+    pub(crate) fn proposal_status(&mut self, i: usize, ticket: u64) -> ProposalStatus {
+        self.node(i).proposal_status(ticket)
     }
 
     pub(crate) fn run(&mut self, d: Duration) {
@@ -190,36 +191,36 @@
             let boot = now.boot;
 
             let mut admitted: Vec<(u64, Admission)> = Vec::new();
-            let moved = local.moved != machine.gate_moved();
-            local.moved = machine.gate_moved();
+            let moved = local.moved != machine.reopen_count();
+            local.moved = machine.reopen_count();
             let mut k = 0;
             while k < local.held.len() {
-                if moved || boot >= local.held[k].1.until {
+                if moved || boot >= local.held[k].1.expires_at {
                     let (request, ticket) = local.held.remove(k);
-                    admitted.push((request, machine.again(boot, ticket)));
+                    admitted.push((request, machine.readmit(boot, ticket)));
                 } else {
                     k += 1;
                 }
             }
             if rng.random_bool(self.load) {
                 self.requests += 1;
-                record(What::Arrived { request: self.requests });
+                record(Event::Arrived { request: self.requests });
                 let left = rng.random_range(0..2000) * MS;
-                admitted.push((self.requests, machine.begin(boot, left)));
+                admitted.push((self.requests, machine.admit(boot, left)));
             }
             for (request, admission) in admitted {
                 match admission {
-                    Admission::Go(epoch) => {
-                        record(What::Decided { request, version: epoch.version.0 });
+                    Admission::Admit(epoch) => {
+                        record(Event::Decided { request, version: epoch.version.0 });
                         let tries = if rng.random_bool(0.3) { rng.random_range(1..3) } else { 0 };
                         let takes = rng.random_range(1..200) * MS;
                         local.flights.push(Flight { request, epoch, at: true_now + takes, tries });
                     }
-                    Admission::Hold(ticket) => local.held.push((request, ticket)),
-                    Admission::Refuse(_) => {}
+                    Admission::Queue(ticket) => local.held.push((request, ticket)),
+                    Admission::Reject(_) => {}
                 }
             }
-            assert_eq!(machine.held(), local.held.len());
+            assert_eq!(machine.queued(), local.held.len());
 
             local.flights.retain_mut(|f| {
                 if f.at > true_now {
@@ -227,14 +228,14 @@
                 }
                 let (request, version) = (f.request, f.epoch.version.0);
                 if f.tries == 0 {
-                    record(What::Left { request, version });
+                    record(Event::Left { request, version });
                     return false;
                 }
                 f.tries -= 1;
                 f.at = true_now + rng.random_range(1..200) * MS;
-                let goes_on = machine.may_decide(boot, &f.epoch).is_ok();
+                let goes_on = machine.check_epoch(boot, &f.epoch).is_ok();
                 if goes_on {
-                    record(What::Decided { request, version });
+                    record(Event::Decided { request, version });
                 }
                 goes_on
             });
@@ -242,25 +243,25 @@
             let state = machine.state();
             if let Some(change) = state.change.as_ref().filter(|c| c.version.0 > local.proposed) {
                 local.proposed = change.version.0;
-                record(What::Proposed { version: change.version.0 });
+                record(Event::Proposed { version: change.version.0 });
             }
             if state.history.back() != local.last_past.as_ref() {
                 local.last_past = state.history.back().cloned();
                 for past in &state.history {
-                    let (version, taken) = match &past.end {
-                        End::Taken(v) => (v.0, true),
-                        End::Aborted(v, _) => (v.0, false),
-                        End::Lost { .. } => continue,
+                    let (version, taken) = match &past.outcome {
+                        ProposalOutcome::Taken(v) => (v.0, true),
+                        ProposalOutcome::Aborted(v, _) => (v.0, false),
+                        ProposalOutcome::Lost { .. } => continue,
                     };
                     if local.told.insert((version, taken)) {
-                        record(What::Ended { version, taken });
+                        record(Event::Ended { version, taken });
                     }
                 }
             }
             // While a version closes a node that says it is ready claims no version: it holds what comes.
-            if at.is_multiple_of(37_000_000) && machine.ready(boot) {
-                if let Ok(version) = machine.may_begin(boot) {
-                    record(What::Ready { version: version.0 });
+            if at.is_multiple_of(37_000_000) && machine.is_ready(boot) {
+                if let Ok(version) = machine.admissible_version(boot) {
+                    record(Event::Ready { version: version.0 });
                 }
             }
         }
@@ -287,7 +288,7 @@
     pub(crate) fn verdict(&mut self) -> Vec<Breach> {
         for i in 0..self.locals.len() {
             let version = self.node(i).state().active.0;
-            self.record(i, What::Final { version });
+            self.record(i, Event::Final { version });
         }
         // A refusal counts when the log has it from a member while the members check: one that was cut off before it came
         // to the log, and whose lease ran out, is not counted any more.
@@ -296,9 +297,9 @@
         for decided in log {
             let Some(entry) = Entry::decode(&decided.proposal.body) else { continue };
             let by = &decided.proposal.proposer;
-            if let (Entry::Refuse { version, .. }, Some(c)) = (&entry, &state.change) {
+            if let (Entry::Reject { version, .. }, Some(c)) = (&entry, &state.change) {
                 if c.version == *version && c.step == Step::Voting && state.members.contains_key(by) {
-                    let what = What::Refused { version: version.0 };
+                    let what = Event::Refused { version: version.0 };
                     self.records.push(Record { at: 0, node: by.name.to_string(), what });
                 }
             }
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -11,7 +11,7 @@
 use magpietally_core::{stable_hash, AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
 use magpietally_policy::Settings;
 use magpietally_policy_change::{
-    check as policy_check, Admission, Epoch, PolicyChange, ProposeError, RefusalWhy, Version,
+    check as policy_check, Admission, Epoch, PolicyChange, ProposeError, RejectionReason, Version,
 };
 use magpietally_quota::{check as quota_check, Quota, Verdict, Why};
 use magpietally_transport::{Now, Peer};
@@ -96,7 +96,7 @@
     }
 
     /// A record of the policy's checker.
-    pub fn record_policy(&self, at: Duration, what: policy_check::What) {
+    pub fn record_policy(&self, at: Duration, what: policy_check::Event) {
         if self.keeps_records() {
             let at = u64::try_from(at.as_nanos()).unwrap_or(u64::MAX);
             let node = self.me.name.to_string();
@@ -125,7 +125,7 @@
         }
         rooms.quotas_of = active;
         let text = rooms.policy.state().document.clone();
-        // It was checked here before it was accepted, or this node serves nothing under it (`cant_take`).
+        // It was checked here before it was accepted, or this node serves nothing under it (`document_error`).
         let Ok(Document { settings, mut quotas }) = fleet_policy::read(&text, &self.ground) else { return };
         quotas.version = active.0;
         if let Err(error) = rooms.quota.set_policy(now, &quotas) {
@@ -161,13 +161,13 @@
         let now = clock::now().boot;
         let rooms = &mut *self.rooms();
         // With no time of its own left, nothing is held here: the front waits before it asks.
-        let version = match rooms.policy.begin(now, Duration::ZERO) {
-            Admission::Go(epoch) => epoch.version,
-            Admission::Refuse(refusal) => {
-                return AdmissionDecision::NoLease { retry_after: ms(refusal.retry_after) }
+        let version = match rooms.policy.admit(now, Duration::ZERO) {
+            Admission::Admit(epoch) => epoch.version,
+            Admission::Reject(rejection) => {
+                return AdmissionDecision::NoLease { retry_after: ms(rejection.retry_after) }
             }
-            Admission::Hold(ticket) => {
-                rooms.policy.forget(ticket);
+            Admission::Queue(slot) => {
+                rooms.policy.abandon(slot);
                 return AdmissionDecision::NoLease { retry_after: 100.0 };
             }
         };
@@ -211,25 +211,25 @@
                 Verdict::Unlimited | Verdict::Repeat => {}
             }
         }
-        self.record_policy(now, policy_check::What::Arrived { request });
-        self.record_policy(now, policy_check::What::Decided { request, version: version.0 });
+        self.record_policy(now, policy_check::Event::Arrived { request });
+        self.record_policy(now, policy_check::Event::Decided { request, version: version.0 });
         AdmissionDecision::Admit { epoch: version.0, at: now }
     }
 
     fn may_send(&self, epoch: u64, at: Duration) -> bool {
         let now = clock::now().boot;
-        self.rooms().policy.may_decide(now, &Epoch::taken(Version(epoch), at)).is_ok()
+        self.rooms().policy.check_epoch(now, &Epoch::from_parts(Version(epoch), at)).is_ok()
     }
 
     fn is_changing_policy(&self) -> bool {
         let now = clock::now().boot;
         let rooms = self.rooms();
-        // `ready` goes on saying yes while a version closes, for as long as a request may be held.
-        rooms.policy.may_begin(now) == Err(RefusalWhy::Closing) && rooms.policy.ready(now)
+        // `is_ready` goes on saying yes while a version closes, for as long as a request may be held.
+        rooms.policy.admissible_version(now) == Err(RejectionReason::Closing) && rooms.policy.is_ready(now)
     }
 
     fn is_ready(&self) -> bool {
-        self.rooms().policy.ready(clock::now().boot)
+        self.rooms().policy.is_ready(clock::now().boot)
     }
 
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>> {
@@ -239,7 +239,7 @@
     fn propose(&self, document: &[u8]) -> Result<String, ProposalError> {
         let now = clock::now();
         let rooms = &mut *self.rooms();
-        if !rooms.policy.ready(now.boot) {
+        if !rooms.policy.is_ready(now.boot) {
             return Err(ProposalError::Unavailable(
                 "this node holds no lease and may be behind the fleet".into(),
             ));
@@ -247,7 +247,7 @@
         let base = rooms.policy.state().active;
         match rooms.policy.propose(now, base, document.to_vec()) {
             Ok(ticket) => Ok(format!("proposal {ticket} against version {}", base.0)),
-            Err(error @ ProposeError::Waiting(_)) => Err(ProposalError::Unavailable(error.to_string())),
+            Err(error @ ProposeError::Pending(_)) => Err(ProposalError::Unavailable(error.to_string())),
             Err(error) => Err(ProposalError::Invalid(error.to_string())),
         }
     }
@@ -256,34 +256,34 @@
         let now = clock::now().boot;
         let rooms = self.rooms();
         let state = rooms.policy.state();
-        let word = if rooms.policy.ready(now) { "ready" } else { "not ready" };
+        let word = if rooms.policy.is_ready(now) { "ready" } else { "not ready" };
         let mut out = format!("{}: {word} under version {}\n", self.me, state.active.0);
         let _ = writeln!(out, "{} members hold a lease", state.members.len());
         if let Some(change) = &state.change {
-            let (done, of) = (change.done.len(), state.members.len());
+            let (done, of) = (change.acknowledged.len(), state.members.len());
             let _ =
                 writeln!(out, "version {} is under way: {:?}, {done} of {of}", change.version.0, change.step);
         }
-        if let Some(why) = rooms.policy.cant_take() {
+        if let Some(why) = rooms.policy.document_error() {
             let _ = writeln!(out, "this node's check refuses the active version: {why}");
         }
         for past in &state.history {
-            let _ = writeln!(out, "by {}, proposal {}: {:?}", past.by, past.ticket, past.end);
+            let _ = writeln!(out, "by {}, proposal {}: {:?}", past.proposer, past.ticket, past.outcome);
         }
-        let figures = rooms.policy.figures();
+        let metrics = rooms.policy.metrics();
         let _ = writeln!(
             out,
             "refused {}; closings {}, the longest {:.0} ms",
-            figures.refused,
-            figures.closings,
-            ms(figures.longest_closing)
+            metrics.rejected,
+            metrics.closings,
+            ms(metrics.longest_closing)
         );
         out
     }
 
     fn record_answer(&self, epoch: u64, id: &str) {
         if self.keeps_records() {
-            let what = policy_check::What::Left { request: stable_hash(id), version: epoch };
+            let what = policy_check::Event::Left { request: stable_hash(id), version: epoch };
             self.record_policy(clock::now().boot, what);
         }
     }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -105,17 +105,17 @@
     };
     if let Some(ms) = parsed.lease_ms {
         policy.term = Duration::from_millis(ms);
-        policy.vote_for = policy.term.mul_f64(1.1) + Duration::from_secs(5);
-        policy.again = policy.again.min(policy.term / 8);
+        policy.vote_timeout = policy.term.mul_f64(1.1) + Duration::from_secs(5);
+        policy.retry_interval = policy.retry_interval.min(policy.term / 8);
     }
     if let Some(planted) = &parsed.planted {
         // The quotas' are planted once their room is there.
         let mut probe = Quota::new(Peer::default(), magpietally_quota::Settings::default(), Now::default());
-        if !policy.plant_named(planted) && !probe.plant_named(planted) {
+        if !policy.inject_named(planted) && !probe.plant_named(planted) {
             return Err(fail("planted", format!("{planted:?} is no fault of this build")));
         }
     }
-    policy.check().map_err(|e| fail("lease_ms", e.to_string()))?;
+    policy.validate().map_err(|e| fail("lease_ms", e.to_string()))?;
     magpietally_consensus::Settings::new(voters.clone(), 0)
         .check()
         .map_err(|e| fail("voters", e.to_string()))?;
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -8,7 +8,7 @@
 
 use magpietally_config::file::read_plain;
 use magpietally_consensus::{check as log_check, Node, StateMachine, Topic, Write};
-use magpietally_policy_change::{End, Outcome, Version, Why, DOCUMENT_MAX};
+use magpietally_policy_change::{AbortReason, ProposalOutcome, ProposalStatus, Version, DOCUMENT_MAX_BYTES};
 use magpietally_store::disk::Folder;
 use magpietally_store::{Log, Store, StoreError};
 use magpietally_transport::tcp::Tcp;
@@ -100,7 +100,7 @@
                     self.shared.rooms().policy.leave(now);
                     now.boot
                 });
-                if self.shared.rooms().policy.left() || now.boot.saturating_sub(since) > LEAVE_WITHIN {
+                if self.shared.rooms().policy.has_left() || now.boot.saturating_sub(since) > LEAVE_WITHIN {
                     return Ok(());
                 }
             }
@@ -244,12 +244,15 @@
         document.look_at = now.boot + FILE_LOOK;
         let rooms = &mut *self.shared.rooms();
         if let Some(ticket) = document.ticket {
-            match rooms.policy.outcome(ticket) {
-                Outcome::Waiting | Outcome::UnderWay(_) => return,
+            match rooms.policy.proposal_status(ticket) {
+                ProposalStatus::Waiting | ProposalStatus::UnderWay(_) => return,
                 ended => {
                     tracing::info!(target: "fleet", "{}: {ended:?}", document.path.display());
                     document.ticket = None;
-                    if matches!(ended, Outcome::Ended(End::Aborted(_, Why::Silent { .. }))) {
+                    if matches!(
+                        ended,
+                        ProposalStatus::Ended(ProposalOutcome::Aborted(_, AbortReason::Silent { .. }))
+                    ) {
                         // Nobody was against it: what the file says is still wanted, once those who were silent speak or
                         // are no longer counted.
                         document.last = None;
@@ -260,7 +263,7 @@
             }
         }
         let path = document.path.display();
-        let text = match read_plain(&document.path, DOCUMENT_MAX) {
+        let text = match read_plain(&document.path, DOCUMENT_MAX_BYTES) {
             Ok(text) => text.into_bytes(),
             // It may be in the middle of being replaced; if not, there is nothing to propose.
             Err(error) => return tracing::debug!(target: "fleet", "{path}: {error}"),
@@ -271,7 +274,7 @@
         }
         // A node that starts holds its own file against a fleet that it does not know yet: only once it is ready does it
         // know which version it would change.
-        if !rooms.policy.ready(now.boot) {
+        if !rooms.policy.is_ready(now.boot) {
             return;
         }
         let base = state.active;
@@ -289,7 +292,7 @@
     fn tell(&mut self, now: Now) {
         let (active, ready) = {
             let rooms = self.shared.rooms();
-            (rooms.policy.state().active, rooms.policy.ready(now.boot))
+            (rooms.policy.state().active, rooms.policy.is_ready(now.boot))
         };
         if self.told != (active, ready) {
             self.told = (active, ready);
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -299,7 +299,7 @@
     let served = f.end_load();
     assert!(served > 100, "{served} requests served: the records say little");
     let (policy, quota, log) = f.all_records();
-    let decided = policy.iter().filter(|r| matches!(r.what, policy_check::What::Decided { .. })).count();
+    let decided = policy.iter().filter(|r| matches!(r.what, policy_check::Event::Decided { .. })).count();
     assert!(decided > 100, "{decided} decisions on record");
     assert_eq!(policy_check::check(&policy), []);
     assert_eq!(quota_check::check(&quota), []);
