--- a/crates/transport/src/envelope.rs
+++ b/crates/transport/src/envelope.rs
@@ -1,11 +1,11 @@
-//! What every message on the wire carries around its body, whatever the carrier: see `docs/design/transport.md`.
+//! The envelope of every message on the wire, for both transports: see `docs/design/transport.md`.
 //!
 //! ```text
-//! version (1) | CRC-32 of all else (4, little endian) | head (postcard, at most 98) | body (the rest)
+//! version (1) | CRC-32 of all else (4, little endian) | header (postcard, at most 98) | body (the rest)
 //! ```
 //!
-//! The version stands first and alone, so that every later format can be told from this one before anything else is
-//! believed; then the checksum, so that nothing of a damaged message is believed either.
+//! The version comes first, as a byte of its own, so that any later format can be told apart before anything
+//! else is interpreted. The checksum follows, so that no part of a damaged message is interpreted either.
 
 use std::fmt;
 
@@ -15,23 +15,24 @@
 use crate::name::Name;
 use crate::transport::Peer;
 
-/// The format of what is written here.
+/// The version of the format that is written, and the only one that is accepted.
 pub const VERSION: u8 = 1;
 
-/// The most an envelope takes, in bytes: version 1, checksum 4, fleet 8, addressee 4, kind 1, name 1 + 64, session and
-/// number up to 10 each.
+/// The largest size of an envelope, in bytes: version 1, checksum 4, fleet 8, recipient 4, message type 1,
+/// name 1 + 64, session and number up to 10 each.
 pub const ENVELOPE_MAX_BYTES: usize = 103;
 
-/// Where the head begins: behind the version and the checksum.
-const HEAD_AT: usize = 5;
+/// The offset of the header, in bytes: it follows the version and the checksum.
+const HEADER_OFFSET: usize = 5;
 
-/// A fleet, as messages name it: 64 bits of the SHA-256 of its name. A fixed size bounds the message, and two fleets of
-/// different names meet in it once in 2^64. It keeps apart those who were mixed up, not those who lie.
+/// The identifier of a fleet in messages: the first 64 bits of the SHA-256 of its name. Its fixed size bounds
+/// the size of a message, and two different names collide with a probability of 2^-64. It protects against
+/// misconfiguration, not against forgery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FleetId(#[serde(with = "postcard::fixint::le")] u64);
 
 impl FleetId {
-    /// The fleet of this name.
+    /// Returns the identifier of the fleet of this name.
     pub fn from_name(name: &str) -> Self {
         let digest = Sha256::digest(name.as_bytes());
         let mut first = [0; 8];
@@ -40,66 +41,68 @@
     }
 }
 
-/// To whom a message was sent: 32 bits (CRC-32) of its name. Addresses are given to other nodes again, sooner than every
-/// table learns of it; a node must not take what was meant for the one that had its address before.
+/// The identifier of a message's recipient: the CRC-32 of its name. An address can be reused by another node
+/// before every peer has learned of that; a node must not accept messages meant for the previous user of its
+/// address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecipientId(#[serde(with = "postcard::fixint::le")] u32);
 
 impl RecipientId {
-    /// The node of this name.
+    /// Returns the identifier of the node of this name.
     pub fn from_name(name: &Name) -> Self {
         Self(crc32fast::hash(name.as_str().as_bytes()))
     }
 }
 
-/// What a message is to the carrier.
+/// The type of a message, as seen by the transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageType {
-    /// The first frame of a connection, by who dialled.
+    /// The first frame of a connection, from the node that dialled.
     Hello,
-    /// Its answer.
+    /// The response to [`MessageType::Hello`]; its number is that of the last message accepted in the
+    /// session.
     Welcome,
-    /// A message of the sender's rooms; its number counts from 1 within the sender's session where order is promised,
-    /// and is 0 where not.
+    /// A message of the sender's protocols. On streams its number counts from 1 within the sender's session;
+    /// on datagrams it is 0.
     Message,
-    /// Nothing but a sign of life.
+    /// A heartbeat without content.
     Ping,
-    /// Messages up to this number were taken.
+    /// Acknowledges all messages up to its number.
     Ack,
 }
 
-/// What stands before the body.
+/// The header, which precedes the body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// The sender's fleet.
     pub fleet: FleetId,
-    /// For whom it is.
+    /// The recipient.
     pub to: RecipientId,
-    /// What it is.
+    /// The type of the message.
     pub message_type: MessageType,
     /// The sender.
     pub from: Peer,
-    /// See [`MessageType`].
+    /// The number of the message; its meaning depends on the [`MessageType`].
     pub number: u64,
 }
 
-/// Why a message could not be read.
+/// Why a message could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnvelopeError {
-    /// It ends before its head does.
+    /// It ends within the header.
     Truncated,
-    /// Another version of the format.
+    /// It has another version of the format.
     Version,
-    /// Altered on the way, or none of ours.
+    /// The checksum is wrong: the message was altered in transit, or is not in this format.
     Checksum,
-    /// A field out of its range.
+    /// A field is out of its range.
     InvalidField,
-    /// A sender without a name.
+    /// The sender's name is empty.
     MissingSender,
 }
 
 impl EnvelopeError {
-    /// In words, for [`crate::Event::Dropped`].
+    /// Returns a description, for [`crate::Event::Dropped`].
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Truncated => "a message that ends inside its envelope",
@@ -119,47 +122,49 @@
 
 impl std::error::Error for EnvelopeError {}
 
-/// The message on the wire.
-pub fn encode(head: &Header, body: &[u8]) -> Vec<u8> {
+/// Encodes a message.
+pub fn encode(header: &Header, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(ENVELOPE_MAX_BYTES + body.len());
     out.extend_from_slice(&[VERSION, 0, 0, 0, 0]);
-    // A growing vector and plain fields: there is nothing that postcard could refuse.
-    let mut out = postcard::to_extend(head, out).expect("a head of plain fields is always encoded");
+    // A vector grows as needed and the header has plain fields only, so postcard has no reason to fail.
+    let mut out = postcard::to_extend(header, out).expect("encoding a header of plain fields does not fail");
     out.extend_from_slice(body);
     let sum = checksum(&out);
-    out[1..HEAD_AT].copy_from_slice(&sum.to_le_bytes());
+    out[1..HEADER_OFFSET].copy_from_slice(&sum.to_le_bytes());
     out
 }
 
-/// Its head and its body.
+/// Decodes a message into its header and body. The caller checks the fleet, the recipient and the session.
 ///
 /// # Errors
-/// See [`EnvelopeError`]. Whose fleet and session it is, is the caller's to judge.
+/// See [`EnvelopeError`].
 pub fn decode(bytes: &[u8]) -> Result<(Header, &[u8]), EnvelopeError> {
     let (&version, _) = bytes.split_first().ok_or(EnvelopeError::Truncated)?;
     if version != VERSION {
         return Err(EnvelopeError::Version);
     }
-    let sum = bytes.get(1..HEAD_AT).and_then(|s| s.try_into().ok()).ok_or(EnvelopeError::Truncated)?;
+    let sum = bytes.get(1..HEADER_OFFSET).and_then(|s| s.try_into().ok()).ok_or(EnvelopeError::Truncated)?;
     if u32::from_le_bytes(sum) != checksum(bytes) {
         return Err(EnvelopeError::Checksum);
     }
-    // Memory: a name's text is taken from the message, so never more than the message itself.
-    let (head, body) = postcard::take_from_bytes::<Header>(&bytes[HEAD_AT..]).map_err(|e| match e {
-        postcard::Error::DeserializeUnexpectedEnd => EnvelopeError::Truncated,
-        _ => EnvelopeError::InvalidField,
-    })?;
-    if head.from.name.as_str().is_empty() {
+    // Decoding allocates the sender's name only, which is never longer than the message itself.
+    let (header, body) =
+        postcard::take_from_bytes::<Header>(&bytes[HEADER_OFFSET..]).map_err(|e| match e {
+            postcard::Error::DeserializeUnexpectedEnd => EnvelopeError::Truncated,
+            _ => EnvelopeError::InvalidField,
+        })?;
+    if header.from.name.as_str().is_empty() {
         return Err(EnvelopeError::MissingSender);
     }
-    Ok((head, body))
+    Ok((header, body))
 }
 
-/// Over the version and all that stands behind the checksum; `bytes` has at least [`HEAD_AT`].
+/// Computes the checksum over the version and all that follows the checksum; `bytes` has at least
+/// [`HEADER_OFFSET`] bytes.
 fn checksum(bytes: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&bytes[..1]);
-    sum.update(&bytes[HEAD_AT..]);
+    sum.update(&bytes[HEADER_OFFSET..]);
     sum.finalize()
 }
 
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,12 +1,18 @@
-//! Messages between named nodes, and the rooms that they are carried for: types and traits only.
+//! Messages between named nodes, and the interface of the protocols that exchange them.
 //!
-//! A **room** ([`Protocol`]) is one subsystem of one node without I/O, clock or thread: it is handed the time and what came,
-//! and gives back what is to be sent. A **transport** ([`Transport`]) moves whole messages between named nodes, as one of
-//! two kinds ([`Kind`]): datagrams, which may be lost, doubled and reordered, and streams, which keep order and bring each
-//! message at most once within a session. The same room runs on the network in virtual time (`crates/simnet`), on UDP
-//! and on framed TCP; what every transport must hold is written down in `crates/contracts`.
+//! A **protocol** ([`Protocol`]) is the state machine of one subsystem of a node, without I/O, clock or
+//! thread: it is given the time and the received messages, and returns the messages to send. A **transport**
+//! ([`Transport`]) carries whole messages between named nodes and is of one of two kinds ([`Kind`]):
+//! datagrams, which may be lost, duplicated and reordered, and streams, which keep the order and deliver each
+//! message at most once within a session. The same protocol runs on the simulated network in virtual time
+//! (`crates/simnet`), on UDP and on framed TCP. `crates/contracts` specifies and checks what every transport
+//! guarantees.
 //!
-//! Central types: [`Name`], [`Peer`] (a name and one start of it), [`Now`], [`Protocol`], [`Transport`].
+//! Central types: [`Name`], [`Peer`] (a name and the session of one start of that node), [`Now`],
+//! [`Protocol`], [`Transport`].
+//!
+//! Without the feature `carriers` the crate has types and traits only; with it, also the UDP and TCP
+//! transports.
 
 #[cfg(feature = "carriers")]
 pub mod envelope;
--- a/crates/transport/src/name.rs
+++ b/crates/transport/src/name.rs
@@ -1,14 +1,14 @@
-//! A node's name.
+//! Names of nodes.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name a node may have, in bytes; it bounds every message that carries it.
+/// The maximum length of a node name, in bytes; it bounds the size of the messages that contain names.
 pub const NAME_MAX_BYTES: usize = 64;
 
-/// A node's name: at most [`NAME_MAX_BYTES`] bytes of letters, digits, `.`, `_` and `-`. Empty only where a
-/// node is not known by name yet.
+/// The name of a node: at most [`NAME_MAX_BYTES`] bytes of ASCII letters, digits, `.`, `_` and `-`. It is
+/// empty only where the node's name is not known yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(String);
@@ -16,11 +16,11 @@
 /// Why a name was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NameError {
-    /// No name at all.
+    /// The name is empty.
     Empty,
-    /// More than [`NAME_MAX_BYTES`] bytes.
+    /// The name is longer than [`NAME_MAX_BYTES`]; holds its length in bytes.
     TooLong(usize),
-    /// A character outside letters, digits, `.`, `_` and `-`.
+    /// The name contains a character other than ASCII letters, digits, `.`, `_` and `-`.
     Character(char),
 }
 
@@ -41,10 +41,10 @@
 impl std::error::Error for NameError {}
 
 impl Name {
-    /// A name as given.
+    /// Checks and creates a name, which must not be empty.
     ///
     /// # Errors
-    /// See [`NameError`] for what is refused.
+    /// See [`NameError`].
     pub fn new(name: &str) -> Result<Self, NameError> {
         if name.is_empty() {
             return Err(NameError::Empty);
@@ -52,7 +52,7 @@
         Self::new_or_empty(name)
     }
 
-    /// The same checks, but empty is allowed: what a message may carry.
+    /// Like [`Name::new`], but the name may be empty, as in messages.
     ///
     /// # Errors
     /// See [`NameError`].
@@ -66,7 +66,7 @@
         Ok(Self(name.to_owned()))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/transport/src/protocol.rs
+++ b/crates/transport/src/protocol.rs
@@ -1,50 +1,52 @@
-//! What every room of the fleet is to its carrier, in virtual time and on sockets alike.
+//! The interface between a protocol's state machine and the code that runs it, in virtual time or on sockets.
 
 use std::time::Duration;
 
 use crate::name::Name;
 use crate::transport::{Kind, Peer};
 
-/// The two clocks a carrier reads for a room.
+/// The time of a call, by the two clocks that a protocol's caller reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Now {
-    /// Time since an origin of the node's own, by a clock that never goes back and that runs on while the process is
-    /// stopped or the machine sleeps (`CLOCK_BOOTTIME`). Leases count by it. Two nodes' readings can't be compared.
+    /// Time since an origin that is the node's own, by a monotonic clock that also counts while the process
+    /// is stopped or the machine sleeps (`CLOCK_BOOTTIME`). Leases use this clock. Readings of two nodes are
+    /// not comparable.
     pub boot: Duration,
-    /// The wall clock, Unix time in milliseconds. It may be wrong by any amount and jump; only the leader of the log
-    /// reads it, for stamps that all nodes share.
+    /// The wall clock, Unix time in milliseconds. It may be wrong by any amount and may jump; only the leader
+    /// of the log uses it, for timestamps that all nodes share.
     pub wall_ms: u64,
 }
 
 impl Now {
-    /// A moment by the boot clock alone, the wall clock being read nowhere.
+    /// Creates a time from the boot clock alone, for callers that never use the wall clock.
     pub fn at(boot: Duration) -> Self {
         Self { boot, wall_ms: 0 }
     }
 }
 
-/// One message that a room wants to be sent.
+/// A message that a protocol wants to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// To whom.
+    /// The recipient.
     pub to: Name,
-    /// By which kind of transport.
+    /// The kind of transport to use.
     pub kind: Kind,
-    /// The message, whole.
+    /// The whole message.
     pub bytes: Vec<u8>,
 }
 
-/// One subsystem of one node: no I/O, no clock, no thread. Same calls, same results.
+/// The state machine of one subsystem of a node, without I/O, clock or thread. It is deterministic: the same
+/// calls give the same results.
 pub trait Protocol {
-    /// Takes one message that came at `now`.
+    /// Handles a message received at `now`.
     fn on_message(&mut self, now: Now, from: &Peer, bytes: &[u8]);
 
-    /// Does what is due at `now`.
+    /// Runs the timers that are due at `now`.
     fn tick(&mut self, now: Now);
 
-    /// When [`Protocol::tick`] has something to do next, by the boot clock.
+    /// When [`Protocol::tick`] is due next, by the boot clock.
     fn next_due(&self) -> Option<Duration>;
 
-    /// The next message to send. A carrier takes all of them after each call above.
+    /// Takes the next message to send. The caller takes all of them after each of the calls above.
     fn take_outgoing(&mut self) -> Option<Outgoing>;
 }
--- a/crates/transport/src/transport.rs
+++ b/crates/transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! What moves messages between named nodes.
+//! The interface of the transports, which carry messages between named nodes.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,16 +7,18 @@
 
 use crate::name::Name;
 
-/// One start of a node: a later start has a greater number, whatever the wall clock did in between is the carrier's care.
+/// Identifies one start of a node: a later start has a greater number. Whoever assigns the numbers ensures
+/// this whatever the wall clock does in between.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Session(pub u64);
 
-/// A node at one of its starts. What an earlier session held (leases, promises of order) is not the later one's.
+/// A node in one of its sessions. What an earlier session held (leases, ordering guarantees) does not pass to
+/// a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name in the fleet.
+    /// The name in the fleet.
     pub name: Name,
-    /// Which start of it.
+    /// The session, one for each start.
     pub session: Session,
 }
 
@@ -26,72 +28,72 @@
     }
 }
 
-/// The two kinds of transport.
+/// The kind of a transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// Each message on its own: it may be lost, come twice, or after one that was sent later.
+    /// Each message is independent: it may be lost, duplicated, or overtaken by one that was sent later.
     Datagram,
-    /// Messages of a session in the order they were sent, each at most once, with no gap but where
-    /// [`Event::Lost`] says so.
+    /// Messages of a session arrive in the order they were sent, each at most once, without gaps except those
+    /// reported by [`Event::Lost`].
     Stream,
 }
 
-/// What a transport states of itself, for the contracts to hold it to.
+/// The properties that a transport declares; `crates/contracts` checks that it keeps them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capabilities {
-    /// Which kind it is.
+    /// The kind of the transport.
     pub kind: Kind,
-    /// The largest message it takes, in bytes; a larger one is refused and never cut.
+    /// The largest message it accepts, in bytes; a larger one is refused and never truncated.
     pub message_max_bytes: usize,
-    /// Messages that may wait for one peer; past that [`SendError::Full`] tells the sender.
+    /// Messages that may be queued for one peer; beyond that, sending fails with [`SendError::Full`].
     pub queue_capacity: usize,
 }
 
-/// What comes of a transport.
+/// What a transport reports to its user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A whole message, as it was sent, by a peer of this fleet.
+    /// A whole, unaltered message from a peer of this fleet.
     Message {
-        /// Who sent it.
+        /// The sender.
         from: Peer,
-        /// What it sent.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// A peer was met at a new session; what an earlier one sent does not come any more.
+    /// A peer was seen in a new session. Messages of its earlier sessions are no longer delivered.
     NewSession(Peer),
-    /// Messages to this peer that were taken by [`Transport::send`] and were or may be lost (a stream only: its
-    /// connection broke or its peer did not read in time).
+    /// Messages that [`Transport::send`] accepted for this peer were lost, or may have been. Only streams
+    /// report this: the connection broke, or the peer did not read in time.
     Lost {
-        /// To whom they were sent.
+        /// The recipient.
         to: Name,
-        /// How many at least.
+        /// How many messages, at least.
         messages: u64,
     },
-    /// Something came that could not be read, or was of another fleet, version or an older session; it was dropped and
-    /// counted. Why, for the log.
+    /// Input was dropped and counted: it could not be decoded, or was from another fleet, format version or
+    /// older session. Holds the reason, for the log.
     Dropped(&'static str),
 }
 
-/// Why a message was not taken.
+/// Why a message was not accepted for sending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// Larger than the transport carries.
+    /// The message is larger than the transport can carry.
     TooLarge {
-        /// Its size in bytes.
+        /// The size of the message, in bytes.
         size: usize,
-        /// The most that is carried.
+        /// The maximum size, in bytes.
         max: usize,
     },
-    /// No peer of this name is known.
+    /// There is no peer of this name.
     Unknown(Name),
-    /// So many messages wait for the peer already; the message is dropped and the sender knows.
+    /// The queue for the peer is full; the message is dropped.
     Full {
-        /// For whom.
+        /// The recipient.
         to: Name,
-        /// How many may wait.
+        /// The maximum number of queued messages.
         max: usize,
     },
-    /// The transport is at its end (closed, its socket broken).
+    /// The transport has ended, with the reason: it was closed, or its socket failed.
     Closed(String),
 }
 
@@ -99,10 +101,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLarge { size, max } => {
-                write!(f, "a message of {size} bytes, at most {max} are carried")
+                write!(f, "message of {size} bytes is larger than the maximum of {max}")
             }
-            Self::Unknown(name) => write!(f, "no node named {name} is known"),
-            Self::Full { to, max } => write!(f, "{max} messages wait for {to} already"),
+            Self::Unknown(name) => write!(f, "unknown peer {name}"),
+            Self::Full { to, max } => write!(f, "{max} messages are already queued for {to}"),
             Self::Closed(why) => write!(f, "the transport has ended: {why}"),
         }
     }
@@ -110,20 +112,20 @@
 
 impl std::error::Error for SendError {}
 
-/// Moves whole messages between named nodes. No call waits.
+/// Carries whole messages between named nodes. No call blocks.
 pub trait Transport {
-    /// Who this end is.
+    /// The local node and its session.
     fn me(&self) -> &Peer;
 
-    /// What it states of itself.
+    /// The properties that the transport declares.
     fn capabilities(&self) -> Capabilities;
 
-    /// Takes a message for `to`, which need not be there. Taken is not arrived.
+    /// Accepts a message for `to`, which need not be reachable. Acceptance does not mean delivery.
     ///
     /// # Errors
-    /// See [`SendError`]; a message that is refused is not sent in part.
+    /// See [`SendError`]; no part of a refused message is sent.
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError>;
 
-    /// What has come by now, or happened; `None` when there is no more.
+    /// The next event that has occurred by `now`; `None` when there is none.
     fn poll(&mut self, now: Duration) -> Option<Event>;
 }
