--- a/crates/transport/src/sessions.rs
+++ b/crates/transport/src/sessions.rs
@@ -1,64 +1,65 @@
-//! At which session each peer was met last.
+//! The latest known session of each peer.
 
 use std::collections::BTreeMap;
 
 use crate::name::Name;
 use crate::transport::{Peer, Session};
 
-/// Names that are kept at most: a fleet of 1,024 in which each node comes back under three more names. Past it an unknown
-/// sender is dropped, as a name that was forgotten could come back with an old session. Each takes some 100 bytes once it is
-/// met, and nothing before.
-pub const PEERS_MOST: usize = 4096;
+/// The maximum number of peer names that are remembered: a fleet of 1,024 nodes, each of which returns under
+/// three more names. When the table is full, messages of unknown senders are dropped. Names are never
+/// evicted, since an evicted name could return with an old session. An entry takes about 100 bytes and is
+/// allocated when the peer is first seen.
+pub const PEERS_MAX: usize = 4096;
 
-/// What a sender's session is to us.
+/// How a sender's session relates to the latest known one of that sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// The one we know.
-    Same,
-    /// Later than the one we knew, or the first of this name.
+pub enum SessionStatus {
+    /// It is the latest known session.
+    Current,
+    /// It is later than the latest known one, or the first of this name.
     New,
-    /// Earlier than the one we know.
+    /// It is earlier than the latest known one.
     Older,
-    /// A new name, and no room for it.
-    TooMany,
+    /// The name is new and the table is full.
+    TableFull,
 }
 
-/// The last session of each name.
+/// The latest session of each name.
 #[derive(Debug, Default)]
-pub struct Sessions(BTreeMap<Name, Session>);
+pub struct SessionTable(BTreeMap<Name, Session>);
 
-impl Sessions {
-    /// Notes a sender, and says what it is to us.
-    pub fn see(&mut self, peer: &Peer) -> Seen {
-        let room = self.0.len() < PEERS_MOST;
+impl SessionTable {
+    /// Records the session of a sender and returns how it relates to the latest known one.
+    pub fn observe(&mut self, peer: &Peer) -> SessionStatus {
+        let has_capacity = self.0.len() < PEERS_MAX;
         match self.0.get_mut(&peer.name) {
-            Some(known) if *known == peer.session => Seen::Same,
-            Some(known) if *known > peer.session => Seen::Older,
+            Some(known) if *known == peer.session => SessionStatus::Current,
+            Some(known) if *known > peer.session => SessionStatus::Older,
             Some(known) => {
                 *known = peer.session;
-                Seen::New
+                SessionStatus::New
             }
-            None if !room => Seen::TooMany,
+            None if !has_capacity => SessionStatus::TableFull,
             None => {
                 self.0.insert(peer.name.clone(), peer.session);
-                Seen::New
+                SessionStatus::New
             }
         }
     }
 }
 
-/// Why a sender was dropped, in words that both carriers use.
+/// Reasons for dropping a message, shared by both transports; see [`crate::Event::Dropped`].
 pub const OTHER_FLEET: &str = "a message of another fleet";
 /// See [`OTHER_FLEET`].
 pub const OTHER_NODE: &str = "a message for another node";
 /// See [`OTHER_FLEET`].
-pub const OLDER: &str = "a message of an older session";
+pub const OLDER_SESSION: &str = "a message of an older session";
 /// See [`OTHER_FLEET`].
-pub const TOO_MANY: &str = "a message of one name more than are kept";
+pub const PEER_TABLE_FULL: &str = "a message of an unknown peer while the peer table is full";
 /// See [`OTHER_FLEET`].
 pub const OWN_NAME: &str = "a message under this node's own name";
 /// See [`OTHER_FLEET`].
-pub const MISPLACED: &str = "a message of a kind that has no place here";
+pub const UNEXPECTED_TYPE: &str = "a message of an unexpected type";
 
 #[cfg(test)]
 mod tests;
--- a/crates/transport/src/tcp/accept.rs
+++ b/crates/transport/src/tcp/accept.rs
@@ -1,4 +1,5 @@
-//! The receiving side: whoever dials us says who it is, then brings its messages, and hears up to where they were taken.
+//! The receiving side: a peer that connects identifies itself and sends its messages; it receives
+//! acknowledgements.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,28 +9,29 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use super::frames::{halves, read, write, Reader, Writer};
+use super::frames::{framed_halves, read_frame, write_frame, Reader, Writer};
 use super::shared::Shared;
 use crate::envelope::MessageType;
-use crate::sessions::MISPLACED;
+use crate::sessions::UNEXPECTED_TYPE;
 use crate::transport::Peer;
 
-/// The wait after a failed accept (no descriptors): long enough not to spin, short enough not to be felt.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+/// The delay after a failed accept (no descriptors): long enough not to spin, short enough to cause no
+/// noticeable delay.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts until the end is closed.
+/// Accepts connections until the transport is closed.
 pub(super) async fn accept(shared: Arc<Shared>, listener: Listener) {
     loop {
         let accepted = tokio::select! {
-            () = shared.ended.cancelled() => return,
+            () = shared.closed.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         let Ok(accepted) = accepted else {
-            sleep(ACCEPT_AGAIN).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = shared.inbound.clone().try_acquire_owned() else {
-            shared.turned_away();
+        let Ok(permit) = shared.inbound_permits.clone().try_acquire_owned() else {
+            shared.record_rejection();
             continue;
         };
         let shared = shared.clone();
@@ -42,94 +44,108 @@
     }
 }
 
+/// Serves one accepted connection until it ends.
 async fn serve(shared: &Shared, stream: Stream) {
-    let (r, w) = split(stream);
-    let (mut reader, mut writer) = halves(shared, r, w);
-    let within = shared.settings.connect_timeout;
-    let Ok(Some(peer)) = timeout(within, hello(shared, &mut reader)).await else { return };
-    let Some((connection, last)) = shared.accepted(&peer) else { return };
+    let (read_half, write_half) = split(stream);
+    let (mut reader, mut writer) = framed_halves(shared, read_half, write_half);
+    let limit = shared.settings.connect_timeout;
+    let Ok(Some(peer)) = timeout(limit, read_hello(shared, &mut reader)).await else { return };
+    let Some((connection, last)) = shared.register_inbound(&peer) else { return };
     if !matches!(
-        timeout(within, write(shared, &mut writer, &peer.name, MessageType::Welcome, last, &[])).await,
+        timeout(limit, write_frame(shared, &mut writer, &peer.name, MessageType::Welcome, last, &[])).await,
         Ok(true)
     ) {
         return;
     }
-    let taken = Notify::new();
-    // Whichever ends first ends the connection.
+    let accepted = Notify::new();
+    // The connection ends as soon as either direction does.
     tokio::select! {
-        () = messages(shared, &peer, connection, &mut reader, &taken) => {}
-        () = acknowledgements(shared, &peer, connection, &mut writer, &taken) => {}
+        () = receive_messages(shared, &peer, connection, &mut reader, &accepted) => {}
+        () = send_acknowledgements(shared, &peer, connection, &mut writer, &accepted) => {}
     }
 }
 
-async fn hello<R: tokio::io::AsyncRead + Unpin>(shared: &Shared, reader: &mut Reader<R>) -> Option<Peer> {
-    let (head, _) = read(shared, reader).await?;
-    if head.message_type != MessageType::Hello {
-        shared.dropped(MISPLACED);
+/// Reads the first frame and returns the peer that it names.
+async fn read_hello<R: tokio::io::AsyncRead + Unpin>(
+    shared: &Shared,
+    reader: &mut Reader<R>,
+) -> Option<Peer> {
+    let (header, _) = read_frame(shared, reader).await?;
+    if header.message_type != MessageType::Hello {
+        shared.record_drop(UNEXPECTED_TYPE);
         return None;
     }
-    Some(head.from)
+    Some(header.from)
 }
 
-async fn messages<R: tokio::io::AsyncRead + Unpin>(
+/// Reads messages and delivers them to the inbox until the connection ends.
+async fn receive_messages<R: tokio::io::AsyncRead + Unpin>(
     shared: &Shared,
     peer: &Peer,
     connection: u64,
     reader: &mut Reader<R>,
-    taken: &Notify,
+    accepted: &Notify,
 ) {
-    let mut busy = Instant::now();
+    let mut last_message_at = Instant::now();
     loop {
-        // A node that does not poll is not read for: its peers' queues fill, and they are told.
+        // Reading stops while the inbox is full, because the node does not poll. The peers' queues then fill
+        // up, and their senders get errors.
         loop {
-            let room = shared.room.notified();
-            tokio::pin!(room);
-            room.as_mut().enable();
-            if shared.has_room() {
+            let space = shared.inbox_space.notified();
+            tokio::pin!(space);
+            space.as_mut().enable();
+            if shared.has_inbox_space() {
                 break;
             }
-            room.await;
+            space.await;
         }
-        let Ok(Some((head, body))) = timeout(shared.settings.liveness_timeout, read(shared, reader)).await
+        let Ok(Some((header, body))) =
+            timeout(shared.settings.liveness_timeout, read_frame(shared, reader)).await
         else {
             return;
         };
-        if head.from != *peer {
-            shared.dropped("a frame of another sender than the connection's");
+        if header.from != *peer {
+            shared.record_drop("a frame of another sender than the connection's");
             return;
         }
-        match head.message_type {
-            // It gives its place to one that was turned away: what was taken is acknowledged, and its peer dials again once
-            // it has something.
-            MessageType::Ping if shared.quiet_most().is_some_and(|most| busy.elapsed() >= most) => return,
+        match header.message_type {
+            // An idle connection ends to free its permit for a peer that was rejected. All accepted messages
+            // are acknowledged, and this peer connects again once it has something to send.
+            MessageType::Ping
+                if shared.inbound_idle_limit().is_some_and(|limit| last_message_at.elapsed() >= limit) =>
+            {
+                return
+            }
             MessageType::Ping => {}
             MessageType::Message => {
-                busy = Instant::now();
-                if !shared.deliver(peer, connection, head.number, body) {
+                last_message_at = Instant::now();
+                if !shared.deliver(peer, connection, header.number, body) {
                     return;
                 }
-                taken.notify_one();
+                accepted.notify_one();
             }
             MessageType::Hello | MessageType::Welcome | MessageType::Ack => {
-                shared.dropped(MISPLACED);
+                shared.record_drop(UNEXPECTED_TYPE);
                 return;
             }
         }
     }
 }
 
-async fn acknowledgements<W: tokio::io::AsyncWrite + Unpin>(
+/// Sends an acknowledgement after each accepted message and at each heartbeat, until the connection ends or
+/// is replaced.
+async fn send_acknowledgements<W: tokio::io::AsyncWrite + Unpin>(
     shared: &Shared,
     peer: &Peer,
     connection: u64,
     writer: &mut Writer<W>,
-    taken: &Notify,
+    accepted: &Notify,
 ) {
-    while let Some(number) = shared.taken(peer, connection) {
-        if !write(shared, writer, &peer.name, MessageType::Ack, number, &[]).await {
+    while let Some(number) = shared.last_accepted(peer, connection) {
+        if !write_frame(shared, writer, &peer.name, MessageType::Ack, number, &[]).await {
             return;
         }
-        // New messages, or the next sign of life.
-        let _ = timeout(shared.settings.heartbeat, taken.notified()).await;
+        // Waits for new messages or the next heartbeat.
+        let _ = timeout(shared.settings.heartbeat, accepted.notified()).await;
     }
 }
--- a/crates/transport/src/tcp/dial.rs
+++ b/crates/transport/src/tcp/dial.rs
@@ -1,4 +1,5 @@
-//! The sending side of one peer: dials it while something waits for it, writes, and reads what was taken.
+//! The sending side of one peer: connects while messages are queued for it, writes them, and reads
+//! acknowledgements.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,98 +11,113 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::frames::{halves, read, write, Reader, Writer};
-use super::shared::{Next, Shared};
+use super::frames::{framed_halves, read_frame, write_frame, Reader, Writer};
+use super::shared::{SendStep, Shared};
 use crate::envelope::MessageType;
 use crate::name::Name;
-use crate::sessions::MISPLACED;
+use crate::sessions::UNEXPECTED_TYPE;
 
 /// A connection after its handshake.
-struct Link {
+struct Connection {
     reader: Reader<ReadHalf<Stream>>,
     writer: Writer<WriteHalf<Stream>>,
 }
 
-/// Carries what is sent to `name` until it is forgotten.
-pub(super) async fn carry(shared: Arc<Shared>, name: Name, wake: Arc<Notify>) {
+/// Sends the messages for the peer `name` until it is removed.
+pub(super) async fn run_peer(shared: Arc<Shared>, name: Name, wake: Arc<Notify>) {
     let seed = shared.settings.seed ^ u64::from(crc32fast::hash(name.as_str().as_bytes()));
     let mut random = Pcg64::seed_from_u64(seed);
     let mut backoff = shared.settings.backoff;
     loop {
-        let Some(address) = shared.wanted(&name, &wake).await else { return };
-        // A peer without a place waits for another's connection to end, which an idle one then does.
-        let Some(place) = shared.place_to_dial().await else { return };
-        let dialled = timeout(shared.settings.connect_timeout, connect(&shared, &name, &wake, address)).await;
-        if let Ok(Some(link)) = dialled {
+        let Some(address) = shared.wait_for_messages(&name, &wake).await else { return };
+        // Without a free permit this waits for another peer's connection to end; idle connections end early
+        // for that.
+        let Some(permit) = shared.acquire_outbound_permit().await else { return };
+        let connected =
+            timeout(shared.settings.connect_timeout, connect(&shared, &name, &wake, address)).await;
+        if let Ok(Some(connection)) = connected {
             backoff = shared.settings.backoff;
-            run(&shared, &name, &wake, address, link).await;
-            shared.broke(&name, &wake);
+            run_connection(&shared, &name, &wake, address, connection).await;
+            shared.connection_lost(&name, &wake);
         }
-        drop(place);
-        // Jitter, so that the peers of a node that comes back do not all dial it in one moment.
+        drop(permit);
+        // Jitter, so that the peers of a node that returns do not all connect to it at the same moment.
         sleep(backoff.mul_f64(random.random_range(0.75..1.25))).await;
         backoff = (backoff * 2).min(shared.settings.backoff_max);
     }
 }
 
-async fn connect(shared: &Shared, name: &Name, wake: &Arc<Notify>, address: SocketAddr) -> Option<Link> {
+/// Connects and performs the handshake.
+async fn connect(
+    shared: &Shared,
+    name: &Name,
+    wake: &Arc<Notify>,
+    address: SocketAddr,
+) -> Option<Connection> {
     let stream = magpietally_net::connect(address).await.ok()?;
-    shared.count_dial();
-    let (r, w) = split(stream);
-    let (mut reader, mut writer) = halves(shared, r, w);
-    if !write(shared, &mut writer, name, MessageType::Hello, 0, &[]).await {
+    shared.count_connection();
+    let (read_half, write_half) = split(stream);
+    let (mut reader, mut writer) = framed_halves(shared, read_half, write_half);
+    if !write_frame(shared, &mut writer, name, MessageType::Hello, 0, &[]).await {
         return None;
     }
-    let (head, _) = read(shared, &mut reader).await?;
-    if head.message_type != MessageType::Welcome {
-        shared.dropped(MISPLACED);
+    let (header, _) = read_frame(shared, &mut reader).await?;
+    if header.message_type != MessageType::Welcome {
+        shared.record_drop(UNEXPECTED_TYPE);
         return None;
     }
-    if head.from.name != *name {
-        shared.dropped("an answer by another node than was dialled");
+    if header.from.name != *name {
+        shared.record_drop("a response from another node than the one dialled");
         return None;
     }
-    if !shared.met(&head.from) {
+    if !shared.observe_session(&header.from) {
         return None;
     }
-    shared.resume(name, wake, head.number);
-    Some(Link { reader, writer })
+    shared.resume(name, wake, header.number);
+    Some(Connection { reader, writer })
 }
 
-/// Ends with the connection: broken, silent, idle, or the peer forgotten or moved.
-async fn run(shared: &Shared, name: &Name, wake: &Arc<Notify>, address: SocketAddr, link: Link) {
-    let Link { mut reader, mut writer } = link;
+/// Uses a connection until it breaks, is silent or idle for too long, or the peer is removed or gets another
+/// address.
+async fn run_connection(
+    shared: &Shared,
+    name: &Name,
+    wake: &Arc<Notify>,
+    address: SocketAddr,
+    connection: Connection,
+) {
+    let Connection { mut reader, mut writer } = connection;
     let acknowledgements = async {
-        // Whoever does not read its messages still gives signs of life; whoever gives none is gone.
-        while let Ok(Some((head, _))) =
-            timeout(shared.settings.liveness_timeout, read(shared, &mut reader)).await
+        // A peer that does not read its messages still sends heartbeats; one that sends none is gone.
+        while let Ok(Some((header, _))) =
+            timeout(shared.settings.liveness_timeout, read_frame(shared, &mut reader)).await
         {
-            if head.message_type != MessageType::Ack {
-                shared.dropped(MISPLACED);
+            if header.message_type != MessageType::Ack {
+                shared.record_drop(UNEXPECTED_TYPE);
                 return;
             }
-            shared.acknowledged(name, wake, head.number);
+            shared.acknowledged(name, wake, header.number);
         }
     };
     let messages = async {
-        let mut busy = Instant::now();
+        let mut last_used_at = Instant::now();
         loop {
-            let (message_type, number, body) = match shared.next(name, wake, address) {
-                Next::End => return,
-                Next::Write(number, message) => (MessageType::Message, number, message),
-                Next::Wait => {
+            let (message_type, number, body) = match shared.next_step(name, wake, address) {
+                SendStep::End => return,
+                SendStep::Write(number, message) => (MessageType::Message, number, message),
+                SendStep::Wait => {
                     if timeout(shared.settings.heartbeat, wake.notified()).await.is_ok() {
                         continue;
                     }
                     (MessageType::Ping, 0, Vec::new())
                 }
             };
-            if message_type == MessageType::Message || !shared.idle(name) {
-                busy = Instant::now();
-            } else if busy.elapsed() > shared.idle_most() {
+            if message_type == MessageType::Message || !shared.is_idle(name) {
+                last_used_at = Instant::now();
+            } else if last_used_at.elapsed() > shared.outbound_idle_limit() {
                 return;
             }
-            if !write(shared, &mut writer, name, message_type, number, &body).await {
+            if !write_frame(shared, &mut writer, name, message_type, number, &body).await {
                 return;
             }
         }
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -1,12 +1,16 @@
-//! Streams over framed TCP: one thread of its own carries all connections of a node.
+//! Streams over framed TCP. One dedicated thread runs all connections of a node.
 //!
-//! One connection a direction: a node dials a peer when it has something for it, and the connection carries messages
-//! one way and acknowledgements the other. So each side alone decides on its numbers, its backoff and its losses, and
-//! two that dial each other at once have nothing to settle; the price is a second descriptor a pair, bounded by
+//! There is one connection for each direction: a node connects to a peer when it has messages for it, and the
+//! connection carries messages one way and acknowledgements the other way. Each side therefore decides alone
+//! about its message numbers, backoff and losses, and two nodes that connect to each other at the same time
+//! need no tie-breaking. This costs a second descriptor for each pair of nodes, bounded by
 //! [`Settings::outbound_connections`] and [`Settings::inbound_connections`].
 //!
-//! - `shared.rs`: what the thread and the node share, behind one lock that is never held over a wait.
-//! - `dial.rs`: the sending side of a peer. `accept.rs`: the receiving side. `frames.rs`: one frame in, one out.
+//! - `shared.rs`: the state shared by the thread and the node, behind one lock that is never held across an
+//!   await.
+//! - `dial.rs`: the sending side of a peer.
+//! - `accept.rs`: the receiving side.
+//! - `frames.rs`: reading and writing of frames.
 
 mod accept;
 mod dial;
@@ -28,43 +32,51 @@
 pub use shared::Counts;
 use shared::Shared;
 
-/// The bounds of one end. [`Settings::default`] fits the platform, tests shorten the times.
+/// The limits and timeouts of one node. [`Settings::default`] fits the platform; tests use shorter times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The largest message in bytes: also what a stranger's frame can make us set aside a connection, so 64
-    /// connections hold 16 MiB at most. What is larger (a snapshot) goes in pieces.
+    /// The largest message, in bytes. This is also the memory that a frame from an unknown sender can make a
+    /// connection allocate, so 64 connections hold 16 MiB at most. Larger content (a snapshot) is sent in
+    /// pieces.
     pub message_max_bytes: usize,
-    /// Messages that wait for one peer, beside the window: some seconds of the log's traffic.
+    /// The maximum number of messages queued for one peer, in addition to the window: some seconds of the
+    /// log's traffic.
     pub queue_messages: usize,
-    /// Bytes that wait for all peers together.
+    /// The maximum number of bytes queued for all peers together.
     pub queue_bytes: usize,
-    /// Messages sent and not acknowledged, a peer: what a break of its connection can lose at most.
+    /// The maximum number of messages to one peer that are sent but not acknowledged. A broken connection can
+    /// lose this many at most.
     pub window: usize,
-    /// Messages that came and were not polled yet; past it (or [`Settings::inbox_bytes`]) nothing more is read from
-    /// any connection, and senders feel it. Each connection may add one more that it has in hand.
+    /// The maximum number of received messages that are not polled yet. Beyond it (or
+    /// [`Settings::inbox_bytes`]) nothing more is read from any connection, which slows the senders down.
+    /// Each connection may exceed it by one message that it is already reading.
     pub inbox_messages: usize,
-    /// The same in bytes.
+    /// The same limit, in bytes.
     pub inbox_bytes: usize,
-    /// How often either side gives a sign of life.
+    /// The interval at which either side of a connection sends a heartbeat.
     pub heartbeat: Duration,
-    /// A connection without a sign of life for so long is broken: six heartbeats, so that a pause of the peer's thread
-    /// is not taken for its end, and well under the 6 s after which membership suspects.
+    /// A connection on which nothing is received for this time counts as broken: six heartbeats, so that a
+    /// pause of the peer's thread is not taken for its end, and well below the 6 s after which membership
+    /// suspects a node.
     pub liveness_timeout: Duration,
-    /// How long a connection and its handshake may take.
+    /// The timeout for connecting, including the handshake.
     pub connect_timeout: Duration,
-    /// The wait before a second attempt at a connection; doubled at each failure, give or take a quarter.
+    /// The delay before the second attempt to connect. It doubles after each failure; its jitter is a quarter
+    /// either way.
     pub backoff: Duration,
-    /// The longest such wait.
+    /// The maximum of that delay, before jitter.
     pub backoff_max: Duration,
-    /// A connection that had nothing to carry for so long gives its descriptor back.
+    /// A connection without messages for this time is closed, which frees its descriptor.
     pub idle_timeout: Duration,
-    /// Connections dialled at a time; a peer without one waits for another's to end, which one that has had nothing to
-    /// carry for a heartbeat then does. It bounds descriptors, not peers.
+    /// The maximum number of outbound connections. A peer without one waits until another peer's connection
+    /// ends; while peers wait, a connection ends once it has been idle for a heartbeat. This limits
+    /// descriptors, not peers.
     pub outbound_connections: usize,
-    /// Connections accepted at a time; the next is closed at once, and one that has brought nothing for a heartbeat gives way
-    /// to its next attempt. Both together stay under half of the least number of descriptors that the platform gives (256).
+    /// The maximum number of inbound connections. Further ones are closed immediately; connections that have
+    /// been idle for a heartbeat then end, to make way for the rejected peer's next attempt. Both limits
+    /// together stay below half of the smallest descriptor limit of the platform (256).
     pub inbound_connections: usize,
-    /// For the jitter of the backoff.
+    /// The random seed of the backoff jitter.
     pub seed: u64,
 }
 
@@ -94,7 +106,7 @@
     /// Whether an end can work by these.
     ///
     /// # Errors
-    /// Which setting can't be, and why.
+    /// Describes the invalid setting.
     pub fn check(&self) -> Result<(), &'static str> {
         let sizes = [
             self.message_max_bytes,
@@ -105,27 +117,26 @@
             self.inbound_connections,
         ];
         if sizes.contains(&0) {
-            return Err("a bound of zero lets nothing pass");
+            return Err("no limit may be zero");
         }
         if self.queue_bytes < self.message_max_bytes || self.inbox_bytes < self.message_max_bytes {
-            return Err("the bytes that may wait must hold the largest message");
+            return Err("the byte limits of the queue and the inbox must not be below the largest message");
         }
         if self.message_max_bytes > u32::MAX as usize / 2 {
-            return Err("the largest message must fit the four bytes of a frame's length");
+            return Err("the largest message must fit the four-byte length of a frame");
         }
         if self.heartbeat.is_zero() || self.heartbeat * 2 > self.liveness_timeout {
-            return Err(
-                "a connection must be given at least two signs of life before it is taken for broken",
-            );
+            return Err("the liveness timeout must be at least two heartbeats");
         }
         if self.backoff.is_zero() || self.backoff > self.backoff_max {
-            return Err("the first wait before a new attempt must be above zero and not above the longest");
+            return Err("the initial backoff must be above zero and not above the maximum");
         }
         Ok(())
     }
 }
 
-/// One node's end of streams over TCP. Dropping it closes every connection at once, what waits included.
+/// The stream transport of one node, over TCP. Dropping it closes every connection at once and discards
+/// queued messages.
 pub struct Tcp {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -134,53 +145,54 @@
 }
 
 impl Tcp {
-    /// Binds a listener (port 0 takes any that is free) and starts the thread.
+    /// Binds a listener (port 0 selects a free port) and starts the thread.
     ///
     /// # Errors
-    /// The settings can't work ([`Settings::check`]), the address can't be bound, or no thread or runtime can be had.
+    /// The settings are invalid ([`Settings::check`]), the address can't be bound, or the thread or the
+    /// runtime can't be created.
     pub fn bind(me: Peer, fleet: FleetId, at: SocketAddr, settings: Settings) -> io::Result<Self> {
-        settings.check().map_err(|why| io::Error::new(io::ErrorKind::InvalidInput, why))?;
+        settings.check().map_err(|reason| io::Error::new(io::ErrorKind::InvalidInput, reason))?;
         let listener = listen(at, false)?;
         let address = listener.local_addr()?;
         let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = retry::at_start(Call::Create, "runtime", build)?;
         let handle = runtime.handle().clone();
         let shared = Arc::new(Shared::new(me, fleet, settings));
-        let carried = shared.clone();
+        let thread_shared = shared.clone();
         let thread = retry::spawn("fleet-tcp", move || {
             runtime.block_on(async {
                 match Listener::new(listener) {
-                    Ok(listener) => accept::accept(carried.clone(), listener).await,
-                    Err(e) => carried.end(format!("its listener broke: {e}")),
+                    Ok(listener) => accept::accept(thread_shared.clone(), listener).await,
+                    Err(e) => thread_shared.close(format!("the listener failed: {e}")),
                 }
             });
-            // Every task ends with the runtime, its connection with it.
+            // All tasks and their connections end with the runtime.
             drop(runtime);
         })?;
         Ok(Self { shared, address, handle, thread: Some(thread) })
     }
 
-    /// Where it is bound.
+    /// Returns the address that the listener is bound to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where messages to `name` go from now on (a connection to another address ends); false where so many peers are
-    /// known already (4,096).
+    /// Adds a peer or changes its address; a connection to its former address ends. Returns false if there
+    /// are 4,096 other peers already.
     pub fn set_peer(&mut self, name: Name, address: SocketAddr) -> bool {
         let Some(new) = self.shared.set_peer(&name, address) else { return false };
         if let Some(wake) = new {
-            self.handle.spawn(dial::carry(self.shared.clone(), name, wake));
+            self.handle.spawn(dial::run_peer(self.shared.clone(), name, wake));
         }
         true
     }
 
-    /// No messages go to `name` any more; those that wait are told as lost.
+    /// Removes a peer. Its queued and unacknowledged messages are reported as [`Event::Lost`].
     pub fn remove_peer(&mut self, name: &Name) {
         self.shared.remove_peer(name);
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.shared.counts()
     }
@@ -188,9 +200,9 @@
 
 impl Drop for Tcp {
     fn drop(&mut self) {
-        self.shared.end("dropped".into());
+        self.shared.close("dropped".into());
         if let Some(thread) = self.thread.take() {
-            // It can only have panicked, and there is nobody left to tell.
+            // An error means that the thread panicked; there is no caller left to report it to.
             let _ = thread.join();
         }
     }
--- a/crates/transport/src/udp.rs
+++ b/crates/transport/src/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams over UDP: a socket that is never waited for, sent by [`Transport::send`] and read by [`Transport::poll`].
+//! Datagrams over UDP: a non-blocking socket, written by [`Transport::send`] and read by [`Transport::poll`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -10,59 +10,63 @@
 use crate::envelope::{self, FleetId, Header, MessageType, RecipientId, ENVELOPE_MAX_BYTES};
 use crate::name::Name;
 use crate::sessions::{
-    Seen, Sessions, MISPLACED, OLDER, OTHER_FLEET, OTHER_NODE, OWN_NAME, PEERS_MOST, TOO_MANY,
+    SessionStatus, SessionTable, OLDER_SESSION, OTHER_FLEET, OTHER_NODE, OWN_NAME, PEERS_MAX,
+    PEER_TABLE_FULL, UNEXPECTED_TYPE,
 };
 use crate::transport::{Capabilities, Event, Kind, Peer, SendError, Transport};
 
-/// The largest datagram, envelope and all, in bytes: within one Ethernet frame, so that none is fragmented.
+/// The largest datagram, with its envelope, in bytes. It fits one Ethernet frame, so that no datagram is
+/// fragmented.
 pub const DATAGRAM_MAX_BYTES: usize = 1400;
 
-/// The largest message, in bytes.
+/// The largest message, without the envelope, in bytes.
 pub const MESSAGE_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - ENVELOPE_MAX_BYTES;
 
-/// Datagrams that wait for one peer while the socket takes none: 90 KB, what a socket's own buffer holds again.
-const WAITING: usize = 64;
-/// Errors of earlier sends that are passed over in one poll.
-const ERRORS_IN_A_ROW: usize = 16;
+/// The maximum number of datagrams queued for one peer while the socket accepts none: 90 KB, as much again as
+/// the socket's own buffer holds.
+const PEER_QUEUE_MAX: usize = 64;
+/// The maximum number of errors of earlier sends that one poll skips.
+const RECV_ERRORS_MAX: usize = 16;
 
-/// And for all peers together: 1.4 MB.
-const WAITING_ALL: usize = 1024;
+/// The maximum number of datagrams queued for all peers together: 1.4 MB.
+const TOTAL_QUEUE_MAX: usize = 1024;
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages handed to the kernel.
+    /// Messages passed to the kernel.
     pub sent: u64,
-    /// Messages that the kernel refused (no route, no buffer): lost, as a datagram may be.
+    /// Messages that the kernel refused (no route, no buffer). They are lost, as any datagram may be.
     pub refused: u64,
-    /// Messages that came and were of our fleet.
+    /// Messages received from peers of the fleet.
     pub received: u64,
-    /// Datagrams that were dropped; each is an [`Event::Dropped`].
+    /// Received datagrams that were dropped; each is reported as an [`Event::Dropped`].
     pub dropped: u64,
 }
 
-struct Known {
+/// A peer and the datagrams queued for it.
+struct UdpPeer {
     address: SocketAddr,
-    waiting: VecDeque<Vec<u8>>,
+    queue: VecDeque<Vec<u8>>,
 }
 
-/// One node's end of datagrams over UDP.
+/// The datagram transport of one node, over UDP.
 pub struct Udp {
     me: Peer,
     fleet: FleetId,
     socket: UdpSocket,
-    peers: BTreeMap<Name, Known>,
-    /// Datagrams that wait, for all peers.
-    waiting: usize,
-    sessions: Sessions,
-    /// The message behind the `Met` that was just told.
-    next: Option<Event>,
+    peers: BTreeMap<Name, UdpPeer>,
+    /// The number of datagrams queued for all peers.
+    queued: usize,
+    sessions: SessionTable,
+    /// The message to return after an [`Event::NewSession`] of its sender.
+    pending_message: Option<Event>,
     buffer: Vec<u8>,
     counts: Counts,
 }
 
 impl Udp {
-    /// Binds a socket; port 0 takes any that is free.
+    /// Binds a socket; port 0 selects a free port.
     ///
     /// # Errors
     /// The address can't be bound.
@@ -74,104 +78,105 @@
             fleet,
             socket,
             peers: BTreeMap::new(),
-            waiting: 0,
-            sessions: Sessions::default(),
-            next: None,
-            // One byte more than may come, so that what is longer is seen to be.
+            queued: 0,
+            sessions: SessionTable::default(),
+            pending_message: None,
+            // One byte more than the maximum, so that longer datagrams are detected.
             buffer: vec![0; DATAGRAM_MAX_BYTES + 1],
             counts: Counts::default(),
         })
     }
 
-    /// Where it is bound.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
-    /// The socket does not say.
+    /// The system call failed.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Where messages to `name` go from now on; false where so many peers are known already (4,096).
+    /// Adds a peer or changes its address. Returns false if there are 4,096 other peers already.
     pub fn set_peer(&mut self, name: Name, address: SocketAddr) -> bool {
-        let room = self.peers.len() < PEERS_MOST;
+        let has_capacity = self.peers.len() < PEERS_MAX;
         match self.peers.get_mut(&name) {
-            Some(known) => known.address = address,
-            None if room => {
-                self.peers.insert(name, Known { address, waiting: VecDeque::new() });
+            Some(peer) => peer.address = address,
+            None if has_capacity => {
+                self.peers.insert(name, UdpPeer { address, queue: VecDeque::new() });
             }
             None => return false,
         }
         true
     }
 
-    /// No messages go to `name` any more.
+    /// Removes a peer and the messages queued for it.
     pub fn remove_peer(&mut self, name: &Name) {
-        if let Some(known) = self.peers.remove(name) {
-            self.waiting -= known.waiting.len();
+        if let Some(peer) = self.peers.remove(name) {
+            self.queued -= peer.queue.len();
         }
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Sends what waits, as far as the socket takes it.
+    /// Sends queued datagrams until the socket accepts no more.
     fn flush(&mut self) {
-        for known in self.peers.values_mut() {
-            while let Some(wire) = known.waiting.front() {
-                if !hand_over(&self.socket, &mut self.counts, wire, known.address) {
+        for peer in self.peers.values_mut() {
+            while let Some(datagram) = peer.queue.front() {
+                if !send_datagram(&self.socket, &mut self.counts, datagram, peer.address) {
                     return;
                 }
-                known.waiting.pop_front();
-                self.waiting -= 1;
+                peer.queue.pop_front();
+                self.queued -= 1;
             }
         }
     }
 
-    fn dropped(&mut self, why: &'static str) -> Event {
+    fn drop_datagram(&mut self, reason: &'static str) -> Event {
         self.counts.dropped += 1;
-        Event::Dropped(why)
+        Event::Dropped(reason)
     }
 
-    fn take(&mut self, length: usize) -> Event {
+    /// Decodes and checks the datagram in the first `length` bytes of the buffer.
+    fn receive(&mut self, length: usize) -> Event {
         if length > DATAGRAM_MAX_BYTES {
-            return self.dropped("a datagram larger than 1400 bytes");
+            return self.drop_datagram("a datagram larger than 1400 bytes");
         }
-        let (head, body) = match envelope::decode(&self.buffer[..length]) {
-            Ok((head, body)) => (head, body.to_vec()),
-            Err(strange) => return self.dropped(strange.as_str()),
+        let (header, body) = match envelope::decode(&self.buffer[..length]) {
+            Ok((header, body)) => (header, body.to_vec()),
+            Err(error) => return self.drop_datagram(error.as_str()),
         };
-        if head.fleet != self.fleet {
-            return self.dropped(OTHER_FLEET);
+        if header.fleet != self.fleet {
+            return self.drop_datagram(OTHER_FLEET);
         }
-        if head.to != RecipientId::from_name(&self.me.name) {
-            return self.dropped(OTHER_NODE);
+        if header.to != RecipientId::from_name(&self.me.name) {
+            return self.drop_datagram(OTHER_NODE);
         }
-        if head.message_type != MessageType::Message {
-            return self.dropped(MISPLACED);
+        if header.message_type != MessageType::Message {
+            return self.drop_datagram(UNEXPECTED_TYPE);
         }
-        if head.from.name == self.me.name {
-            return self.dropped(OWN_NAME);
+        if header.from.name == self.me.name {
+            return self.drop_datagram(OWN_NAME);
         }
-        let seen = self.sessions.see(&head.from);
-        let message = Event::Message { from: head.from.clone(), bytes: body };
-        match seen {
-            Seen::Older => return self.dropped(OLDER),
-            Seen::TooMany => return self.dropped(TOO_MANY),
-            Seen::Same | Seen::New => self.counts.received += 1,
+        let status = self.sessions.observe(&header.from);
+        let message = Event::Message { from: header.from.clone(), bytes: body };
+        match status {
+            SessionStatus::Older => return self.drop_datagram(OLDER_SESSION),
+            SessionStatus::TableFull => return self.drop_datagram(PEER_TABLE_FULL),
+            SessionStatus::Current | SessionStatus::New => self.counts.received += 1,
         }
-        if seen == Seen::New {
-            self.next = Some(message);
-            return Event::NewSession(head.from);
+        if status == SessionStatus::New {
+            self.pending_message = Some(message);
+            return Event::NewSession(header.from);
         }
         message
     }
 }
 
-/// True where the datagram is off our hands, sent or lost.
-fn hand_over(socket: &UdpSocket, counts: &mut Counts, wire: &[u8], to: SocketAddr) -> bool {
-    let error = match retry::interrupted(|| socket.send_to(wire, to)) {
+/// Sends a datagram. Returns false if it has to stay queued, true if it was sent or lost.
+fn send_datagram(socket: &UdpSocket, counts: &mut Counts, datagram: &[u8], to: SocketAddr) -> bool {
+    let error = match retry::interrupted(|| socket.send_to(datagram, to)) {
         Ok(_) => {
             counts.sent += 1;
             return true;
@@ -179,7 +184,7 @@
         Err(error) => error,
     };
     match classify(Call::Datagram, &error) {
-        // It waits for the next flush.
+        // The next flush tries again.
         Class::WaitForReadiness | Class::OutOfResources | Class::TryAgain => false,
         Class::ConnectionOver | Class::Permanent => {
             counts.refused += 1;
@@ -194,41 +199,46 @@
     }
 
     fn capabilities(&self) -> Capabilities {
-        Capabilities { kind: Kind::Datagram, message_max_bytes: MESSAGE_MAX_BYTES, queue_capacity: WAITING }
+        Capabilities {
+            kind: Kind::Datagram,
+            message_max_bytes: MESSAGE_MAX_BYTES,
+            queue_capacity: PEER_QUEUE_MAX,
+        }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
         if message.len() > MESSAGE_MAX_BYTES {
             return Err(SendError::TooLarge { size: message.len(), max: MESSAGE_MAX_BYTES });
         }
-        let known = self.peers.get_mut(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
-        if known.waiting.len() >= WAITING || self.waiting >= WAITING_ALL {
-            return Err(SendError::Full { to: to.clone(), max: WAITING });
+        let peer = self.peers.get_mut(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
+        if peer.queue.len() >= PEER_QUEUE_MAX || self.queued >= TOTAL_QUEUE_MAX {
+            return Err(SendError::Full { to: to.clone(), max: PEER_QUEUE_MAX });
         }
-        let head = Header {
+        let header = Header {
             fleet: self.fleet,
             to: RecipientId::from_name(to),
             message_type: MessageType::Message,
             from: self.me.clone(),
             number: 0,
         };
-        let wire = envelope::encode(&head, message);
-        if !known.waiting.is_empty() || !hand_over(&self.socket, &mut self.counts, &wire, known.address) {
-            known.waiting.push_back(wire);
-            self.waiting += 1;
+        let datagram = envelope::encode(&header, message);
+        if !peer.queue.is_empty() || !send_datagram(&self.socket, &mut self.counts, &datagram, peer.address) {
+            peer.queue.push_back(datagram);
+            self.queued += 1;
         }
         Ok(())
     }
 
     fn poll(&mut self, _now: Duration) -> Option<Event> {
         self.flush();
-        if let Some(event) = self.next.take() {
+        if let Some(event) = self.pending_message.take() {
             return Some(event);
         }
-        // An error of an earlier send is told once, and says nothing of what came.
-        for _ in 0..ERRORS_IN_A_ROW {
+        // The socket reports an error of an earlier send once, on a later call; it says nothing about
+        // received data.
+        for _ in 0..RECV_ERRORS_MAX {
             let error = match retry::interrupted(|| self.socket.recv_from(&mut self.buffer)) {
-                Ok((length, _)) => return Some(self.take(length)),
+                Ok((length, _)) => return Some(self.receive(length)),
                 Err(error) => error,
             };
             if classify(Call::Datagram, &error) != Class::ConnectionOver {
