--- a/crates/os_error/src/classify.rs
+++ b/crates/os_error/src/classify.rs
@@ -1,52 +1,54 @@
-//! The classification: a call and an error number give a [`Class`].
+//! The classification of errors: the call and the error number determine the [`Class`].
 
 use std::io::{self, ErrorKind};
 
-/// The calls whose errors differ in meaning.
+/// Groups of system calls. The same error number can have different meanings in different groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `accept4(2)`: also reports what befell the new connection, or one that is gone already.
+    /// `accept4(2)`, which also reports errors of the new connection, or of one that is already gone.
     Accept,
-    /// `connect(2)`, and the error that a socket holds once its connection attempt is over.
+    /// `connect(2)`, and the pending error of a socket after its connection attempt.
     Connect,
     /// `recv(2)`, `send(2)`, `writev(2)` and peeking, on a connected stream.
     Stream,
     /// `recvfrom(2)` and `sendto(2)` on a datagram socket.
     Datagram,
-    /// `socket(2)`, `bind(2)`, `listen(2)`, `setsockopt(2)`, `socketpair(2)`, `epoll_create1(2)`, `eventfd(2)`,
-    /// `epoll_ctl(2)` to add a descriptor, `pthread_create(3)`: what makes something that was not there.
+    /// `socket(2)`, `bind(2)`, `listen(2)`, `setsockopt(2)`, `socketpair(2)`, `epoll_create1(2)`,
+    /// `eventfd(2)`, `epoll_ctl(2)` to add a descriptor, `pthread_create(3)`: calls that create or set up a
+    /// resource.
     Create,
-    /// `open(2)`, `read(2)`, `write(2)`, `fsync(2)`, `rename(2)` and the like, on files and folders.
+    /// `open(2)`, `read(2)`, `write(2)`, `fsync(2)`, `rename(2)` and the like, on files and directories.
     File,
 }
 
 /// What to do after a call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Nothing happened, or it concerns something else than what was asked for: call again now.
+    /// The call had no effect, or the error concerns something else than the request: repeat the call now.
     TryAgain,
-    /// There is nothing to do at present: wait until the descriptor is ready.
+    /// The descriptor is not ready: wait until it is.
     WaitForReadiness,
-    /// Something is short on this machine (descriptors, memory, buffers, ports, space, a route, a working disk), as a rule
-    /// for a moment: make room where possible, pause, and call again.
+    /// This machine lacks a resource (descriptors, memory, buffers, ports, disk space, a route, a working
+    /// disk), usually for a short time: release resources where possible, pause, and repeat the call.
     OutOfResources,
-    /// The connection, or the attempt to make one, is over; everything else goes on.
+    /// The connection, or the attempt to open it, has ended; nothing else is affected.
     ConnectionOver,
-    /// The call can't succeed, whoever repeats it: the program or its configuration is wrong.
+    /// The call can't succeed when repeated: the program or its configuration is wrong.
     Permanent,
 }
 
 impl Class {
-    /// May the same call succeed a moment later, with nothing changed by its caller?
+    /// Returns whether the same call may succeed a short time later without any change by its caller.
     pub fn is_transient(self) -> bool {
         matches!(self, Self::TryAgain | Self::OutOfResources)
     }
 }
 
-/// `ERESTARTSYS`, which `accept(2)` says may be seen during a trace.
+/// `ERESTARTSYS`, which may be seen during a trace according to `accept(2)`.
 const ERESTARTSYS: i32 = 512;
 
-/// What a failed call means. Errors without a number, as those of a codec, are judged by their kind.
+/// Classifies the error of a call. Errors without a number, such as those of a codec, are classified by their
+/// kind.
 pub fn classify(call: Call, error: &io::Error) -> Class {
     match error.raw_os_error() {
         Some(number) => by_number(call, number),
@@ -79,15 +81,16 @@
     }
 }
 
-/// accept(2): "Linux accept() passes already-pending network errors on the new socket as an error code from accept() ...
-/// the application should detect the network errors defined for the protocol after accept() and treat them like EAGAIN by
-/// retrying."
+/// accept(2): "Linux accept() passes already-pending network errors on the new socket as an error code from
+/// accept() ... the application should detect the network errors defined for the protocol after accept() and
+/// treat them like EAGAIN by retrying."
 fn accept(number: i32) -> Class {
     match number {
         libc::EAGAIN => Class::WaitForReadiness,
         libc::EBADF | libc::EFAULT | libc::EINVAL | libc::ENOTSOCK => Class::Permanent,
-        // ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH,
-        // ENOSR, ESOCKTNOSUPPORT, EPROTONOSUPPORT, ETIMEDOUT, ERESTARTSYS: all of one connection.
+        // ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP,
+        // ENETUNREACH, ENOSR, ESOCKTNOSUPPORT, EPROTONOSUPPORT, ETIMEDOUT, ERESTARTSYS: errors of a single
+        // connection.
         _ => Class::TryAgain,
     }
 }
@@ -95,14 +98,15 @@
 fn connect(number: i32) -> Class {
     match number {
         libc::EINPROGRESS | libc::EALREADY => Class::WaitForReadiness,
-        // No free port, no route or no device at this end; EAGAIN: no entry left in the routing cache.
+        // No free port, no route or no device on this side; EAGAIN: the routing cache has no free entry.
         libc::EADDRNOTAVAIL | libc::EADDRINUSE | libc::EAGAIN | libc::ENETUNREACH | libc::ENETDOWN => {
             Class::OutOfResources
         }
         libc::EBADF | libc::EFAULT | libc::ENOTSOCK | libc::EAFNOSUPPORT | libc::EPROTOTYPE => {
             Class::Permanent
         }
-        // ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN, EACCES, EPERM: the other side's, or on the way.
+        // ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EHOSTDOWN, EACCES, EPERM: an error of the peer
+        // or of the network path to it.
         _ => Class::ConnectionOver,
     }
 }
@@ -112,7 +116,8 @@
         libc::EAGAIN => Class::WaitForReadiness,
         ERESTARTSYS => Class::TryAgain,
         libc::EBADF | libc::EFAULT | libc::EINVAL | libc::ENOTSOCK => Class::Permanent,
-        // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ENETDOWN, ENOTCONN, ECONNABORTED and what else TCP tells.
+        // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ENETDOWN, ENOTCONN, ECONNABORTED and
+        // further errors that TCP reports.
         _ => Class::ConnectionOver,
     }
 }
@@ -120,7 +125,8 @@
 fn datagram(number: i32) -> Class {
     match number {
         libc::EAGAIN => Class::WaitForReadiness,
-        // An earlier datagram was turned away, or this one can't go at present: the next is another.
+        // An earlier datagram was rejected, or this one can't be sent now; later datagrams are independent of
+        // it.
         libc::ECONNREFUSED
         | libc::ECONNRESET
         | libc::EHOSTUNREACH
@@ -138,8 +144,8 @@
 
 fn create(number: i32) -> Class {
     match number {
-        // EAGAIN: no thread for now; ENOSPC: no room for another watch of epoll(7); EADDRNOTAVAIL and ENODEV: the address or
-        // the device is not there yet.
+        // EAGAIN: no thread available now; ENOSPC: the limit of epoll(7) watches is reached; EADDRNOTAVAIL
+        // and ENODEV: the address or the device does not exist yet.
         libc::EAGAIN | libc::ENOSPC | libc::EADDRNOTAVAIL | libc::ENODEV | libc::ENETDOWN => {
             Class::OutOfResources
         }
--- a/crates/os_error/src/lib.rs
+++ b/crates/os_error/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a failed system call means for its caller.
+//! Classification of failed system calls.
 //!
-//! Linux documents many error numbers for each call, and most callers need to know only one thing: what to do next.
-//! [`classify`] says that, by the call and the error number, for all crates of the workspace; no other place compares error
-//! numbers. [`retry`] holds the loops that go by it.
+//! Linux documents many error numbers for each call, but most callers only need to know what to do next.
+//! [`classify`] decides this from the call and the error number, for all crates of the workspace; error
+//! numbers are compared nowhere else. [`retry`] has the loops that repeat calls according to the
+//! classification.
 
 mod classify;
 pub mod retry;
--- a/crates/os_error/src/retry.rs
+++ b/crates/os_error/src/retry.rs
@@ -1,20 +1,23 @@
-//! Loops that repeat a call for as long as its errors say that this may help. They block the thread.
+//! Loops that repeat a failed call while the class of its errors says that this may help. They block the
+//! thread.
 
 use std::io;
 use std::time::{Duration, Instant};
 
 use crate::{classify, Call, Class};
 
-/// How long a start waits for what it needs: a process that is started again and again in less would help nobody.
+/// How long a starting process retries to get the resources it needs. Exiting sooner would only cause
+/// frequent restarts.
 pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long something that runs on anyway waits for a file.
+/// How long a file operation is retried where the process keeps running in any case.
 pub const FILE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The first pause before a call is repeated, and the longest: each is twice the one before.
-const PAUSE: Duration = Duration::from_millis(2);
-const PAUSE_MOST: Duration = Duration::from_millis(100);
+/// The first delay before a call is repeated.
+const DELAY_MIN: Duration = Duration::from_millis(2);
+/// The maximum delay before a call is repeated.
+const DELAY_MAX: Duration = Duration::from_millis(100);
 
-/// Backoff between repeated calls, each twice as long as the one before.
+/// Exponential backoff between repeated calls: each delay is twice the previous one, up to a maximum.
 #[derive(Debug)]
 pub struct Backoff {
     next: Duration,
@@ -22,38 +25,39 @@
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { next: PAUSE }
+        Self { next: DELAY_MIN }
     }
 }
 
 impl Backoff {
-    /// The next pause.
+    /// Returns the next delay.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (self.next * 2).min(PAUSE_MOST);
-        pause
+        let delay = self.next;
+        self.next = (self.next * 2).min(DELAY_MAX);
+        delay
     }
 }
 
-/// How often a call that was interrupted is repeated at once by a thread that others wait for. Each takes processor time from
-/// them, on each of their connections.
-const INTERRUPTIONS_MOST: u32 = 8;
+/// The maximum number of times in a row that an interrupted call is repeated at once by a thread that serves
+/// connections. Each repetition takes processor time from all the others.
+const INTERRUPTIONS_MAX: u32 = 8;
 
-/// The interruptions of one call in a row, for a thread that serves others: they are repeated at once, but not without end.
+/// Counts successive interruptions of a call, for a thread that serves connections: such a call is repeated
+/// at once, but only a limited number of times.
 #[derive(Debug, Default)]
 pub struct Interruptions {
     in_a_row: u32,
 }
 
 impl Interruptions {
-    /// The class of the call's latest error: after many interruptions in a row as if it lacked something, so that the caller
-    /// pauses.
+    /// Returns the class to use for the call's latest error. After too many interruptions in a row this is
+    /// [`Class::OutOfResources`], so that the caller pauses.
     pub fn limit(&mut self, class: Class) -> Class {
         if class != Class::TryAgain {
             return class;
         }
         self.in_a_row += 1;
-        if self.in_a_row < INTERRUPTIONS_MOST {
+        if self.in_a_row < INTERRUPTIONS_MAX {
             Class::TryAgain
         } else {
             Class::OutOfResources
@@ -61,7 +65,7 @@
     }
 }
 
-/// Repeats a call that was interrupted.
+/// Repeats a call while it is interrupted.
 ///
 /// # Errors
 /// Any other error of the call.
@@ -69,24 +73,24 @@
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            ended => return ended,
+            result => return result,
         }
     }
 }
 
-/// Repeats a call that was interrupted or lacks something for the moment, with pauses, for so long at the most. `what` names
-/// it in the log.
+/// Repeats a call that is interrupted or lacks a resource, with backoff, for at most `limit`. `what` names
+/// the call in the log.
 ///
 /// # Errors
 /// The call's last error.
 pub fn within<T>(
-    span: Duration,
+    limit: Duration,
     kind: Call,
     what: &str,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let began = Instant::now();
-    let mut pauses = Backoff::default();
+    let started = Instant::now();
+    let mut backoff = Backoff::default();
     loop {
         let error = match call() {
             Ok(value) => return Ok(value),
@@ -94,17 +98,17 @@
         };
         match classify(kind, &error) {
             Class::TryAgain => {}
-            Class::OutOfResources if began.elapsed() < span => {
-                let pause = pauses.next_delay();
-                tracing::warn!(target: "retry", "{what}: {error}; tried again in {} ms", pause.as_millis());
-                std::thread::sleep(pause);
+            Class::OutOfResources if started.elapsed() < limit => {
+                let delay = backoff.next_delay();
+                tracing::warn!(target: "retry", "{what}: {error}; retrying in {} ms", delay.as_millis());
+                std::thread::sleep(delay);
             }
             _ => return Err(error),
         }
     }
 }
 
-/// The same for what a start needs.
+/// Like [`within`] with [`STARTUP_TIMEOUT`], for resources that a starting process needs.
 ///
 /// # Errors
 /// The call's last error.
@@ -112,29 +116,30 @@
     within(STARTUP_TIMEOUT, kind, what, call)
 }
 
-/// Starts a thread, which may lack the memory or the room for one at first.
+/// Starts a thread, and retries if resources for it are lacking.
 ///
 /// # Errors
-/// The system's last error.
+/// The last error of the system call.
 pub fn spawn<T: Send + 'static>(
     name: &str,
     run: impl FnOnce() -> T + Send + 'static,
 ) -> io::Result<std::thread::JoinHandle<T>> {
-    // A thread that could not be made has dropped what it was to run: what is run is handed over once there is one.
-    let (hand_over, take) = std::sync::mpsc::sync_channel(1);
-    let take = std::sync::Arc::new(std::sync::Mutex::new(take));
+    // A failed attempt to create a thread drops its closure, so the work is sent to the thread once it
+    // exists.
+    let (sender, receiver) = std::sync::mpsc::sync_channel(1);
+    let receiver = std::sync::Arc::new(std::sync::Mutex::new(receiver));
     let handle = at_start(Call::Create, "a thread", || {
-        let take = take.clone();
+        let receiver = receiver.clone();
         std::thread::Builder::new().name(name.into()).spawn(move || {
-            let taken = take.lock().ok().and_then(|take| take.recv().ok());
+            let received = receiver.lock().ok().and_then(|receiver| receiver.recv().ok());
             let run: Box<dyn FnOnce() -> T + Send> =
-                taken.expect("whoever starts a thread hands over its work");
+                received.expect("the starter of a thread sends its work");
             run()
         })
     })?;
     let work: Box<dyn FnOnce() -> T + Send> = Box::new(run);
-    // The thread waits for it, so this neither fails nor waits.
-    let _ = hand_over.send(work);
+    // The thread is waiting for the work, so this neither fails nor blocks.
+    let _ = sender.send(work);
     Ok(handle)
 }
 
--- a/crates/os_error/src/retry/tests.rs
+++ b/crates/os_error/src/retry/tests.rs
@@ -1,10 +1,10 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use super::{interrupted, spawn, within, Backoff, Interruptions, INTERRUPTIONS_MOST};
+use super::{interrupted, spawn, within, Backoff, Interruptions, INTERRUPTIONS_MAX};
 use crate::{Call, Class};
 
-/// Fails with each of these in turn, and then succeeds.
+/// Returns a call that fails with each of these error numbers in turn and then succeeds.
 fn failing(numbers: &[i32]) -> impl FnMut() -> io::Result<usize> + '_ {
     let mut calls = 0;
     move || {
@@ -15,32 +15,32 @@
 
 #[test]
 fn a_call_is_repeated_until_it_succeeds_or_its_error_is_permanent() {
-    let span = Duration::from_secs(5);
+    let limit = Duration::from_secs(5);
     let numbers = [libc::EINTR, libc::ENOMEM, libc::EMFILE];
-    assert_eq!(within(span, Call::Create, "test", failing(&numbers)).ok(), Some(4));
-    let refused = within(span, Call::Create, "test", failing(&[libc::EINTR, libc::EADDRINUSE]));
-    assert_eq!(refused.expect_err("it is permanent").raw_os_error(), Some(libc::EADDRINUSE));
+    assert_eq!(within(limit, Call::Create, "test", failing(&numbers)).ok(), Some(4));
+    let refused = within(limit, Call::Create, "test", failing(&[libc::EINTR, libc::EADDRINUSE]));
+    assert_eq!(refused.expect_err("the error is permanent").raw_os_error(), Some(libc::EADDRINUSE));
 }
 
 #[test]
-fn a_lack_that_lasts_ends_the_repeats() {
-    let began = Instant::now();
-    let lacks = || Err::<(), _>(io::Error::from_raw_os_error(libc::ENFILE));
-    assert!(within(Duration::from_millis(30), Call::Create, "test", lacks).is_err());
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+fn retries_end_when_a_shortage_lasts() {
+    let started = Instant::now();
+    let lacking = || Err::<(), _>(io::Error::from_raw_os_error(libc::ENFILE));
+    assert!(within(Duration::from_millis(30), Call::Create, "test", lacking).is_err());
+    assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
 }
 
 #[test]
-fn only_an_interruption_is_repeated_at_once() {
+fn interrupted_repeats_only_interruptions() {
     assert_eq!(interrupted(failing(&[libc::EINTR; 9])).ok(), Some(10));
     assert!(interrupted(failing(&[libc::EIO])).is_err());
 }
 
 #[test]
-fn interruptions_in_a_row_end_in_a_pause() {
+fn many_interruptions_in_a_row_count_as_a_shortage() {
     let mut interruptions = Interruptions::default();
     assert_eq!(interruptions.limit(Class::WaitForReadiness), Class::WaitForReadiness);
-    for _ in 1..INTERRUPTIONS_MOST {
+    for _ in 1..INTERRUPTIONS_MAX {
         assert_eq!(interruptions.limit(Class::TryAgain), Class::TryAgain);
     }
     assert_eq!(interruptions.limit(Class::TryAgain), Class::OutOfResources);
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn pauses_grow_up_to_a_bound() {
-    let mut pauses = Backoff::default();
-    let all: Vec<_> = (0..12).map(|_| pauses.next_delay()).collect();
+fn delays_grow_up_to_the_maximum() {
+    let mut backoff = Backoff::default();
+    let all: Vec<_> = (0..12).map(|_| backoff.next_delay()).collect();
     assert!(all.windows(2).all(|pair| pair[0] <= pair[1]), "{all:?}");
-    assert_eq!(all.last(), Some(&super::PAUSE_MOST));
+    assert_eq!(all.last(), Some(&super::DELAY_MAX));
 }
 
 #[test]
-fn a_thread_runs_what_it_was_given() {
-    assert_eq!(spawn("test", || 7).expect("there are threads").join().ok(), Some(7));
+fn a_thread_runs_the_given_closure() {
+    assert_eq!(spawn("test", || 7).expect("a thread can be started").join().ok(), Some(7));
 }
