--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting.
+//! Opening connections.
 
 use std::fmt;
 use std::io;
@@ -11,16 +11,16 @@
 use crate::register::register;
 use crate::stream::Stream;
 
-/// How often a connection is tried that lacks something at this end. The pauses between come to 62 ms: a lack that lasts
-/// longer is better told to the caller, who may have another way.
-const TRIES: usize = 6;
+/// The maximum number of attempts while a local resource is lacking. The delays between them add up to 62 ms;
+/// a longer shortage is better reported to the caller, who may have an alternative.
+const ATTEMPTS_MAX: usize = 6;
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// This end lacks a descriptor, a port, a route, or memory. It says nothing of the other.
+    /// This machine lacks a descriptor, a port, a route or memory. The error says nothing about the peer.
     Local(io::Error),
-    /// The other end, or the way there.
+    /// The peer or the network path to it failed.
     Remote(io::Error),
 }
 
@@ -42,22 +42,22 @@
     }
 }
 
-/// Connects. What is lacking at this end is tried again a few times.
+/// Opens a connection. Attempts that fail for lack of a local resource are repeated a few times.
 ///
 /// # Errors
-/// Whose fault it is that there is no connection.
+/// [`ConnectError::Local`] for a failure on this machine, [`ConnectError::Remote`] otherwise.
 pub async fn connect(to: SocketAddr) -> Result<Stream, ConnectError> {
-    let mut pauses = Backoff::default();
-    let mut tries = 0;
+    let mut backoff = Backoff::default();
+    let mut attempts = 0;
     loop {
         let error = match begin(to) {
             Ok(socket) => return finish(socket).await,
             Err(error) => error,
         };
-        tries += 1;
+        attempts += 1;
         match classify(Call::Connect, &error) {
-            Class::TryAgain | Class::OutOfResources if tries < TRIES => {
-                tokio::time::sleep(pauses.next_delay()).await;
+            Class::TryAgain | Class::OutOfResources if attempts < ATTEMPTS_MAX => {
+                tokio::time::sleep(backoff.next_delay()).await;
             }
             Class::TryAgain | Class::OutOfResources | Class::Permanent => {
                 return Err(ConnectError::Local(error));
@@ -67,13 +67,14 @@
     }
 }
 
-/// A socket that is connecting or connected.
+/// Creates a socket and starts connecting it; it may be connected already.
 fn begin(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
     let mut interruptions = Interruptions::default();
     while let Err(error) = socket.connect(&to.into()) {
         match interruptions.limit(classify(Call::Connect, &error)) {
-            // An interrupted call may have begun the connection all the same; the next tells (EALREADY, EISCONN).
+            // An interrupted call may have started the connection nevertheless; the next call reports this
+            // (EALREADY, EISCONN).
             Class::TryAgain => {}
             Class::WaitForReadiness => break,
             _ => return Err(error),
@@ -96,14 +97,15 @@
     }
 }
 
-/// The error that a connection attempt ended with. Reading it clears it, so a call that failed has not read it.
+/// Takes the error with which a connection attempt ended. A successful read clears the error; a failed call
+/// has not read it, so it is repeated.
 fn connect_error(socket: &TcpStream) -> io::Result<Option<io::Error>> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         match SockRef::from(socket).take_error() {
-            Err(_) if tries < TRIES => {}
-            read => return read,
+            Err(_) if attempts < ATTEMPTS_MAX => {}
+            result => return result,
         }
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,13 +1,14 @@
-//! TCP sockets on the runtime's poll, for nodes that go on while system calls fail.
+//! TCP sockets on the async runtime's poller, for nodes that continue while system calls fail.
 //!
-//! The runtime's own sockets hand every error on to their user, take a short read for an empty socket, and close a socket
-//! that they can't register. These go by [`magpietally_os_error::classify`] instead: interrupted calls are repeated,
-//! readiness is given up only where the kernel says that there is nothing, a lack of memory or descriptors is waited out,
-//! and what reaches the user is the connection's end.
+//! The runtime's own sockets pass every error to their user, interpret a short read as an empty socket, and
+//! close a socket that can't be registered. The sockets here follow [`magpietally_os_error::classify`]
+//! instead: interrupted calls are repeated, readiness is cleared only when the kernel reports that there is
+//! nothing to do, shortages of memory or descriptors are waited out, and the user only gets errors that end
+//! the connection.
 //!
-//! - [`Stream`]: a connection. [`connect`] makes one.
-//! - [`Listener`]: accepts connections, and says what accepting lacks.
-//! - [`register`]: gives a descriptor to the poll, and gives it back where that fails.
+//! - [`Stream`]: a connection. [`connect`] opens one.
+//! - [`Listener`]: accepts connections and reports shortages of resources.
+//! - [`register`]: registers a descriptor with the poller, and returns the descriptor if that fails.
 
 mod connect;
 mod listener;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening and accepting.
+//! Listening sockets and accepting connections.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,44 +12,48 @@
 
 use crate::register::register;
 
-/// Connections that the kernel may hold until they are accepted.
+/// The maximum number of connections that the kernel holds until they are accepted.
 const BACKLOG: i32 = 1024;
-/// After so many connections in a row that were over before they were accepted, accepting rests.
-const FAILED_IN_A_ROW: usize = 16;
-/// For how long.
-const FAILED_REST: Duration = Duration::from_millis(1);
+/// Accepting pauses after this number of successive connections that ended before they were accepted.
+const FAILED_ACCEPTS_MAX: usize = 16;
+/// The length of that pause.
+const FAILED_ACCEPTS_PAUSE: Duration = Duration::from_millis(1);
 
-/// How long after a shortage the backlog may still hold connections that came during it. A thousand are accepted within less.
-const CAUGHT_UP_WITHIN: Duration = Duration::from_millis(50);
+/// How long after a shortage the backlog may still hold connections that arrived during it. Accepting a
+/// thousand connections takes less time.
+const BACKLOG_DELAY_MAX: Duration = Duration::from_millis(50);
 
-/// A connection that was accepted, and does not block.
+/// An accepted connection, in non-blocking mode.
 #[derive(Debug)]
 pub struct Accepted {
     /// The connection.
     pub socket: TcpStream,
-    /// Its bytes may have waited since then: accepting had failed by that time, and this one may have come already.
+    /// The time since which its bytes may have been waiting: accepting failed then, and the connection may
+    /// have arrived already.
     pub unread_since: Option<Instant>,
 }
 
-/// What accepting lacks.
+/// A shortage of resources that prevents accepting.
 #[derive(Debug)]
 pub struct Shortage {
-    /// The system's word.
+    /// The error of the system call.
     pub error: io::Error,
 }
 
 impl Shortage {
-    /// Has the process as many descriptors as it may have? Anything else is short for the whole machine.
+    /// Returns whether the process has reached its own limit of descriptors. Any other shortage affects the
+    /// whole machine.
     pub fn is_process_descriptor_limit(&self) -> bool {
         self.error.raw_os_error() == Some(libc::EMFILE)
     }
 }
 
-/// A socket that listens at an address; `shared` lets others listen there, too, between which the kernel spreads connections.
-/// What it needs may be missing for a moment.
+/// Creates a socket that listens at an address. With `shared`, other sockets may listen there too, and the
+/// kernel distributes connections among them. Shortages of resources are retried as at the start of a
+/// process.
 ///
 /// # Errors
-/// The system's, as where the address is another's.
+/// The error of the system call, for example if the address is in use.
 pub fn listen(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     retry::at_start(Call::Create, "listen", || listen_once(at, shared))
 }
@@ -64,14 +68,14 @@
     Ok(socket.into())
 }
 
-/// A listening socket on the runtime's poll.
+/// A listening socket on the runtime's poller.
 #[derive(Debug)]
 pub struct Listener {
     registered: AsyncFd<TcpListener>,
     delay: Mutex<Option<Delay>>,
 }
 
-/// A time in which accepting failed, and the backlog has not been seen empty since.
+/// A period in which accepting failed; the backlog has not been seen empty since.
 #[derive(Clone, Copy, Debug)]
 struct Delay {
     since: Instant,
@@ -79,10 +83,11 @@
 }
 
 impl Listener {
-    /// Registers a socket that listens and does not block. Blocks the thread while the poll has no room for it.
+    /// Registers a non-blocking listening socket. Blocks the thread while resources for the registration are
+    /// lacking.
     ///
     /// # Errors
-    /// The system's last word.
+    /// The last error of the system call.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         let mut socket = Some(listener);
         let registered = retry::at_start(Call::Create, "registration of a listener", || {
@@ -95,23 +100,25 @@
         Ok(Self { registered, delay: Mutex::default() })
     }
 
-    /// The socket.
+    /// Returns the socket.
     pub fn get_ref(&self) -> &TcpListener {
         self.registered.get_ref()
     }
 
-    /// Can this process have one descriptor more right now?
+    /// Returns whether the process can get another descriptor now.
     pub fn has_spare_descriptor(&self) -> bool {
         self.get_ref().try_clone().is_ok()
     }
 
-    /// The next connection, which does not block. A connection that was over before it was accepted is passed over.
+    /// Accepts the next connection and sets it to non-blocking mode. Connections that ended before they were
+    /// accepted are skipped.
     ///
     /// # Errors
-    /// What accepting lacks. The connection stays in the backlog; the caller makes room or pauses, and calls again.
+    /// A shortage of resources. The connection stays in the backlog; the caller releases resources or pauses,
+    /// and calls again.
     pub async fn accept(&self) -> Result<Accepted, Shortage> {
         loop {
-            for _ in 0..FAILED_IN_A_ROW {
+            for _ in 0..FAILED_ACCEPTS_MAX {
                 let mut ready = self.registered.readable().await.map_err(|error| Shortage { error })?;
                 let error = match accept_once(self.registered.get_ref()) {
                     Ok(socket) => return Ok(Accepted { socket, unread_since: self.delayed_since() }),
@@ -129,9 +136,9 @@
                     }
                 }
             }
-            // Where they were not taken out of the backlog, others wait behind them.
+            // If the failed connections are still in the backlog, others are waiting behind them.
             self.note_failure();
-            sleep(FAILED_REST).await;
+            sleep(FAILED_ACCEPTS_PAUSE).await;
         }
     }
 
@@ -145,11 +152,11 @@
         *self.delay.lock().unwrap_or_else(PoisonError::into_inner) = delay;
     }
 
-    /// Since when connections may have waited in the backlog, where a shortage kept them there.
+    /// Returns the time since which connections may have been waiting in the backlog because of a shortage.
     fn delayed_since(&self) -> Option<Instant> {
         let delay = *self.delay.lock().unwrap_or_else(PoisonError::into_inner);
         let delay = delay?;
-        (delay.last_failed.elapsed() < CAUGHT_UP_WITHIN).then_some(delay.since)
+        (delay.last_failed.elapsed() < BACKLOG_DELAY_MAX).then_some(delay.since)
     }
 }
 
--- a/crates/net/src/register.rs
+++ b/crates/net/src/register.rs
@@ -1,4 +1,4 @@
-//! Registration of descriptors with the runtime's poll.
+//! Registration of descriptors with the runtime's poller.
 
 use std::fmt;
 use std::io;
@@ -9,16 +9,17 @@
 use magpietally_os_error::{classify, Call, Class};
 use tokio::io::unix::AsyncFd;
 
-/// For how long a registration is tried: whoever waits for the socket's bytes has gone by then.
-const REGISTER_WITHIN: Duration = Duration::from_secs(3);
-/// The longest pause between two tries. What waits on the socket has a deadline.
-const PAUSE_MOST: Duration = Duration::from_millis(10);
+/// How long a registration is retried. After this time the user of the connection is no longer waiting for
+/// it.
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The maximum delay between two attempts; short, because requests on the socket have a deadline.
+const DELAY_MAX: Duration = Duration::from_millis(10);
 
-/// A descriptor that could not be registered, and is still open.
+/// The error of a failed registration, with the descriptor, which is still open.
 pub struct RegisterError<T> {
     /// The descriptor.
     pub inner: T,
-    /// Why.
+    /// The error of the system call.
     pub error: io::Error,
 }
 
@@ -29,24 +30,24 @@
 }
 
 impl<T: AsRawFd> RegisterError<T> {
-    /// Tries again, with pauses, for as long as the lack of memory or watches may pass.
+    /// Retries the registration with backoff while memory or watches are lacking, for a limited time.
     ///
     /// # Errors
-    /// The last error, where it does not; the descriptor is closed then.
+    /// The last error; the descriptor is closed in that case.
     pub async fn retry(self) -> io::Result<AsyncFd<T>> {
-        let began = Instant::now();
-        let mut pauses = Backoff::default();
+        let started = Instant::now();
+        let mut backoff = Backoff::default();
         let mut failed = self;
         loop {
             match classify(Call::Create, &failed.error) {
-                Class::TryAgain | Class::OutOfResources if began.elapsed() < REGISTER_WITHIN => {
-                    tokio::time::sleep(pauses.next_delay().min(PAUSE_MOST)).await;
+                Class::TryAgain | Class::OutOfResources if started.elapsed() < REGISTER_TIMEOUT => {
+                    tokio::time::sleep(backoff.next_delay().min(DELAY_MAX)).await;
                 }
                 _ => return Err(failed.error),
             }
             match register(failed.inner) {
                 Ok(registered) => return Ok(registered),
-                Err(again) => failed = again,
+                Err(error) => failed = error,
             }
         }
     }
@@ -55,9 +56,10 @@
 /// Registers a descriptor for reading and writing.
 ///
 /// # Errors
-/// The descriptor with the system's error: it stays open.
-// The deprecation asks for an `unsafe` call, as a type could close its descriptor while it is registered. The types that are
-// registered here, sockets of the standard library, keep theirs open until they are dropped.
+/// The error of the system call, with the descriptor, which stays open.
+// The deprecation recommends an `unsafe` call, because a type could close its descriptor while it is
+// registered. The types that are registered here, sockets of the standard library, keep their descriptor open
+// until they are dropped.
 #[allow(deprecated)]
 pub fn register<T: AsRawFd>(inner: T) -> Result<AsyncFd<T>, RegisterError<T>> {
     AsyncFd::try_new(inner).map_err(|failed| {
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection.
+//! TCP connections.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -18,53 +18,58 @@
 
 use crate::register::{register, RegisterError};
 
-/// How long a call rests that the kernel had no memory for, or that is interrupted over and over. Nothing tells when to go on.
-const NO_MEMORY_REST: Duration = Duration::from_millis(2);
-/// The most that is read at once.
-const READ_MOST: usize = 64 * 1024;
-/// How often an option is tried to be set.
-const OPTION_TRIES: usize = 4;
+/// The pause after a call that failed for lack of memory or was interrupted repeatedly. The kernel does not
+/// signal when such a call can succeed again.
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(2);
+/// The maximum number of bytes read by one call.
+const READ_MAX_BYTES: usize = 64 * 1024;
+/// The maximum number of attempts to set a socket option.
+const OPTION_ATTEMPTS_MAX: usize = 4;
 
 thread_local! {
-    /// What the kernel writes to, for all connections of a thread: the buffers of their users are not cleared before.
-    static SCRATCH: RefCell<[u8; READ_MOST]> = const { RefCell::new([0; READ_MOST]) };
+    /// The buffer that the kernel reads into, shared by all connections of a thread, because the users'
+    /// buffers may be uninitialized.
+    static SCRATCH: RefCell<[u8; READ_MAX_BYTES]> = const { RefCell::new([0; READ_MAX_BYTES]) };
 }
 
-/// For how long errors are passed over on a connection that the kernel still knows.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(1);
+/// How long errors are tolerated on a connection that the kernel still reports as connected.
+const TOLERATED_ERRORS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What holds up one direction of a connection.
+/// The state that delays one direction of a connection.
 #[derive(Debug, Default)]
 struct Direction {
-    /// A rest after a call that lacked something.
-    rest: RefCell<Option<Pin<Box<Sleep>>>>,
-    /// Since when calls have ended with errors of a connection that is over, while the kernel still knows it.
+    /// The pause after a call that lacked a resource.
+    pause: RefCell<Option<Pin<Box<Sleep>>>>,
+    /// The time since which calls have failed with errors that end a connection, while the kernel still
+    /// reports it as connected.
     errors_since: Cell<Option<Instant>>,
 }
 
 impl Direction {
-    /// May the direction be used further after an error that says that its connection is over? TCP passes on what the way to
-    /// the other end reports, also where that passes (ip(7), IP_RECVERR). A connection that is over has no other end any more
-    /// (getpeername(2), ENOTCONN).
-    fn outlasts(&self, error: &io::Error, socket: &TcpStream) -> bool {
+    /// Returns whether the direction may still be used after an error that usually ends the connection. TCP
+    /// also reports errors of the network path, which may be temporary (ip(7), IP_RECVERR). A connection that
+    /// has ended has no peer address (getpeername(2), ENOTCONN).
+    fn tolerates(&self, error: &io::Error, socket: &TcpStream) -> bool {
         if socket.peer_addr().is_err() {
             return false;
         }
         let now = Instant::now();
         let since = self.errors_since.get().unwrap_or(now);
         self.errors_since.set(Some(since));
-        tracing::debug!(target: "net", "an error of a connection that is not over: {error}");
-        now - since < PASSED_OVER_FOR
+        tracing::debug!(target: "net", "temporary error on an open connection: {error}");
+        now - since < TOLERATED_ERRORS_TIMEOUT
     }
 }
 
-/// A TCP connection on the runtime's poll. Reads and writes end with an error only where the connection is over.
+/// A TCP connection on the runtime's poller. Reads and writes return an error only if the connection has
+/// ended.
 #[derive(Debug)]
 pub struct Stream {
     registered: AsyncFd<TcpStream>,
-    /// The last read found nothing.
+    /// Whether the last read found nothing to read.
     drained: Cell<bool>,
-    /// Since when bytes may have stood unread, as reading them failed; until a read finds nothing.
+    /// The time since which bytes may have been unread because reading failed; cleared when a read finds
+    /// nothing.
     unread_since: Cell<Option<Instant>>,
     reading: Direction,
     writing: Direction,
@@ -79,24 +84,24 @@
             reading: Direction::default(),
             writing: Direction::default(),
         };
-        stream.send_at_once();
+        stream.disable_nagle();
         stream
     }
 }
 
 impl Stream {
-    /// Registers a connection that does not block.
+    /// Registers a non-blocking connection.
     ///
     /// # Errors
-    /// The connection, still open, with the system's error.
+    /// The error of the system call, with the connection, which stays open.
     pub fn new(socket: TcpStream) -> Result<Self, RegisterError<TcpStream>> {
         register(socket).map(Self::from)
     }
 
-    /// The same; where the poll has no room for it, it is tried again for as long as that may pass.
+    /// Like [`Stream::new`], but retries for a limited time while resources for the registration are lacking.
     ///
     /// # Errors
-    /// The system's last error; the connection is closed then.
+    /// The last error of the system call; the connection is closed in that case.
     pub async fn register(socket: TcpStream) -> io::Result<Self> {
         match Self::new(socket) {
             Ok(stream) => Ok(stream),
@@ -104,9 +109,9 @@
         }
     }
 
-    /// Turns off Nagle's delay. A connection that can't have that is slower, and of use all the same.
-    fn send_at_once(&self) {
-        for _ in 0..OPTION_TRIES {
+    /// Disables Nagle's algorithm. If that fails, the connection is slower but usable.
+    fn disable_nagle(&self) {
+        for _ in 0..OPTION_ATTEMPTS_MAX {
             if self.socket().set_nodelay(true).is_ok() {
                 return;
             }
@@ -118,31 +123,31 @@
         self.registered.get_ref()
     }
 
-    /// Where the other end is.
+    /// Returns the address of the peer.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system call.
     pub fn peer_address(&self) -> io::Result<SocketAddr> {
         self.socket().peer_addr()
     }
 
-    /// Reads what there is; nothing at the connection's end.
+    /// Reads available bytes; none at the end of the stream.
     pub fn poll_recv(&self, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let ready = |cx: &mut Context<'_>| self.registered.poll_read_ready(cx);
-        let mut read = |scratch: &mut [u8; READ_MOST]| {
-            let room = to.remaining().min(READ_MOST);
-            let read = self.socket().read(&mut scratch[..room]);
-            self.note(&read);
-            let came = read?;
-            to.put_slice(&scratch[..came]);
+        let mut read = |scratch: &mut [u8; READ_MAX_BYTES]| {
+            let length = to.remaining().min(READ_MAX_BYTES);
+            let result = self.socket().read(&mut scratch[..length]);
+            self.record_read(&result);
+            let count = result?;
+            to.put_slice(&scratch[..count]);
             Ok(())
         };
         poll_call(cx, &self.reading, self.socket(), ready, || SCRATCH.with_borrow_mut(&mut read))
     }
 
-    /// Notes what a read tells of the bytes that wait.
-    fn note(&self, read: &io::Result<usize>) {
-        let class = read.as_ref().err().map(|error| classify(Call::Stream, error));
+    /// Updates the state of unread bytes after a read.
+    fn record_read(&self, result: &io::Result<usize>) {
+        let class = result.as_ref().err().map(|error| classify(Call::Stream, error));
         self.drained.set(class == Some(Class::WaitForReadiness));
         match class {
             Some(Class::WaitForReadiness) => self.unread_since.set(None),
@@ -151,39 +156,40 @@
         }
     }
 
-    /// Its bytes may have waited since then.
+    /// Records that bytes may have been waiting since this time.
     pub fn mark_delayed_since(&self, since: Instant) {
         self.unread_since.set(Some(self.unread_since.get().map_or(since, |known| known.min(since))));
     }
 
-    /// The bytes that still wait are not those that were delayed.
+    /// Clears the time since which bytes may have been waiting: those that wait now were not delayed.
     pub fn clear_delay(&self) {
         self.unread_since.set(None);
     }
 
-    /// Since when the bytes that were read last may have waited, where a call that failed kept them from being read.
+    /// Returns the time since which the bytes read last may have been waiting, if a failed call delayed
+    /// reading them.
     pub fn unread_since(&self) -> Option<Instant> {
         self.unread_since.get()
     }
 
-    /// Writes some of these bytes; how many the kernel took.
+    /// Writes some of these bytes and returns how many the kernel accepted.
     pub fn poll_send(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let ready = |cx: &mut Context<'_>| self.registered.poll_write_ready(cx);
         poll_call(cx, &self.writing, self.socket(), ready, || self.socket().write(bytes))
     }
 
-    /// The same of bytes in several pieces.
+    /// Like [`Stream::poll_send`], but for bytes in several pieces.
     pub fn poll_send_pieces(&self, cx: &mut Context<'_>, pieces: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         let ready = |cx: &mut Context<'_>| self.registered.poll_write_ready(cx);
         poll_call(cx, &self.writing, self.socket(), ready, || self.socket().write_vectored(pieces))
     }
 
-    /// Did the last read find that there was nothing?
+    /// Returns whether the last read found nothing to read.
     pub fn is_drained(&self) -> bool {
         self.drained.get()
     }
 
-    /// Nothing to read, and not closed by the other side: the kernel is asked.
+    /// Returns whether there is nothing to read and the peer has not closed the connection, by a system call.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let mut interruptions = Interruptions::default();
@@ -196,34 +202,37 @@
         }
     }
 
-    /// The same by what the runtime knows, which costs no call and may be a turn of its loop old.
+    /// Like [`Stream::is_quiet`], but first by the runtime's readiness, which costs no system call and may be
+    /// one turn of the runtime's loop old.
     pub fn is_quiet_cached(&self) -> bool {
-        let mut nobody = Context::from_waker(Waker::noop());
-        let known = self.registered.poll_read_ready(&mut nobody);
-        known.is_pending() || self.is_quiet()
+        let mut cx = Context::from_waker(Waker::noop());
+        let readiness = self.registered.poll_read_ready(&mut cx);
+        readiness.is_pending() || self.is_quiet()
     }
 
-    /// Waits until the other side has closed the connection or broken it off, whatever stands unread.
+    /// Waits until the peer has closed or reset the connection, regardless of unread bytes.
     pub async fn closed_by_peer(&self) {
-        // Nobody asks the kernel for urgent bytes, so all that this waits for is the end that is told with them.
+        // No user of the socket reads urgent data, so the only event this waits for is the end of the
+        // connection, which is reported together with it.
         _ = self.registered.ready(Interest::PRIORITY).await;
     }
 
-    /// Says that nothing more will be written.
+    /// Closes the writing direction.
     ///
     /// # Errors
-    /// The system's, as where the connection has gone.
+    /// The error of the system call, for example if the connection has ended.
     pub fn shutdown_write(&self) -> io::Result<()> {
         retry::interrupted(|| self.socket().shutdown(Shutdown::Write))
     }
 
-    /// Sees to it that closing the connection resets it; false where it is broken already.
+    /// Makes closing the connection reset it. Returns false if the connection is already broken.
     pub fn reset_on_close(&self) -> bool {
-        (0..OPTION_TRIES).any(|_| SockRef::from(self.socket()).set_linger(Some(Duration::ZERO)).is_ok())
+        (0..OPTION_ATTEMPTS_MAX)
+            .any(|_| SockRef::from(self.socket()).set_linger(Some(Duration::ZERO)).is_ok())
     }
 }
 
-/// Makes a call once its descriptor is ready, and again as its errors say.
+/// Makes a call once its descriptor is ready, and repeats it according to the class of its errors.
 fn poll_call<'a, T>(
     cx: &mut Context<'_>,
     direction: &Direction,
@@ -231,17 +240,17 @@
     mut poll_ready: impl FnMut(&mut Context<'_>) -> Poll<io::Result<AsyncFdReadyGuard<'a, TcpStream>>>,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
-    if let Some(rest) = direction.rest.borrow_mut().as_mut() {
-        ready!(rest.as_mut().poll(cx));
+    if let Some(pause) = direction.pause.borrow_mut().as_mut() {
+        ready!(pause.as_mut().poll(cx));
     }
-    direction.rest.take();
+    direction.pause.take();
     let mut interruptions = Interruptions::default();
     loop {
         let mut ready = ready!(poll_ready(cx))?;
         let error = match call() {
-            Ok(done) => {
+            Ok(value) => {
                 direction.errors_since.set(None);
-                return Poll::Ready(Ok(done));
+                return Poll::Ready(Ok(value));
             }
             Err(error) => error,
         };
@@ -251,12 +260,12 @@
                 direction.errors_since.set(None);
                 ready.clear_ready();
             }
-            Class::ConnectionOver if !direction.outlasts(&error, socket) => return Poll::Ready(Err(error)),
+            Class::ConnectionOver if !direction.tolerates(&error, socket) => return Poll::Ready(Err(error)),
             Class::Permanent => return Poll::Ready(Err(error)),
             Class::OutOfResources | Class::ConnectionOver => {
-                let mut rest = Box::pin(sleep(NO_MEMORY_REST));
-                if rest.as_mut().poll(cx).is_pending() {
-                    *direction.rest.borrow_mut() = Some(rest);
+                let mut pause = Box::pin(sleep(SHORTAGE_PAUSE));
+                if pause.as_mut().poll(cx).is_pending() {
+                    *direction.pause.borrow_mut() = Some(pause);
                     return Poll::Pending;
                 }
             }
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -6,49 +6,49 @@
 
 use crate::{connect, listen, register, ConnectError, Listener, Stream};
 
-/// Runs to its end, which must come.
-fn play<T>(story: impl Future<Output = T>) -> T {
+/// Runs a future on a new runtime; it must complete within 30 s.
+fn run<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { timeout(Duration::from_secs(30), story).await.expect("it ends") })
+    runtime.block_on(async { timeout(Duration::from_secs(30), future).await.expect("the future completes") })
 }
 
-/// Both ends of a connection.
-async fn pair() -> (Stream, Stream) {
-    let nowhere_else = "127.0.0.1:0".parse().expect("an address");
-    let listener = Listener::new(listen(nowhere_else, false).expect("a port")).expect("a runtime");
-    let near = connect(listener.get_ref().local_addr().expect("bound")).await.expect("it listens");
+/// Opens a connection and returns its two ends.
+async fn connected_pair() -> (Stream, Stream) {
+    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let listener = Listener::new(listen(any_port, false).expect("a port")).expect("a runtime");
+    let near = connect(listener.get_ref().local_addr().expect("bound")).await.expect("the listener accepts");
     assert!(near.peer_address().is_ok());
-    let far = listener.accept().await.expect("one has come").socket;
+    let far = listener.accept().await.expect("a connection is pending").socket;
     let another = timeout(Duration::from_millis(20), listener.accept());
-    assert!(another.await.is_err(), "no other waits");
-    (near, Stream::new(far).expect("it is registered"))
+    assert!(another.await.is_err(), "no other connection is pending");
+    (near, Stream::new(far).expect("the connection can be registered"))
 }
 
 #[test]
-fn bytes_go_both_ways_up_to_the_end() {
-    play(async {
-        let (mut near, mut far) = pair().await;
+fn bytes_pass_in_both_directions_until_the_end() {
+    run(async {
+        let (mut near, mut far) = connected_pair().await;
         assert!(near.is_quiet() && near.is_quiet_cached());
         let sent = vec![7; 100_000];
         let write = async {
-            far.write_all(&sent).await.expect("it is open");
-            far.shutdown().await.expect("it is open");
+            far.write_all(&sent).await.expect("the connection is open");
+            far.shutdown().await.expect("the connection is open");
         };
-        let mut came = Vec::new();
-        let (read, ()) = tokio::join!(near.read_to_end(&mut came), write);
-        assert_eq!((read.ok(), came == sent), (Some(sent.len()), true));
+        let mut received = Vec::new();
+        let (read, ()) = tokio::join!(near.read_to_end(&mut received), write);
+        assert_eq!((read.ok(), received == sent), (Some(sent.len()), true));
         near.closed_by_peer().await;
-        near.write_all(b"half closed").await.expect("the other way is open");
-        let mut heard = [0; 11];
-        far.read_exact(&mut heard).await.expect("it comes");
-        assert_eq!(&heard, b"half closed");
+        near.write_all(b"half closed").await.expect("the other direction is open");
+        let mut rest = [0; 11];
+        far.read_exact(&mut rest).await.expect("the bytes arrive");
+        assert_eq!(&rest, b"half closed");
     });
 }
 
 #[test]
-fn a_reset_is_the_connections_end() {
-    play(async {
-        let (mut near, far) = pair().await;
+fn a_reset_ends_the_connection() {
+    run(async {
+        let (mut near, far) = connected_pair().await;
         assert!(far.reset_on_close());
         drop(far);
         near.closed_by_peer().await;
@@ -57,25 +57,25 @@
 }
 
 #[test]
-fn a_refused_connection_is_the_other_ends_failure() {
-    play(async {
+fn a_refused_connection_is_a_remote_error() {
+    run(async {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        let nowhere_else: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&nowhere_else.into()).expect("a port");
+        let any_port: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        socket.bind(&any_port.into()).expect("a port");
         let refusing = socket.local_addr().expect("bound").as_socket().expect("an address");
         assert!(matches!(connect(refusing).await, Err(ConnectError::Remote(_))));
     });
 }
 
-/// The poll takes no plain file, which is what a failed registration is like.
+/// The poller refuses regular files, which serves here as a failed registration.
 #[test]
-fn what_can_not_be_registered_stays_open() {
-    play(async {
-        let program = std::env::current_exe().expect("it runs");
-        let file = std::fs::File::open(program).expect("it is there");
-        let failed = register(file).expect_err("a plain file");
+fn a_descriptor_that_cannot_be_registered_stays_open() {
+    run(async {
+        let program = std::env::current_exe().expect("the test's own path");
+        let file = std::fs::File::open(program).expect("the file exists");
+        let failed = register(file).expect_err("regular files are refused");
         assert!(failed.inner.metadata().is_ok());
-        assert!(failed.retry().await.is_err(), "it never can be");
+        assert!(failed.retry().await.is_err(), "regular files are always refused");
     });
 }
