--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,5 @@
-//! What ledgers and stores need of a disk, and the one that the operating system has. Faults are injected behind this seam.
+//! The disk interface of ledgers and stores, and its implementation on a directory. Tests inject faults
+//! behind this interface.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
@@ -7,74 +8,75 @@
 use magpietally_os_error::retry::{self, FILE_TIMEOUT};
 use magpietally_os_error::Call;
 
-/// A directory of files that only grow.
+/// A directory of append-only files.
 pub trait Disk {
-    /// A file that is open for writing.
+    /// A file open for appending.
     type File;
-    /// The right to write here, until it is dropped or the process ends.
+    /// The exclusive right to write in the directory, until it is dropped or the process ends.
     type Lock;
 
-    /// Takes the right to write here.
+    /// Acquires the exclusive right to write in the directory.
     ///
     /// # Errors
-    /// [`LockError::Locked`] where another has it; the system's word else.
+    /// [`LockError::Locked`] if another process has it; otherwise the error of the system call.
     fn lock(&mut self) -> Result<Self::Lock, LockError>;
 
-    /// Makes a file that is not there yet.
+    /// Creates a file, which must not exist yet.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system call.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
 
-    /// Adds bytes at the end; how many of them, at least one.
+    /// Appends bytes and returns how many were written, at least one.
     ///
     /// # Errors
-    /// The system's: no space, no such device, read-only.
+    /// The error of the system call: no space, no such device, read-only.
     fn append(&mut self, file: &mut Self::File, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Waits until what the file holds would survive a loss of power.
+    /// Waits until the content of the file would survive a power loss.
     ///
     /// # Errors
-    /// The system's. After one nothing is known of what was written since the last sync, and asking again proves nothing.
+    /// The error of the system call. After an error the state of the bytes written since the last sync is
+    /// unknown, and a later sync that succeeds proves nothing about them.
     fn sync(&mut self, file: &mut Self::File) -> io::Result<()>;
 
-    /// The same for the names in the directory.
+    /// Like [`Disk::sync`], for the file names in the directory.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system call.
     fn sync_directory(&mut self) -> io::Result<()>;
 
-    /// The names in the directory.
+    /// Returns the names of the files in the directory.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system call.
     fn file_names(&mut self) -> io::Result<Vec<String>>;
 
-    /// Bytes of a file from a place on; none at its end.
+    /// Reads bytes of a file from an offset and returns how many; 0 at the end of the file.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system call.
     fn read(&mut self, name: &str, from: u64, to: &mut [u8]) -> io::Result<usize>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// The system's.
+    /// The error of the system call.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory of the operating system's.
+/// A directory of the file system.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    /// The file that was read last, kept open for the next piece of it.
-    reads: Option<(String, File)>,
+    /// The file that was read last, with its name, kept open for the next read.
+    last_read: Option<(String, File)>,
 }
 
 impl Folder {
-    /// A directory that should be there.
+    /// Uses a directory, which should exist.
     pub fn new(path: impl Into<PathBuf>) -> Self {
-        Self { path: path.into(), reads: None }
+        Self { path: path.into(), last_read: None }
     }
 }
 
@@ -102,16 +104,16 @@
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        let folder = retry::within(FILE_TIMEOUT, Call::File, "a folder", || File::open(&self.path))?;
-        retry::interrupted(|| folder.sync_all())
+        let directory = retry::within(FILE_TIMEOUT, Call::File, "directory", || File::open(&self.path))?;
+        retry::interrupted(|| directory.sync_all())
     }
 
     fn file_names(&mut self) -> io::Result<Vec<String>> {
-        // Nothing is changed by looking, so it may be looked at again.
-        retry::within(FILE_TIMEOUT, Call::File, "a folder", || {
+        // Listing changes nothing, so it can be repeated.
+        retry::within(FILE_TIMEOUT, Call::File, "directory", || {
             let mut names = Vec::new();
             for entry in std::fs::read_dir(&self.path)? {
-                // A name that is no text is none of ours.
+                // Names that are not valid UTF-8 are not those of stores or ledgers.
                 names.extend(entry?.file_name().into_string());
             }
             Ok(names)
@@ -119,15 +121,15 @@
     }
 
     fn read(&mut self, name: &str, from: u64, to: &mut [u8]) -> io::Result<usize> {
-        // A place that can't be read for a moment must not pass for one that is damaged: what it holds would be forgotten.
+        // A temporary read error must not be taken for damage, since damaged content would be discarded.
         retry::within(FILE_TIMEOUT, Call::File, name, || {
-            let mut file = match self.reads.take() {
+            let mut file = match self.last_read.take() {
                 Some((open, file)) if open == name => file,
                 _ => File::open(self.path.join(name))?,
             };
             file.seek(SeekFrom::Start(from))?;
             let count = file.read(to)?;
-            self.reads = Some((name.to_string(), file));
+            self.last_read = Some((name.to_string(), file));
             Ok(count)
         })
     }
@@ -137,40 +139,40 @@
     }
 }
 
-/// Puts a small file in the place of the one of this name, if there is one, for good when this returns. A crash before leaves
-/// what was there, so it may be done again.
+/// Writes a small file and atomically replaces the existing one of this name, if any. The new content is
+/// durable when this returns. A crash before that leaves the former content, so the call can be repeated.
 ///
 /// # Errors
-/// The system's.
-pub fn replace_file(folder: &Path, name: &str, contents: &[u8]) -> io::Result<()> {
-    let next = folder.join(format!("{name}.next"));
+/// The error of the system call.
+pub fn replace_file(directory: &Path, name: &str, contents: &[u8]) -> io::Result<()> {
+    let next = directory.join(format!("{name}.next"));
     let mut file = File::create(&next)?;
     file.write_all(contents)?;
     file.sync_all()?;
-    std::fs::rename(&next, folder.join(name))?;
-    File::open(folder)?.sync_all()
+    std::fs::rename(&next, directory.join(name))?;
+    File::open(directory)?.sync_all()
 }
 
-/// The right to write in a directory. It ends with the process, however that ends: a lock file that was left behind is
-/// locked by nobody.
+/// The exclusive right to write in a directory. The lock ends with the process in any case: a lock file that
+/// was left behind is not locked.
 #[derive(Debug)]
 pub struct Lock {
     _file: File,
 }
 
-/// Why a directory can't be had.
+/// Why the lock of a directory could not be acquired.
 #[derive(Debug)]
 pub enum LockError {
-    /// Another process writes in it.
+    /// Another process holds it; the text describes that process.
     Locked(String),
-    /// The system's word.
+    /// An error of a system call.
     Io(&'static str, io::Error),
 }
 
 impl std::fmt::Display for LockError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Locked(by) => write!(f, "lock: held by {by}: one node a directory"),
+            Self::Locked(by) => write!(f, "lock: held by {by}; a directory can be used by one node only"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
     }
@@ -181,15 +183,15 @@
 const LOCK: &str = "lock";
 
 impl Lock {
-    /// Takes the lock.
+    /// Acquires the lock.
     ///
     /// # Errors
-    /// [`LockError::Locked`] with what the holder wrote of itself; the system's word else.
-    pub fn acquire(folder: &Path) -> Result<Self, LockError> {
-        let path = folder.join(LOCK);
+    /// [`LockError::Locked`] with the holder's description of itself; otherwise the error of the system call.
+    pub fn acquire(directory: &Path) -> Result<Self, LockError> {
+        let path = directory.join(LOCK);
         let open = || {
             let open = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
-            // On a disk that can only be read the lock of earlier is as good.
+            // On a read-only disk an existing lock file can be locked just as well.
             open.or_else(|error| File::open(&path).map_err(|_| error))
         };
         let mut file =
@@ -207,7 +209,7 @@
             }
             Err(TryLockError::Error(error)) => return Err(LockError::Io(LOCK, error)),
         }
-        // For people; what counts is the lock itself, so a full disk is no reason to go without.
+        // The content is only informative, so an error such as a full disk is ignored.
         let _ = file.set_len(0).and_then(|()| writeln!(file, "process {}", std::process::id()));
         Ok(Self { _file: file })
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,18 @@
-//! Appended records and snapshots that outlive a crash: what the log of fleet decisions and the quotas' counts stand on.
+//! Appended records and snapshots that survive a crash. The log of fleet decisions and the quota counters are
+//! stored here.
 //!
-//! A [`Store`] holds records in the order they were appended and at most one snapshot, which covers a beginning of them.
-//! What was synced is there after any crash; what was not may be there, in part, never altered: a torn tail is found at
-//! the next opening and cut. What every store must hold is written down in `crates/contracts`.
+//! A [`Store`] holds records in the order they were appended and at most one snapshot, which replaces the
+//! first of them. Synced records are present after any crash. Unsynced ones may be present, all or some, but
+//! never altered: a torn tail is detected and cut when the store is next opened. `crates/contracts` specifies
+//! and checks what every store guarantees.
 //!
-//! [`Log`] keeps it on a [`disk::Disk`], which is a directory or, in tests, the simulated [`sim::SimDisk`]; [`Memory`] keeps
-//! it for as long as the process lives. The ledger stands on the same disk.
+//! [`Log`] stores on a [`disk::Disk`], which is a directory or, in tests, the simulated [`sim::SimDisk`];
+//! [`Memory`] stores for the lifetime of the process. The ledger uses the same disk interface.
 //!
 //! Central types: [`Store`], [`Log`], [`Seq`], [`Recovered`], [`StoreError`].
 
 pub mod disk;
-mod frame;
+mod format;
 mod log;
 mod memory;
 mod recover;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,12 +1,16 @@
-//! The store on a disk: segments of records, and snapshots beside them.
+//! The store on a disk: segments of records, and snapshots.
 
 use crate::disk::{Disk, Folder, LockError};
-use crate::frame::{segment_name, snapshot_name, write_snapshot, Head, Place, HEAD, OWNER_MAX};
-use crate::recover::{self, told, Follow};
+use crate::format::{
+    segment_name, snapshot_name, write_snapshot, RecordLocation, SegmentHeader, OWNER_MAX_BYTES,
+    SEGMENT_HEADER_BYTES,
+};
+use crate::recover::{self, store_error, Continuation};
 use crate::store::{Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
-/// Bytes after which a segment is followed by another. Recovery reads a segment whole, a node has from 32 MB on, and a
-/// snapshot frees whole segments only: smaller is leaner, but costs two syncs more each time.
+/// The size at which a new segment is started, in bytes. Recovery reads whole segments, a node may have as
+/// little as 32 MB of memory, and a snapshot only frees whole segments. Smaller segments take less memory and
+/// disk space, but each new segment costs two more syncs.
 pub const SEGMENT_BYTES: usize = 4 << 20;
 
 /// A store on a [`Disk`]: a directory or a simulated one.
@@ -17,31 +21,37 @@
     segment_bytes: usize,
     file: D::File,
     number: u64,
-    /// The end of the whole records in the file.
+    /// The offset at which the intact records of the file end.
     end: u64,
-    /// Half a record lies behind the end: the next one goes to a new segment.
+    /// Whether an incomplete record may follow the end; the next record then goes to a new segment.
     torn: bool,
-    /// Something in the file is not synced.
-    fresh: bool,
-    /// The segments that count but this one, with each one's first record.
+    /// Whether the file has records that are not synced.
+    has_unsynced: bool,
+    /// The numbers of the older segments in use, each with the sequence number of its first record.
     older: Vec<(u64, u64)>,
-    /// This one's.
+    /// The sequence number of this segment's first record.
     first: u64,
+    /// The sequence number of the last record.
     last: u64,
+    /// The sequence number of the last synced record.
     synced: u64,
-    /// The snapshot in effect, and what it covers.
+    /// The number of the snapshot in effect.
     snapshot: u64,
+    /// The last record that the snapshot covers.
     covers: u64,
+    /// The number for the next file.
     next: u64,
-    doubt: Option<String>,
+    /// Why the store must be reopened, after an error that leaves the content of the disk unknown.
+    reopen_reason: Option<String>,
     _lock: D::Lock,
 }
 
 impl Log<Folder> {
-    /// Opens the store in a directory, which should be there; `owner` names who writes, in 1 to 64 bytes.
+    /// Opens the store in a directory, which should exist. `owner` is the name of the store's user, 1 to 64
+    /// bytes long.
     ///
     /// # Errors
-    /// As [`Log::open`]; [`StoreError::MissingDirectory`] names the directory.
+    /// Those of [`Log::open`]; [`StoreError::MissingDirectory`] names the directory.
     pub fn open_dir(path: &std::path::Path, owner: &str) -> Result<(Self, Recovered), StoreError> {
         if !path.is_dir() {
             return Err(StoreError::MissingDirectory(path.display().to_string()));
@@ -51,95 +61,99 @@
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens a store, or makes it where there is none. What was recovered is on the disk for good when this returns: the
-    /// part of it that may not be is written again.
+    /// Opens a store, or creates it if there is none. The recovered content is durable when this returns:
+    /// records that may not have been synced are written again.
     ///
     /// # Errors
-    /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`], [`StoreError::OtherOwner`],
-    /// [`StoreError::Corrupted`], [`StoreError::Full`] and the system's word.
+    /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`],
+    /// [`StoreError::OtherOwner`], [`StoreError::Corrupted`], [`StoreError::Full`] and errors of system
+    /// calls.
     pub fn open(disk: D, owner: &str) -> Result<(Self, Recovered), StoreError> {
         Self::open_with_segment_bytes(disk, owner, SEGMENT_BYTES)
     }
 
-    /// The same with segments of another size, which must not shrink from one opening to the next.
+    /// Like [`Log::open`], with another segment size, which must not be smaller than when the store was last
+    /// opened.
     ///
     /// # Errors
-    /// As [`Log::open`].
+    /// Those of [`Log::open`].
     pub fn open_with_segment_bytes(
         mut disk: D,
         owner: &str,
         segment_bytes: usize,
     ) -> Result<(Self, Recovered), StoreError> {
-        if owner.is_empty() || owner.len() > OWNER_MAX {
-            return Err(wrong("an owner's name has 1 to 64 bytes"));
+        if owner.is_empty() || owner.len() > OWNER_MAX_BYTES {
+            return Err(invalid_input("an owner's name must have 1 to 64 bytes"));
         }
-        let lock = disk.lock().map_err(|why| match why {
+        let lock = disk.lock().map_err(|error| match error {
             LockError::Locked(by) => StoreError::Locked(by),
             LockError::Io(what, error) if error.kind() == std::io::ErrorKind::NotFound => {
                 StoreError::MissingDirectory(what.into())
             }
-            LockError::Io(what, error) => told(what, error),
+            LockError::Io(what, error) => store_error(what, error),
         })?;
-        let read = recover::read(&mut disk, owner, segment_bytes)?;
-        let new = Follow { prev: 0, prev_end: 0, first: 1, snapshot: 0, carried: Vec::new() };
-        let follow = read.follow.unwrap_or(new);
-        let head = Head {
-            number: read.next,
-            prev: follow.prev,
-            prev_end: follow.prev_end,
-            first: follow.first,
-            snapshot: follow.snapshot,
+        let contents = recover::read_directory(&mut disk, owner, segment_bytes)?;
+        let new = Continuation { prev: 0, prev_end: 0, first: 1, snapshot: 0, carried: Vec::new() };
+        let continuation = contents.continuation.unwrap_or(new);
+        let header = SegmentHeader {
+            number: contents.next,
+            prev: continuation.prev,
+            prev_end: continuation.prev_end,
+            first: continuation.first,
+            snapshot: continuation.snapshot,
             carried_end: 0,
         };
-        let (file, end) = begin(&mut disk, owner, head, &follow.carried).map_err(|failed| {
-            let _ = disk.remove(&segment_name(read.next));
-            failed.error()
-        })?;
-        let keep: Vec<String> = (read.chain.iter().map(|(number, _)| segment_name(*number)))
-            .chain([segment_name(read.next), snapshot_name(follow.snapshot)])
+        let (file, end) =
+            create_segment(&mut disk, owner, header, &continuation.carried).map_err(|error| {
+                let _ = disk.remove(&segment_name(contents.next));
+                error.into_store_error()
+            })?;
+        let keep: Vec<String> = (contents.chain.iter().map(|(number, _)| segment_name(*number)))
+            .chain([segment_name(contents.next), snapshot_name(continuation.snapshot)])
             .collect();
-        for name in read.files.iter().filter(|name| !keep.contains(name)) {
-            // What stays is found again at the next opening.
+        for name in contents.files.iter().filter(|name| !keep.contains(name)) {
+            // A file that could not be removed is found again when the store is next opened.
             let _ = disk.remove(name);
         }
-        let last = follow.first + follow.carried.len() as u64 - 1;
-        let covers = read.recovered.snapshot.as_ref().map_or(0, |(covers, _)| covers.0);
+        let last = continuation.first + continuation.carried.len() as u64 - 1;
+        let covers = contents.recovered.snapshot.as_ref().map_or(0, |(covers, _)| covers.0);
         let log = Self {
             disk,
             owner: owner.into(),
             segment_bytes,
             file,
-            number: read.next,
+            number: contents.next,
             end,
             torn: false,
-            fresh: false,
-            older: read.chain,
-            first: follow.first,
+            has_unsynced: false,
+            older: contents.chain,
+            first: continuation.first,
             last,
             synced: last,
-            snapshot: follow.snapshot,
+            snapshot: continuation.snapshot,
             covers,
-            next: read.next + 1,
-            doubt: None,
+            next: contents.next + 1,
+            reopen_reason: None,
             _lock: lock,
         };
-        Ok((log, read.recovered))
+        Ok((log, contents.recovered))
     }
 
-    fn trusted(&self) -> Result<(), StoreError> {
-        self.doubt.as_ref().map_or(Ok(()), |why| Err(StoreError::ReopenRequired(why.clone())))
+    fn check_usable(&self) -> Result<(), StoreError> {
+        self.reopen_reason.as_ref().map_or(Ok(()), |reason| Err(StoreError::ReopenRequired(reason.clone())))
     }
 
-    fn doubt<T>(&mut self, what: &str, error: &std::io::Error) -> Result<T, StoreError> {
-        let why = format!("{what}: {error}");
-        self.doubt = Some(why.clone());
-        Err(StoreError::ReopenRequired(why))
+    /// Records that the content of the disk is unknown after an error, and returns the error to report.
+    fn require_reopen<T>(&mut self, what: &str, error: &std::io::Error) -> Result<T, StoreError> {
+        let reason = format!("{what}: {error}");
+        self.reopen_reason = Some(reason.clone());
+        Err(StoreError::ReopenRequired(reason))
     }
 
-    /// Goes on in a new segment, from which on `snapshot` holds.
-    fn follow(&mut self, snapshot: u64) -> Result<(), StoreError> {
+    /// Starts a new segment, from which on `snapshot` is in effect.
+    fn start_segment(&mut self, snapshot: u64) -> Result<(), StoreError> {
         self.sync()?;
-        let head = Head {
+        let header = SegmentHeader {
             number: self.next,
             prev: self.number,
             prev_end: self.end,
@@ -147,7 +161,7 @@
             snapshot,
             carried_end: 0,
         };
-        match begin(&mut self.disk, &self.owner, head, &[]) {
+        match create_segment(&mut self.disk, &self.owner, header, &[]) {
             Ok((file, end)) => {
                 self.older.push((self.number, self.first));
                 (self.file, self.end, self.number, self.first) = (file, end, self.next, self.last + 1);
@@ -155,136 +169,145 @@
                 self.next += 1;
                 Ok(())
             }
-            Err(Failed::Write(error)) => {
+            Err(SegmentError::Write(error)) => {
                 if self.disk.remove(&segment_name(self.next)).is_err() {
-                    // The name may be taken. Where it is not, a number is left out, which nobody minds.
+                    // The file may still exist, so its number is skipped. Gaps in the numbers are allowed.
                     self.next += 1;
                 }
-                Err(told("a new segment", error))
+                Err(store_error("a new segment", error))
             }
-            Err(Failed::Sync(error)) => self.doubt("a new segment's sync", &error),
+            Err(SegmentError::Sync(error)) => self.require_reopen("sync of a new segment", &error),
         }
     }
 }
 
-fn wrong(what: &str) -> StoreError {
+fn invalid_input(what: &str) -> StoreError {
     StoreError::Io(what.into(), std::io::ErrorKind::InvalidInput.into())
 }
 
-/// How making a segment failed.
-enum Failed {
+/// Why creating a segment failed.
+enum SegmentError {
     Write(std::io::Error),
     Sync(std::io::Error),
 }
 
-impl Failed {
-    fn error(self) -> StoreError {
+impl SegmentError {
+    fn into_store_error(self) -> StoreError {
         match self {
-            Self::Write(error) | Self::Sync(error) => told("a new segment", error),
+            Self::Write(error) | Self::Sync(error) => store_error("a new segment", error),
         }
     }
 }
 
-fn write<D: Disk>(disk: &mut D, file: &mut D::File, mut bytes: &[u8]) -> Result<(), (usize, std::io::Error)> {
-    let all = bytes.len();
+/// Appends all bytes. An error is returned with the number of bytes that were written.
+fn write_all<D: Disk>(
+    disk: &mut D,
+    file: &mut D::File,
+    mut bytes: &[u8],
+) -> Result<(), (usize, std::io::Error)> {
+    let total = bytes.len();
     while !bytes.is_empty() {
         match disk.append(file, bytes) {
             Ok(count) => bytes = bytes.get(count..).unwrap_or_default(),
-            Err(error) => return Err((all - bytes.len(), error)),
+            Err(error) => return Err((total - bytes.len(), error)),
         }
     }
     Ok(())
 }
 
-/// Makes a segment, on the disk for good when this returns; its file and its end.
-fn begin<D: Disk>(
+/// Creates a segment, which is durable when this returns. Returns its file and the end of its records.
+fn create_segment<D: Disk>(
     disk: &mut D,
     owner: &str,
-    mut head: Head,
+    mut header: SegmentHeader,
     carried: &[Vec<u8>],
-) -> Result<(D::File, u64), Failed> {
-    let (place, mut records) = (Place { owner, number: head.number }, Vec::new());
-    for (seq, record) in (head.first..).zip(carried) {
-        place.write(HEAD + records.len(), seq, 0, record, &mut records);
+) -> Result<(D::File, u64), SegmentError> {
+    let (location, mut records) = (RecordLocation { owner, number: header.number }, Vec::new());
+    for (seq, record) in (header.first..).zip(carried) {
+        location.write(SEGMENT_HEADER_BYTES + records.len(), seq, 0, record, &mut records);
     }
-    head.carried_end = (HEAD + records.len()) as u64;
-    let mut bytes = Vec::with_capacity(HEAD + records.len());
-    head.write(owner, &mut bytes);
+    header.carried_end = (SEGMENT_HEADER_BYTES + records.len()) as u64;
+    let mut bytes = Vec::with_capacity(SEGMENT_HEADER_BYTES + records.len());
+    header.write(owner, &mut bytes);
     bytes.append(&mut records);
-    let mut file = disk.create(&segment_name(head.number)).map_err(Failed::Write)?;
-    write(disk, &mut file, &bytes).map_err(|(_, error)| Failed::Write(error))?;
-    disk.sync(&mut file).and_then(|()| disk.sync_directory()).map_err(Failed::Sync)?;
-    Ok((file, head.carried_end))
+    let mut file = disk.create(&segment_name(header.number)).map_err(SegmentError::Write)?;
+    write_all(disk, &mut file, &bytes).map_err(|(_, error)| SegmentError::Write(error))?;
+    disk.sync(&mut file).and_then(|()| disk.sync_directory()).map_err(SegmentError::Sync)?;
+    Ok((file, header.carried_end))
 }
 
 impl<D: Disk> Store for Log<D> {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
-        self.trusted()?;
+        self.check_usable()?;
         if record.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: record.len() });
         }
         if self.torn || self.end >= self.segment_bytes as u64 {
-            self.follow(self.snapshot)?;
+            self.start_segment(self.snapshot)?;
         }
-        let (place, seq) = (Place { owner: &self.owner, number: self.number }, self.last + 1);
+        let (location, seq) = (RecordLocation { owner: &self.owner, number: self.number }, self.last + 1);
         let mut bytes = Vec::new();
-        place.write(self.end as usize, seq, self.synced + 1, record, &mut bytes);
-        if let Err((count, error)) = write(&mut self.disk, &mut self.file, &bytes) {
-            let error = told("append", error);
-            // No space and nothing written: the place is as good as before. Of other errors nobody says what they left.
+        location.write(self.end as usize, seq, self.synced + 1, record, &mut bytes);
+        if let Err((count, error)) = write_all(&mut self.disk, &mut self.file, &bytes) {
+            let error = store_error("append", error);
+            // If there is no space and nothing was written, the segment is unchanged. Other errors may have
+            // written a part.
             self.torn = count > 0 || !matches!(error, StoreError::Full);
             return Err(error);
         }
         self.end += bytes.len() as u64;
-        (self.last, self.fresh) = (seq, true);
+        (self.last, self.has_unsynced) = (seq, true);
         Ok(Seq(seq))
     }
 
     fn sync(&mut self) -> Result<(), StoreError> {
-        self.trusted()?;
-        if self.fresh {
+        self.check_usable()?;
+        if self.has_unsynced {
             if let Err(error) = self.disk.sync(&mut self.file) {
-                return self.doubt("sync", &error);
+                return self.require_reopen("sync", &error);
             }
-            self.fresh = false;
+            self.has_unsynced = false;
         }
         self.synced = self.last;
         Ok(())
     }
 
     fn snapshot(&mut self, covers: Seq, state: &[u8]) -> Result<(), StoreError> {
-        self.trusted()?;
+        self.check_usable()?;
         if state.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: state.len() });
         }
         if covers.0 > self.last || covers.0 < self.covers {
-            return Err(wrong("a snapshot covers what was appended, and no less than the one before"));
+            return Err(invalid_input(
+                "a snapshot must cover only appended records, and no fewer than the previous one",
+            ));
         }
         self.sync()?;
         let (id, old) = (self.next, self.snapshot);
         let name = snapshot_name(id);
         let bytes = write_snapshot(&self.owner, id, covers.0, state);
-        let made = self.disk.create(&name).and_then(|mut file| {
-            write(&mut self.disk, &mut file, &bytes).map_err(|(_, error)| error)?;
+        let created = self.disk.create(&name).and_then(|mut file| {
+            write_all(&mut self.disk, &mut file, &bytes).map_err(|(_, error)| error)?;
             Ok(file)
         });
-        let done = match made {
+        let result = match created {
             Ok(mut file) => match self.disk.sync(&mut file) {
-                // From the new segment's head on it holds.
-                Ok(()) => self.follow(id),
-                Err(error) => self.doubt("a snapshot's sync", &error),
+                // The header of the new segment puts the snapshot into effect.
+                Ok(()) => self.start_segment(id),
+                Err(error) => self.require_reopen("sync of a snapshot", &error),
             },
-            Err(error) => Err(told("snapshot", error)),
+            Err(error) => Err(store_error("snapshot", error)),
         };
-        if let Err(error) = done {
-            // Where the segment's head may be on the disk, the file stays: the head names it.
-            if self.doubt.is_none() && self.disk.remove(&name).is_err() {
+        if let Err(error) = result {
+            // If the header of the new segment may be on the disk, the snapshot file is kept, because the
+            // header names it.
+            if self.reopen_reason.is_none() && self.disk.remove(&name).is_err() {
                 self.next = self.next.max(id + 1);
             }
             return Err(error);
         }
         self.covers = covers.0;
-        self.drop_covered(old);
+        self.remove_covered(old);
         Ok(())
     }
 
@@ -294,12 +317,12 @@
 }
 
 impl<D: Disk> Log<D> {
-    /// Removes what the snapshot covers, oldest first, and the one before it. What stays by an error goes at the next
-    /// opening.
-    fn drop_covered(&mut self, old: u64) {
+    /// Removes the segments that the snapshot covers, oldest first, and the previous snapshot. Files that
+    /// remain after an error are removed when the store is next opened.
+    fn remove_covered(&mut self, old: u64) {
         let firsts = self.older.iter().skip(1).map(|(_, first)| *first).chain([self.first]);
-        let gone = firsts.take_while(|next| *next <= self.covers + 1).count();
-        for (number, _) in self.older.drain(..gone) {
+        let covered = firsts.take_while(|next| *next <= self.covers + 1).count();
+        for (number, _) in self.older.drain(..covered) {
             let _ = self.disk.remove(&segment_name(number));
         }
         if old != 0 {
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,5 @@
-//! A store in memory: for tests, and for a node that was given no directory. It outlives what its [`MemoryMedium`] outlives.
+//! A store in memory, for tests and for nodes without a directory. Its content lives as long as its
+//! [`MemoryMedium`].
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,11 +8,11 @@
 #[derive(Clone, Debug, Default)]
 struct Content {
     snapshot: Option<(Seq, Vec<u8>, u32)>,
-    /// Behind the snapshot, each with its checksum.
+    /// The records after the snapshot, each with its checksum.
     records: Vec<(Seq, Vec<u8>, u32)>,
-    /// The last number given.
+    /// The sequence number of the last record.
     last: u64,
-    /// The last number promised.
+    /// The sequence number of the last synced record.
     synced: u64,
     torn_tail: Option<TornTail>,
 }
@@ -19,8 +20,9 @@
 #[derive(Debug, Default)]
 struct State {
     content: Content,
-    /// Which opening has it; none after its end. One that a crash ended is not the present one.
-    held: Option<u64>,
+    /// The number of the opening that has the store open. A store that was left behind by a simulated crash
+    /// does not match it.
+    open_by: Option<u64>,
     openings: u64,
     full: bool,
     missing: bool,
@@ -28,18 +30,18 @@
     sync_fails: bool,
 }
 
-/// What a [`Memory`] lies on, and what the tests hold of it; clones share it.
+/// The medium that a [`Memory`] stores on. Tests use it to inject faults. Clones share the content.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryMedium(Arc<Mutex<State>>);
 
 impl MemoryMedium {
     fn state(&self) -> MutexGuard<'_, State> {
-        // Each change is whole when the lock is let go, also by a panic.
+        // Every change is complete when the lock is released, also after a panic.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A shelf as a crash at this moment may leave it: with all that was synced and so many records of the rest; the next
-    /// one, if there is one, is torn.
+    /// Returns the medium as a crash may leave it: with all synced records and the first `unsynced` of the
+    /// others. The record after them, if any, is torn.
     #[must_use]
     pub fn after_crash(&self, unsynced: usize) -> Self {
         let mut content = self.state().content.clone();
@@ -54,13 +56,14 @@
         Self(Arc::new(Mutex::new(State { content, ..State::default() })))
     }
 
-    /// How many records are not synced.
+    /// Returns the number of records that are not synced.
     pub fn unsynced(&self) -> usize {
         let state = self.state();
         state.content.records.iter().filter(|(seq, ..)| seq.0 > state.content.synced).count()
     }
 
-    /// Shelves with one bit of one record or of the snapshot flipped, each bit once.
+    /// Returns copies of the medium, each with one bit of a record or of the snapshot flipped; every bit is
+    /// flipped once.
     #[must_use]
     pub fn with_bit_flips(&self) -> Vec<Self> {
         let content = self.state().content.clone();
@@ -71,8 +74,9 @@
         for (n, size) in sizes.into_iter().enumerate() {
             for bit in 0..size * 8 {
                 let mut content = content.clone();
-                let held = content.snapshot.as_mut().map(|(_, bytes, _)| bytes);
-                if let Some(bytes) = content.records.iter_mut().map(|(_, bytes, _)| bytes).chain(held).nth(n)
+                let snapshot = content.snapshot.as_mut().map(|(_, bytes, _)| bytes);
+                if let Some(bytes) =
+                    content.records.iter_mut().map(|(_, bytes, _)| bytes).chain(snapshot).nth(n)
                 {
                     bytes[bit / 8] ^= 1 << (bit % 8);
                 }
@@ -82,27 +86,27 @@
         all
     }
 
-    /// There is no space from now on.
+    /// Makes the medium full: appends fail for lack of space from now on.
     pub fn fill(&self) {
         self.state().full = true;
     }
 
-    /// It can only be read from now on.
+    /// Makes the medium read-only from now on.
     pub fn make_read_only(&self) {
         self.state().read_only = true;
     }
 
-    /// It is gone from now on.
+    /// Makes the medium appear missing from now on.
     pub fn remove(&self) {
         self.state().missing = true;
     }
 
-    /// Syncs fail from now on.
+    /// Makes syncs fail from now on.
     pub fn fail_syncs(&self) {
         self.state().sync_fails = true;
     }
 
-    /// Ends all trouble.
+    /// Ends all injected faults.
     pub fn repair(&self) {
         let mut state = self.state();
         (state.full, state.missing, state.read_only, state.sync_fails) = (false, false, false, false);
@@ -112,26 +116,28 @@
 /// A store on a [`MemoryMedium`].
 #[derive(Debug)]
 pub struct Memory {
-    shelf: MemoryMedium,
+    medium: MemoryMedium,
     opening: u64,
-    doubt: Option<String>,
+    /// Why the store must be reopened, after a failed sync.
+    reopen_reason: Option<String>,
 }
 
 impl Memory {
-    /// Opens it.
+    /// Opens the store.
     ///
     /// # Errors
-    /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`] and [`StoreError::Corrupted`].
-    pub fn open(shelf: &MemoryMedium) -> Result<(Self, Recovered), StoreError> {
-        let mut state = shelf.state();
+    /// [`StoreError::Locked`], [`StoreError::MissingDirectory`], [`StoreError::ReadOnly`] and
+    /// [`StoreError::Corrupted`].
+    pub fn open(medium: &MemoryMedium) -> Result<(Self, Recovered), StoreError> {
+        let mut state = medium.state();
         if state.missing {
             return Err(StoreError::MissingDirectory("memory".into()));
         }
         if state.read_only {
             return Err(StoreError::ReadOnly);
         }
-        if state.held.is_some() {
-            return Err(StoreError::Locked("another".into()));
+        if state.open_by.is_some() {
+            return Err(StoreError::Locked("another user".into()));
         }
         let all = state.content.snapshot.iter().chain(&state.content.records);
         for (n, (_, bytes, crc)) in all.enumerate() {
@@ -141,37 +147,37 @@
             }
         }
         state.openings += 1;
-        state.held = Some(state.openings);
-        // What is here outlives what the shelf outlives: nothing else can be waited for.
+        state.open_by = Some(state.openings);
+        // The content lives as long as the medium, so there is nothing more to sync.
         state.content.synced = state.content.last;
         let recovered = Recovered {
             snapshot: state.content.snapshot.clone().map(|(covers, bytes, _)| (covers, bytes)),
             records: state.content.records.iter().map(|(seq, bytes, _)| (*seq, bytes.clone())).collect(),
             torn_tail: state.content.torn_tail.take(),
         };
-        Ok((Self { shelf: shelf.clone(), opening: state.openings, doubt: None }, recovered))
+        Ok((Self { medium: medium.clone(), opening: state.openings, reopen_reason: None }, recovered))
     }
 
-    fn trusted(&self) -> Result<MutexGuard<'_, State>, StoreError> {
-        match &self.doubt {
-            Some(why) => Err(StoreError::ReopenRequired(why.clone())),
-            None => Ok(self.shelf.state()),
+    fn usable_state(&self) -> Result<MutexGuard<'_, State>, StoreError> {
+        match &self.reopen_reason {
+            Some(reason) => Err(StoreError::ReopenRequired(reason.clone())),
+            None => Ok(self.medium.state()),
         }
     }
 }
 
 impl Drop for Memory {
     fn drop(&mut self) {
-        let mut state = self.shelf.state();
-        if state.held == Some(self.opening) {
-            state.held = None;
+        let mut state = self.medium.state();
+        if state.open_by == Some(self.opening) {
+            state.open_by = None;
         }
     }
 }
 
 impl Store for Memory {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
-        let mut state = self.trusted()?;
+        let mut state = self.usable_state()?;
         if record.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: record.len() });
         }
@@ -185,10 +191,10 @@
     }
 
     fn sync(&mut self) -> Result<(), StoreError> {
-        let mut state = self.trusted()?;
+        let mut state = self.usable_state()?;
         if state.sync_fails {
             drop(state);
-            self.doubt = Some("sync: input/output error".into());
+            self.reopen_reason = Some("sync: input/output error".into());
             return Err(StoreError::ReopenRequired("sync: input/output error".into()));
         }
         state.content.synced = state.content.last;
@@ -197,16 +203,16 @@
 
     fn snapshot(&mut self, covers: Seq, bytes: &[u8]) -> Result<(), StoreError> {
         self.sync()?;
-        let mut state = self.trusted()?;
+        let mut state = self.usable_state()?;
         if bytes.len() > RECORD_MAX_BYTES {
             return Err(StoreError::TooLarge { size: bytes.len() });
         }
         if state.full {
             return Err(StoreError::Full);
         }
-        let least = state.content.snapshot.as_ref().map_or(Seq(0), |(covers, ..)| *covers);
-        if covers < least || covers.0 > state.content.last {
-            let what = "a snapshot covers what was appended, and no less than the one before";
+        let previous = state.content.snapshot.as_ref().map_or(Seq(0), |(covers, ..)| *covers);
+        if covers < previous || covers.0 > state.content.last {
+            let what = "a snapshot must cover only appended records, and no fewer than the previous one";
             return Err(StoreError::Io(what.into(), std::io::ErrorKind::InvalidInput.into()));
         }
         state.content.snapshot = Some((covers, bytes.to_vec(), crc32fast::hash(bytes)));
@@ -215,6 +221,6 @@
     }
 
     fn last(&self) -> Seq {
-        Seq(self.shelf.state().content.last)
+        Seq(self.medium.state().content.last)
     }
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,5 +1,5 @@
-//! A simulated disk: it fails when told to, keeps the course of all that was done to it, and makes of any point of that
-//! course what a crash there may leave behind. Files only grow, as a ledger's and a store's do.
+//! A simulated disk. It injects faults, records all operations, and computes the files that a crash after any
+//! of these operations may leave. Its files are append-only, as those of ledgers and stores are.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -7,38 +7,39 @@
 
 use crate::disk::{Disk, LockError};
 
-/// Bytes of a page: what reaches the disk whole or not at all. Small, so that small files have many.
+/// The size of a page, in bytes: the unit that reaches the disk completely or not at all. It is small, so
+/// that small files have many pages.
 pub const PAGE_BYTES: usize = 64;
 
-/// What was done to the disk, in order.
+/// An operation on the disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// A file was made.
+    /// A file was created.
     Create(String),
-    /// Bytes were added to a file.
+    /// Bytes were appended to a file.
     Write(String, Vec<u8>),
     /// A file was synced.
     Sync(String),
-    /// A sync failed: what was not on the disk by then may never be.
+    /// A sync failed: bytes that were not on the disk by then may never get there.
     SyncFailed(String),
-    /// The names were synced.
+    /// The file names were synced.
     SyncDirectory,
     /// A file was removed.
     Remove(String),
-    /// The caller's own mark: something was promised here.
+    /// A mark set by the caller, for example when something became durable.
     Mark(usize),
 }
 
-/// How a call fails.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// No space: nothing is done.
+    /// There is no space: the call has no effect.
     NoSpace,
-    /// An error of the device: half of a write is done, nothing of the rest.
+    /// A device error: a write is done by half, other calls have no effect.
     Io,
-    /// A write does half and says so, which is no error. Other calls are done.
+    /// A write is done by half and reports that, which is no error. Other calls succeed.
     ShortWrite,
-    /// The disk can only be read.
+    /// The disk is read-only.
     ReadOnly,
 }
 
@@ -47,111 +48,114 @@
     files: BTreeMap<String, Vec<u8>>,
     ops: Vec<Op>,
     calls: usize,
-    fails: Vec<(std::ops::Range<usize>, DiskFault)>,
-    /// Makes each call last, to play a slow disk.
-    pause: std::time::Duration,
-    /// Somebody writes here.
+    /// Injected faults, by the numbers of the calls that fail.
+    faults: Vec<(std::ops::Range<usize>, DiskFault)>,
+    /// The duration of each call, to simulate a slow disk.
+    latency: std::time::Duration,
+    /// Whether the directory is locked.
     locked: bool,
-    /// There is no such directory.
+    /// Whether the directory does not exist.
     missing: bool,
-    /// How many bytes more there is space for; as many as one likes where it is none.
-    room: Option<usize>,
+    /// The number of bytes that can still be written; `None` for no limit.
+    space: Option<usize>,
 }
 
-/// The disk; clones share it.
+/// The simulated disk. Clones share its content.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
-/// A file's name stands for its handle.
+/// An open file, identified by its name.
 #[derive(Debug)]
 pub struct SimFile(String);
 
 impl SimDisk {
-    /// A disk with these files, all of them on it for good.
+    /// Creates a disk with these files, whose content counts as synced.
     pub fn with_files(files: BTreeMap<String, Vec<u8>>) -> Self {
         Self(Arc::new(Mutex::new(State { files, ..State::default() })))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // Tests that panic end; nobody goes on with what they left.
+        // A test that panics ends, so that no other code uses the state it left.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets calls of these numbers, counted from 0, fail.
-    pub fn fail(&self, calls: std::ops::Range<usize>, how: DiskFault) {
-        self.state().fails.push((calls, how));
+    /// Injects a fault into the calls with these numbers, counted from 0.
+    pub fn fail(&self, calls: std::ops::Range<usize>, fault: DiskFault) {
+        self.state().faults.push((calls, fault));
     }
 
-    /// Ends all trouble.
+    /// Ends all injected faults.
     pub fn repair(&self) {
         let mut state = self.state();
-        state.fails.clear();
+        state.faults.clear();
         state.missing = false;
-        state.room = None;
-        state.pause = std::time::Duration::ZERO;
+        state.space = None;
+        state.latency = std::time::Duration::ZERO;
     }
 
-    /// Makes every call that writes or syncs take so long.
-    pub fn set_latency(&self, pause: std::time::Duration) {
-        self.state().pause = pause;
+    /// Sets the duration of every call that writes or syncs.
+    pub fn set_latency(&self, latency: std::time::Duration) {
+        self.state().latency = latency;
     }
 
-    /// Leaves space for so many bytes, until the repair. Other than with [`DiskFault::NoSpace`] a write does what it can, and
-    /// syncs and removals are done, as on a disk of the system's.
+    /// Limits the space to this number of further bytes, until [`SimDisk::repair`]. Unlike with
+    /// [`DiskFault::NoSpace`], a write uses the space that is left, and syncs and removals succeed, as on a
+    /// real disk.
     pub fn limit_space(&self, bytes: usize) {
-        self.state().room = Some(bytes);
+        self.state().space = Some(bytes);
     }
 
-    /// Takes the directory away until the repair.
+    /// Makes the directory appear missing, until [`SimDisk::repair`].
     pub fn remove_directory(&self) {
         self.state().missing = true;
     }
 
-    /// Notes that something was promised.
-    pub fn mark(&self, what: usize) {
-        self.state().ops.push(Op::Mark(what));
+    /// Records an [`Op::Mark`].
+    pub fn mark(&self, mark: usize) {
+        self.state().ops.push(Op::Mark(mark));
     }
 
-    /// How many calls there were.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> usize {
         self.state().calls
     }
 
-    /// The course so far.
+    /// Returns the operations so far, in order.
     pub fn ops(&self) -> Vec<Op> {
         self.state().ops.clone()
     }
 
-    /// The files as the system sees them.
+    /// Returns the files as a running process sees them.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         self.state().files.clone()
     }
 
-    /// One call: the trouble that it is in, if any.
+    /// Counts a call and returns the fault injected into it, if any.
     fn call(&self) -> Option<DiskFault> {
-        let (pause, trouble) = {
+        let (latency, fault) = {
             let mut state = self.state();
             let number = state.calls;
             state.calls += 1;
-            let trouble = state.fails.iter().find(|(calls, _)| calls.contains(&number)).map(|(_, how)| *how);
-            (state.pause, trouble)
+            let fault =
+                state.faults.iter().find(|(calls, _)| calls.contains(&number)).map(|(_, fault)| *fault);
+            (state.latency, fault)
         };
-        if !pause.is_zero() {
-            std::thread::sleep(pause);
+        if !latency.is_zero() {
+            std::thread::sleep(latency);
         }
-        trouble
+        fault
     }
 }
 
-fn error(trouble: DiskFault) -> io::Error {
-    match trouble {
+fn error(fault: DiskFault) -> io::Error {
+    match fault {
         DiskFault::NoSpace => io::ErrorKind::StorageFull.into(),
         DiskFault::ReadOnly => io::ErrorKind::ReadOnlyFilesystem.into(),
         DiskFault::Io | DiskFault::ShortWrite => io::Error::other("input/output error"),
     }
 }
 
-/// The right to write to a simulated disk.
+/// The lock of a simulated disk.
 #[derive(Debug)]
 pub struct SimLock(SimDisk);
 
@@ -177,8 +181,8 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<SimFile> {
-        if let Some(trouble) = self.call().filter(|t| *t != DiskFault::ShortWrite) {
-            return Err(error(trouble));
+        if let Some(fault) = self.call().filter(|f| *f != DiskFault::ShortWrite) {
+            return Err(error(fault));
         }
         let mut state = self.state();
         if state.files.contains_key(name) {
@@ -190,19 +194,19 @@
     }
 
     fn append(&mut self, file: &mut SimFile, bytes: &[u8]) -> io::Result<usize> {
-        let trouble = self.call();
-        let count = match trouble {
+        let fault = self.call();
+        let count = match fault {
             None => bytes.len(),
             Some(DiskFault::NoSpace | DiskFault::ReadOnly) => 0,
             Some(DiskFault::Io | DiskFault::ShortWrite) => bytes.len().div_ceil(2),
         };
         let mut state = self.state();
-        let room = state.room.unwrap_or(usize::MAX);
-        if room == 0 && trouble.is_none() {
+        let space = state.space.unwrap_or(usize::MAX);
+        if space == 0 && fault.is_none() {
             return Err(error(DiskFault::NoSpace));
         }
-        let count = count.min(room);
-        state.room = state.room.map(|room| room - count);
+        let count = count.min(space);
+        state.space = state.space.map(|space| space - count);
         let Some(content) = state.files.get_mut(&file.0) else {
             return Err(io::ErrorKind::NotFound.into());
         };
@@ -210,25 +214,25 @@
         if count > 0 {
             state.ops.push(Op::Write(file.0.clone(), bytes[..count].to_vec()));
         }
-        match trouble {
+        match fault {
             None | Some(DiskFault::ShortWrite) => Ok(count),
-            Some(trouble) => Err(error(trouble)),
+            Some(fault) => Err(error(fault)),
         }
     }
 
     fn sync(&mut self, file: &mut SimFile) -> io::Result<()> {
-        let trouble = self.call().filter(|t| *t != DiskFault::ShortWrite);
+        let fault = self.call().filter(|f| *f != DiskFault::ShortWrite);
         let mut state = self.state();
-        state.ops.push(match trouble {
+        state.ops.push(match fault {
             None => Op::Sync(file.0.clone()),
             Some(_) => Op::SyncFailed(file.0.clone()),
         });
-        trouble.map_or(Ok(()), |t| Err(error(t)))
+        fault.map_or(Ok(()), |f| Err(error(f)))
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        if let Some(trouble) = self.call().filter(|t| *t != DiskFault::ShortWrite) {
-            return Err(error(trouble));
+        if let Some(fault) = self.call().filter(|f| *f != DiskFault::ShortWrite) {
+            return Err(error(fault));
         }
         self.state().ops.push(Op::SyncDirectory);
         Ok(())
@@ -248,8 +252,8 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if let Some(trouble) = self.call().filter(|t| *t != DiskFault::ShortWrite) {
-            return Err(error(trouble));
+        if let Some(fault) = self.call().filter(|f| *f != DiskFault::ShortWrite) {
+            return Err(error(fault));
         }
         let mut state = self.state();
         state.files.remove(name).ok_or(io::ErrorKind::NotFound)?;
@@ -258,30 +262,33 @@
     }
 }
 
-/// What a crash takes.
+/// Which data a crash loses.
 pub enum Loss<'a> {
-    /// The process died: all that it wrote is there.
+    /// The process was killed: everything that it wrote is kept.
     Process,
-    /// Power went: of each file there is what was synced, and of the names those that were.
+    /// Power loss: only synced content and synced file names are kept.
     All,
-    /// Power went: of what was not synced these pages are there, by file and page; the others read as zeros. Names are all
-    /// there.
+    /// Power loss: of the content that was not synced, only the pages that the function selects by file name
+    /// and page number are kept; the others read as zeros. All file names are kept.
     Pages(&'a mut dyn FnMut(&str, usize) -> bool),
-    /// Power went: of what was not synced so many bytes of each file are there. Names are all there.
+    /// Power loss: of the content that was not synced, this number of bytes of each file is kept. All file
+    /// names are kept.
     Prefix(usize),
 }
 
-/// The files after a crash behind these operations; of the last one, where it is a write, only `torn` bytes had been done.
+/// Returns the files after a crash that follows these operations. If the last one is a write and `torn` is
+/// given, only that number of its bytes was written.
 pub fn files_after_crash(ops: &[Op], torn: Option<usize>, mut loss: Loss<'_>) -> BTreeMap<String, Vec<u8>> {
     #[derive(Default)]
     struct File {
         content: Vec<u8>,
         synced: usize,
-        doubted: bool,
+        /// Whether a sync failed, after which later syncs are ineffective.
+        sync_failed: bool,
     }
     let mut files: BTreeMap<&str, File> = BTreeMap::new();
-    // Names on the disk, and files that are gone but whose names may still be there.
-    let (mut named, mut gone): (BTreeSet<&str>, BTreeMap<&str, File>) = Default::default();
+    // The synced file names, and removed files whose names may still be on the disk.
+    let (mut synced_names, mut removed): (BTreeSet<&str>, BTreeMap<&str, File>) = Default::default();
     for (n, op) in ops.iter().enumerate() {
         match op {
             Op::Create(name) => {
@@ -294,48 +301,48 @@
                 }
             }
             Op::Sync(name) => {
-                if let Some(file) = files.get_mut(name.as_str()).filter(|f| !f.doubted) {
+                if let Some(file) = files.get_mut(name.as_str()).filter(|f| !f.sync_failed) {
                     file.synced = file.content.len();
                 }
             }
             Op::SyncFailed(name) => {
                 if let Some(file) = files.get_mut(name.as_str()) {
-                    file.doubted = true;
+                    file.sync_failed = true;
                 }
             }
             Op::SyncDirectory => {
-                named = files.keys().copied().collect();
-                gone.clear();
+                synced_names = files.keys().copied().collect();
+                removed.clear();
             }
             Op::Remove(name) => {
                 if let Some(file) = files.remove(name.as_str()) {
-                    gone.insert(name, file);
+                    removed.insert(name, file);
                 }
             }
             Op::Mark(_) => {}
         }
     }
     if matches!(loss, Loss::All) {
-        files.retain(|name, _| named.contains(name));
-        files.extend(gone.into_iter().filter(|(name, _)| named.contains(name)));
+        files.retain(|name, _| synced_names.contains(name));
+        files.extend(removed.into_iter().filter(|(name, _)| synced_names.contains(name)));
     }
-    let mut left = BTreeMap::new();
+    let mut remaining = BTreeMap::new();
     for (name, file) in files {
         let File { mut content, synced, .. } = file;
         match &mut loss {
             Loss::Process => {}
             Loss::All => content.truncate(synced),
             Loss::Prefix(count) => content.truncate(synced + *count),
-            Loss::Pages(there) => {
+            Loss::Pages(is_kept) => {
                 for page in synced / PAGE_BYTES..content.len().div_ceil(PAGE_BYTES) {
-                    if !there(name, page) {
+                    if !is_kept(name, page) {
                         let end = ((page + 1) * PAGE_BYTES).min(content.len());
                         content[(page * PAGE_BYTES).max(synced)..end].fill(0);
                     }
                 }
             }
         }
-        left.insert(name.to_string(), content);
+        remaining.insert(name.to_string(), content);
     }
-    left
+    remaining
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,67 +1,71 @@
-//! The seam: what a store does for its user, and how it refuses.
+//! The interface of stores, and their errors.
 
 use std::fmt;
 use std::io;
 
-/// The largest record or snapshot, in bytes: one is held in memory whole, and a node has from 32 MB on.
+/// The maximum size of a record or snapshot, in bytes: a whole one is held in memory, and a node may have as
+/// little as 32 MB.
 pub const RECORD_MAX_BYTES: usize = 8 << 20;
 
-/// A record's number: the first is 1, and each is one more than the one before, over restarts and snapshots.
+/// The sequence number of a record. The first is 1 and each is one more than the previous one, across
+/// restarts and snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Seq(pub u64);
 
-/// What a store held when it was opened.
+/// The content of a store when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The snapshot, and the last record that it covers.
+    /// The last record that the snapshot covers, and the snapshot.
     pub snapshot: Option<(Seq, Vec<u8>)>,
-    /// The records behind it, in order, without a gap.
+    /// The records after the snapshot, in order and without gaps.
     pub records: Vec<(Seq, Vec<u8>)>,
-    /// What was found torn at the end and cut, if anything.
+    /// The torn tail that was found and cut, if any.
     pub torn_tail: Option<TornTail>,
 }
 
-/// A torn tail that was cut: bytes that were never promised.
+/// A torn tail that was cut: bytes that were never synced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// In which file.
+    /// The name of the file.
     pub file: String,
-    /// Where the last whole record ended.
+    /// The offset at which the last intact record ends.
     pub at: u64,
-    /// How many bytes were dropped.
+    /// The number of bytes dropped.
     pub bytes: u64,
 }
 
-/// Why a store refused.
+/// Why a store refused an operation.
 #[derive(Debug)]
 pub enum StoreError {
-    /// Larger than [`RECORD_MAX_BYTES`]; nothing was written.
+    /// The record or snapshot is larger than [`RECORD_MAX_BYTES`]; nothing was written.
     TooLarge {
-        /// Its size in bytes.
+        /// Its size, in bytes.
         size: usize,
     },
-    /// No space: nothing was promised, what was synced stays, and another try may succeed.
+    /// There is no space. The data was not stored, synced data is not affected, and another attempt may
+    /// succeed.
     Full,
-    /// It can only be read.
+    /// The store is read-only.
     ReadOnly,
-    /// There is no such directory.
+    /// The directory does not exist.
     MissingDirectory(String),
-    /// Another process has it open.
+    /// Another process has the store open.
     Locked(String),
-    /// It is the store of another owner, named here.
+    /// The store belongs to another owner, named here.
     OtherOwner(String),
-    /// What was synced once is damaged (a flipped bit, a missing file): the store does not open, and says where.
+    /// Synced data is damaged (a flipped bit, a missing file). The store does not open.
     Corrupted {
-        /// In which file.
+        /// The name of the file.
         file: String,
-        /// At which byte of it.
+        /// The offset of the damage in the file.
         at: u64,
-        /// What is wrong there.
+        /// Describes the damage.
         what: String,
     },
-    /// An earlier error left unknown what is on the disk; the store has to be opened again before anything is promised.
+    /// After an earlier error, described here, it is unknown what is on the disk. The store has to be
+    /// reopened before it can be used.
     ReopenRequired(String),
-    /// The system's word.
+    /// An error of a system call, with a description of the operation.
     Io(String, io::Error),
 }
 
@@ -69,15 +73,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLarge { size } => {
-                write!(f, "a record of {size} bytes, at most {RECORD_MAX_BYTES} are stored")
+                write!(f, "record of {size} bytes is larger than the maximum of {RECORD_MAX_BYTES}")
             }
             Self::Full => write!(f, "no space left for a record"),
-            Self::ReadOnly => write!(f, "the store can only be read"),
-            Self::MissingDirectory(path) => write!(f, "{path}: there is no such directory"),
-            Self::Locked(by) => write!(f, "the store is held by {by}"),
-            Self::OtherOwner(name) => write!(f, "this is the store of {name}"),
+            Self::ReadOnly => write!(f, "the store is read-only"),
+            Self::MissingDirectory(path) => write!(f, "{path}: no such directory"),
+            Self::Locked(by) => write!(f, "the store is locked by {by}"),
+            Self::OtherOwner(name) => write!(f, "the store belongs to {name}"),
             Self::Corrupted { file, at, what } => write!(f, "{file}: byte {at}: {what}"),
-            Self::ReopenRequired(why) => write!(f, "the store must be opened again: {why}"),
+            Self::ReopenRequired(why) => write!(f, "the store must be reopened: {why}"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
     }
@@ -85,27 +89,30 @@
 
 impl std::error::Error for StoreError {}
 
-/// Records and snapshots. Opening is each store's own matter and gives [`Recovered`].
+/// Stores records and snapshots. Each implementation has its own function to open it, which returns
+/// [`Recovered`].
 pub trait Store {
-    /// Adds a record. It is promised only when [`Store::sync`] has returned after it.
+    /// Appends a record. It is durable only after the next [`Store::sync`] has returned.
     ///
     /// # Errors
-    /// See [`StoreError`]; a record that was refused is not there after any crash, in whole or in part.
+    /// See [`StoreError`]. After a crash no part of a refused record is present.
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError>;
 
-    /// Waits until all that was appended outlives a loss of power.
+    /// Waits until all appended records would survive a power loss.
     ///
     /// # Errors
-    /// See [`StoreError`]. After [`StoreError::ReopenRequired`] nothing is known of what was appended since the last sync.
+    /// See [`StoreError`]. After [`StoreError::ReopenRequired`] the state of the records appended since the
+    /// last sync is unknown.
     fn sync(&mut self) -> Result<(), StoreError>;
 
-    /// Puts `state` in the place of all records up to and with `covers`, which must have been synced, and drops them. When
-    /// this returns, the snapshot outlives a loss of power; a crash before leaves what was there.
+    /// Replaces all records up to and including `covers`, which must have been synced, by the snapshot
+    /// `state`. The snapshot is durable when this returns; a crash before that leaves the former content.
     ///
     /// # Errors
-    /// See [`StoreError`]; then the earlier snapshot and all records still hold.
+    /// See [`StoreError`]; the former snapshot and all records are kept in that case.
     fn snapshot(&mut self, covers: Seq, state: &[u8]) -> Result<(), StoreError>;
 
-    /// The number of the last record appended; that of the snapshot's last where none came behind it.
+    /// Returns the number of the last appended record, or of the last one that the snapshot covers if there
+    /// are none after it.
     fn last(&self) -> Seq;
 }
