--- a/crates/transport/src/envelope/tests.rs
+++ b/crates/transport/src/envelope/tests.rs
@@ -40,14 +40,21 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(28), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn encoded_messages_decode_to_the_same(session: u64, number: u64, body in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn encoded_messages_decode_to_the_same(
+        session: u64,
+        number: u64,
+        body in prop::collection::vec(any::<u8>(), 0..300)
+    ) {
         let header = header("lhr-1", session, number);
         let wire = encode(&header, &body);
         prop_assert_eq!(decode(&wire), Ok((header, &body[..])));
     }
 
     #[test]
-    fn arbitrary_input_is_an_error_and_never_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), sum: bool) {
+    fn arbitrary_input_is_an_error_and_never_a_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..300),
+        sum: bool
+    ) {
         let mut bytes = bytes;
         if sum && bytes.len() >= HEADER_OFFSET {
             // A forged message: the version and the checksum are right, the rest is arbitrary.
