--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -5,8 +5,11 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use magpietally_ledger::guard::may_ask_again;
-use magpietally_ledger::{Draft, How, KeyDigest, Pending, Right, Told, Trouble, Why};
+use magpietally_ledger::guard::is_safe_to_retry;
+use magpietally_ledger::{
+    AttemptOutcome, FinalOutcome, IntentError, KeyDigest, NewIntent, PendingIntent, RejectionReason,
+    RepeatRule,
+};
 use magpietally_policy::{DedupScope, Effect, Event, Millis, Outcome, RequestId, ServerId};
 use tokio::time::timeout_at;
 
@@ -25,15 +28,15 @@
     /// The fleet-wide quota of its tenant is used up. The client can safely retry after this time.
     OverQuota(Millis),
     /// According to the ledger, an attempt by an earlier incarnation of this node may have run.
-    Failed(Why),
+    Failed(RejectionReason),
 }
 
 /// What a class may do without the ledger.
-pub(crate) fn right(effect: Effect) -> Right {
+pub(crate) fn right(effect: Effect) -> RepeatRule {
     match effect {
-        Effect::Safe => Right::Any,
-        Effect::Unsafe => Right::Once,
-        Effect::Keyed { scope, memory } => Right::Keyed {
+        Effect::Safe => RepeatRule::Any,
+        Effect::Unsafe => RepeatRule::Once,
+        Effect::Keyed { scope, memory } => RepeatRule::Keyed {
             everywhere: scope == DedupScope::All,
             // A span too long for the integer saturates, which is longer than any clock runs.
             span_us: (memory * 1000.0) as u64,
@@ -41,19 +44,19 @@
     }
 }
 
-fn attempt_outcome(outcome: Outcome) -> How {
+fn attempt_outcome(outcome: Outcome) -> AttemptOutcome {
     match outcome {
-        Outcome::Done => How::Done,
-        Outcome::Error => How::Error,
-        Outcome::Full => How::Full,
-        Outcome::TimedOut => How::TimedOut,
-        Outcome::Unheard => How::Unheard,
-        Outcome::ConnectFailed => How::ConnectFailed,
-        Outcome::Unwritten => How::Unwritten,
-        Outcome::Reset => How::Reset,
-        Outcome::Cancelled => How::Cancelled,
-        Outcome::NotSent => How::NotSent,
-        Outcome::Rejected => How::Rejected,
+        Outcome::Done => AttemptOutcome::Done,
+        Outcome::Error => AttemptOutcome::Error,
+        Outcome::Full => AttemptOutcome::Full,
+        Outcome::TimedOut => AttemptOutcome::TimedOut,
+        Outcome::Unheard => AttemptOutcome::Unheard,
+        Outcome::ConnectFailed => AttemptOutcome::ConnectFailed,
+        Outcome::Unwritten => AttemptOutcome::Unwritten,
+        Outcome::Reset => AttemptOutcome::Reset,
+        Outcome::Cancelled => AttemptOutcome::Cancelled,
+        Outcome::NotSent => AttemptOutcome::NotSent,
+        Outcome::Rejected => AttemptOutcome::Rejected,
     }
 }
 
@@ -62,9 +65,9 @@
     /// none of its attempts can have run.
     pub(crate) fn unserved(&self, open: &OpenRequest<C::Request, C::Reply>) -> Answer<C::Reply> {
         // An attempt still in flight may run.
-        let ended: Option<Vec<How>> =
+        let ended: Option<Vec<AttemptOutcome>> =
             open.attempts.iter().map(|a| a.ended.map(|(outcome, ..)| attempt_outcome(outcome))).collect();
-        if ended.is_some_and(may_ask_again) {
+        if ended.is_some_and(is_safe_to_retry) {
             Answer::Refused(self.epochs.newest().retry_after(open.class))
         } else {
             Answer::Failed
@@ -84,30 +87,30 @@
         if !right.needs_intent() {
             return Ok(());
         }
-        if ledger.standing().is_err() {
+        if ledger.check_available().is_err() {
             let state = &mut *self.state.borrow_mut();
             state.counts.refused += 1;
             return Err(Rejection::Refused(state.epochs.newest().retry_after(request.class)));
         }
         // There is something to look up only if attempts were in flight when a node died.
-        if ledger.unknown() == 0 {
+        if ledger.unknown_count() == 0 {
             return Ok(());
         }
         let left = deadline.saturating_duration_since(Instant::now());
-        ledger.judge(right, &request.id, self.key(right, &request.request), left).map_err(|reason| {
+        ledger.check_repeat(right, &request.id, self.key(right, &request.request), left).map_err(|reason| {
             self.state.borrow_mut().counts.failed += 1;
-            tracing::warn!(target: "ledger", "{} is not sent: {}", request.id, reason.word());
+            tracing::warn!(target: "ledger", "{} is not sent: {}", request.id, reason.as_str());
             Rejection::Failed(reason)
         })
     }
 
     /// What a class may do without the ledger.
-    pub(crate) fn right(&self, class: usize) -> Right {
-        self.rights.borrow().get(class).copied().unwrap_or(Right::Once)
+    pub(crate) fn right(&self, class: usize) -> RepeatRule {
+        self.rights.borrow().get(class).copied().unwrap_or(RepeatRule::Once)
     }
 
-    fn key(&self, right: Right, request: &C::Request) -> Option<KeyDigest> {
-        let keyed = matches!(right, Right::Keyed { .. });
+    fn key(&self, right: RepeatRule, request: &C::Request) -> Option<KeyDigest> {
+        let keyed = matches!(right, RepeatRule::Keyed { .. });
         request.key().filter(|_| keyed).map(KeyDigest::of)
     }
 
@@ -117,15 +120,15 @@
         state: &State<C>,
         id: RequestId,
         server: ServerId,
-    ) -> Result<Pending, Trouble> {
+    ) -> Result<PendingIntent, IntentError> {
         let (Some(ledger), Some(open)) = (&self.ledger, state.requests.get(id)) else {
-            return Err(Trouble::Closed);
+            return Err(IntentError::Closed);
         };
         let right = self.right(open.class);
         let name = |names: &[String], at: Option<usize>| {
             at.and_then(|at| names.get(at)).cloned().unwrap_or_default()
         };
-        ledger.intent(Draft {
+        ledger.record_intent(NewIntent {
             id: open.id.clone(),
             class: name(&self.classes, Some(open.class)),
             tenant: name(&self.tenants, open.tenant),
@@ -143,11 +146,11 @@
         &self,
         id: RequestId,
         attempt: usize,
-        pending: Result<Pending, Trouble>,
+        pending: Result<PendingIntent, IntentError>,
         end: Instant,
     ) -> bool {
-        let Ok(Pending { promised, .. }) = pending else { return false };
-        if !matches!(timeout_at(end.into(), promised).await, Ok(Ok(true))) {
+        let Ok(PendingIntent { confirmed, .. }) = pending else { return false };
+        if !matches!(timeout_at(end.into(), confirmed).await, Ok(Ok(true))) {
             return false;
         }
         let mut state = self.state.borrow_mut();
@@ -184,16 +187,16 @@
     pub(crate) fn record_outcome(&self, intent: Intent, outcome: Outcome) {
         if let Some(ledger) = &self.ledger {
             // An attempt cancelled before its intent was confirmed was not sent.
-            let ended = if intent.confirmed { attempt_outcome(outcome) } else { How::NotSent };
-            ledger.outcome(intent.number, ended);
+            let ended = if intent.confirmed { attempt_outcome(outcome) } else { AttemptOutcome::NotSent };
+            ledger.record_outcome(intent.number, ended);
         }
     }
 
     /// Records the final outcome of a request that had an attempt in the ledger.
-    pub(crate) fn record_final_outcome(&self, state: &State<C>, id: RequestId, outcome: Told) {
+    pub(crate) fn record_final_outcome(&self, state: &State<C>, id: RequestId, outcome: FinalOutcome) {
         let Some(ledger) = &self.ledger else { return };
         if let (Some(intent), Some(open)) = (state.requests.last_intent(id), state.requests.get(id)) {
-            ledger.told(intent, &open.id, outcome);
+            ledger.record_final_outcome(intent, &open.id, outcome);
         }
     }
 }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use magpietally_ledger::{Ledger, Right, Told};
+use magpietally_ledger::{FinalOutcome, Ledger, RepeatRule};
 use magpietally_policy::{
     Action, Balancer, Event, Millis, Outcome, RequestId, ServerId, Settings, SettingsError,
 };
@@ -82,7 +82,7 @@
     pub(crate) classes: Vec<String>,
     pub(crate) tenants: Vec<String>,
     /// What each class may do without the ledger.
-    pub(crate) rights: RefCell<Vec<Right>>,
+    pub(crate) rights: RefCell<Vec<RepeatRule>>,
     pub(crate) ledger: Option<Ledger>,
     admission: Option<Arc<dyn AdmissionControl>>,
     /// The initial settings, for policy versions without settings of their own.
@@ -235,7 +235,7 @@
         let state = &mut *self.state.borrow_mut();
         let StatusCounts { served, refused, failed, gone, attempts } = std::mem::take(&mut state.counts);
         let status = state.epochs.newest().status();
-        let ledger_up = self.ledger.as_ref().is_none_or(|ledger| ledger.standing().is_ok());
+        let ledger_up = self.ledger.as_ref().is_none_or(|ledger| ledger.check_available().is_ok());
         if served + refused + failed + gone == 0 && status.open == 0 && ledger_up {
             return;
         }
@@ -243,7 +243,8 @@
         let (held, open, fleet, budget) =
             (status.queued, status.open, status.fleet_factor, status.retry_budget);
         let (connections, label) = (self.transport.connection_count(), &self.label);
-        let ledger = self.ledger.as_ref().map_or(String::new(), |ledger| format!("; {}", ledger.line()));
+        let ledger =
+            self.ledger.as_ref().map_or(String::new(), |ledger| format!("; {}", ledger.status_line()));
         let list =
             if state.epochs.newest().is_list_stale() { "; list out of date, nothing sent" } else { "" };
         tracing::info!(
@@ -446,7 +447,7 @@
             }
             if state.requests.close(id).is_some() {
                 state.counts.gone += 1;
-                self.record_final_outcome(&state, id, Told::Abandoned);
+                self.record_final_outcome(&state, id, FinalOutcome::Abandoned);
                 self.log_limiter.log(|| self.log_request(&state, id, "client gone"));
             }
         }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use magpietally_ledger::{Right, Told};
+use magpietally_ledger::{FinalOutcome, RepeatRule};
 use magpietally_policy::{Millis, Outcome, RequestId, ServerId};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -38,12 +38,12 @@
         }
     }
 
-    pub(crate) fn final_outcome(&self) -> Told {
+    pub(crate) fn final_outcome(&self) -> FinalOutcome {
         match self {
-            Self::Served(_) => Told::Served,
-            Self::Refused(_) => Told::Refused,
-            Self::Failed => Told::Failed,
-            Self::Rejected => Told::Rejected,
+            Self::Served(_) => FinalOutcome::Served,
+            Self::Refused(_) => FinalOutcome::Refused,
+            Self::Failed => FinalOutcome::Failed,
+            Self::Rejected => FinalOutcome::Rejected,
         }
     }
 }
@@ -83,8 +83,8 @@
 impl<Request, Reply> OpenRequest<Request, Reply> {
     /// Until when servers still recognize a repeat by its idempotency key. The time starts with the first
     /// attempt that may have run.
-    pub(crate) fn deduplicated_until(&self, right: Right) -> Option<Instant> {
-        let Right::Keyed { span_us, .. } = right else { return None };
+    pub(crate) fn deduplicated_until(&self, right: RepeatRule) -> Option<Instant> {
+        let RepeatRule::Keyed { span_us, .. } = right else { return None };
         let first = self.attempts.iter().find(|a| !a.never_ran())?.sent;
         // A span too long for the clock never ends.
         first.checked_add(Duration::from_micros(span_us))
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -10,11 +10,11 @@
 use magpietally_core::{Answer, ClientRequest, Core, Rejection, Setup};
 use magpietally_ledger::dir::{recover, Reach};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::record::{How, Record};
+use magpietally_ledger::record::{AttemptOutcome, Record};
 use magpietally_ledger::recover::Bounds;
 use magpietally_ledger::segment::Owner;
 use magpietally_ledger::sim::{DiskFault, SimDisk};
-use magpietally_ledger::{Ledger, Options, Running, Told};
+use magpietally_ledger::{FinalOutcome, Ledger, Options, WriterHandle};
 use magpietally_policy::Outcome;
 
 const OWNER: Owner = Owner([7; 16]);
@@ -36,7 +36,7 @@
     core: Rc<Core<TestTransport>>,
     disk: SimDisk,
     ledger: Ledger,
-    running: Running,
+    running: WriterHandle,
 }
 
 impl TestNode {
@@ -129,8 +129,12 @@
         // The intent of the first request fails on the full disk; the next requests are rejected on arrival.
         let first = node.submit(UNSAFE, "1").expect("the failure is not known yet").await;
         assert!(matches!(first, Answer::Refused(after) if after > 0.0), "{first:?}");
-        assert_eq!(node.ledger.standing(), Err(magpietally_ledger::Trouble::Down));
-        assert!(node.ledger.line().starts_with("ledger down (write: "), "{}", node.ledger.line());
+        assert_eq!(node.ledger.check_available(), Err(magpietally_ledger::IntentError::Down));
+        assert!(
+            node.ledger.status_line().starts_with("ledger down (write: "),
+            "{}",
+            node.ledger.status_line()
+        );
         for (class, id) in [(UNSAFE, "2"), (KEYED, "3")] {
             match node.submit(class, id) {
                 Err(Rejection::Refused(after)) => assert!(after > 0.0),
@@ -141,7 +145,7 @@
         assert!(matches!(node.submit(SAFE, "4").expect("accepted").await, Answer::Served(())));
         assert_eq!(node.sent(), 1, "no attempt that needs an intent was sent");
         node.disk.repair();
-        until(|| node.ledger.standing().is_ok()).await;
+        until(|| node.ledger.check_available().is_ok()).await;
         assert!(matches!(node.submit(UNSAFE, "5").expect("accepted").await, Answer::Served(())));
         let recorded = node.close();
         assert!(!recorded.contains_key("2") && recorded["5"].len() == 3, "{recorded:?}");
@@ -157,7 +161,7 @@
         node.disk.fail(node.disk.calls() + 1..node.disk.calls() + 2, DiskFault::Io);
         assert!(matches!(node.submit(KEYED, "1").expect("accepted").await, Answer::Refused(_)));
         assert_eq!(node.sent(), 0);
-        until(|| node.ledger.standing().is_ok()).await;
+        until(|| node.ledger.check_available().is_ok()).await;
         assert!(matches!(node.submit(KEYED, "2").expect("accepted").await, Answer::Served(())));
     });
 }
@@ -172,7 +176,7 @@
         let request = ClientRequest { id: "1".into(), class: UNSAFE, tenant: None, request: Request("k") };
         let (_, waits) =
             node.core.submit(request, Instant::now() + Duration::from_millis(400)).expect("accepted");
-        until(|| node.ledger.standing() == Err(magpietally_ledger::Trouble::Slow)).await;
+        until(|| node.ledger.check_available() == Err(magpietally_ledger::IntentError::Slow)).await;
         assert!(matches!(node.submit(UNSAFE, "2"), Err(Rejection::Refused(_))));
         assert!(matches!(node.submit(SAFE, "3").expect("accepted").await, Answer::Served(())));
         let answer = waits.await.expect("a final answer");
@@ -210,8 +214,8 @@
         until(|| node.sent() == 1).await;
         node.core.client_gone(id);
         let recorded = &node.close()["1"];
-        assert!(recorded.contains(&format!("final {:?}", Told::Abandoned)), "{recorded:?}");
-        let cancelled = recorded.contains(&format!("{:?}", How::Cancelled));
+        assert!(recorded.contains(&format!("final {:?}", FinalOutcome::Abandoned)), "{recorded:?}");
+        let cancelled = recorded.contains(&format!("{:?}", AttemptOutcome::Cancelled));
         assert!(cancelled || recorded.len() == 2, "an attempt not cancelled is still open: {recorded:?}");
     });
 }
--- a/crates/http/src/clients/response.rs
+++ b/crates/http/src/clients/response.rs
@@ -115,9 +115,9 @@
             return response;
         }
         Err(Rejection::Failed(reason)) => {
-            log_refusal(node, stream, reason.word());
+            log_refusal(node, stream, reason.as_str());
             let mut response = empty_response(StatusCode::BAD_GATEWAY);
-            response.headers_mut().insert(X_FAILED_BECAUSE, HeaderValue::from_static(reason.word()));
+            response.headers_mut().insert(X_FAILED_BECAUSE, HeaderValue::from_static(reason.as_str()));
             return response;
         }
     };
--- a/crates/ledger/examples/speed.rs
+++ b/crates/ledger/examples/speed.rs
@@ -11,10 +11,12 @@
 use magpietally_ledger::dir::{recover, Reach};
 use magpietally_ledger::disk::Folder;
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::record::{encode, Final, How, Intent, KeyDigest, Now, Outcome, Record, Salt, Told};
+use magpietally_ledger::record::{
+    encode, AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Salt, Timestamp,
+};
 use magpietally_ledger::recover::Bounds;
 use magpietally_ledger::segment::Owner;
-use magpietally_ledger::{Draft, Ledger, Options};
+use magpietally_ledger::{Ledger, NewIntent, Options};
 
 type Failure = Box<dyn std::error::Error>;
 
@@ -39,7 +41,7 @@
 
 /// The records of a request: its intent, its outcome, its answer. One in 50,000 has none but the intent.
 fn request(n: u64) -> Vec<Record> {
-    let at = Now { wall_us: 1_800_000_000_000_000 + n, mono_us: n };
+    let at = Timestamp { wall_us: 1_800_000_000_000_000 + n, mono_us: n };
     let id = format!("txn-{n:016x}");
     let intent = Record::Intent(Intent {
         number: n,
@@ -57,8 +59,8 @@
     if n % 50_000 == 7 {
         return vec![intent];
     }
-    let outcome = Record::Outcome(Outcome { intent: n, how: How::Done, at });
-    vec![intent, outcome, Record::Final(Final { intent: n, id, told: Told::Served, at })]
+    let outcome = Record::Outcome(Outcome { intent: n, how: AttemptOutcome::Done, at });
+    vec![intent, outcome, Record::Final(Final { intent: n, id, told: FinalOutcome::Served, at })]
 }
 
 fn keeping(promise: Promise) -> Keeping {
@@ -95,7 +97,7 @@
 
 fn journal(own: &Own, promise: Promise) -> Result<Journal<Folder>, Failure> {
     let (mut journal, _) = Journal::open(Folder::new(&own.0), OWNER, keeping(promise))?;
-    journal.heal(Now::default())?;
+    journal.heal(Timestamp::default())?;
     Ok(journal)
 }
 
@@ -112,7 +114,7 @@
         let mut journal = journal(&own, Promise::ProcessCrash)?;
         let began = Instant::now();
         for (n, batch) in records.chunks(batch).enumerate() {
-            let now = Now { wall_us: n as u64, mono_us: n as u64 };
+            let now = Timestamp { wall_us: n as u64, mono_us: n as u64 };
             journal.commit(batch, now).map_err(|e| format!("{e:?}"))?;
         }
         let bytes = journal.done().bytes;
@@ -155,7 +157,7 @@
     let began = Instant::now();
     let (mut count, mut busy) = (0u64, 0u64);
     while count < WRITTEN / 3 {
-        let draft = Draft {
+        let draft = NewIntent {
             id: format!("txn-{count:016x}"),
             class: "signup".into(),
             tenant: "punjab-clubs".into(),
@@ -165,10 +167,10 @@
             server_start_ms: 0,
             left: Duration::from_secs(1),
         };
-        match ledger.intent(draft) {
+        match ledger.record_intent(draft) {
             Ok(pending) => {
-                ledger.outcome(pending.number, How::Done);
-                ledger.told(pending.number, "txn", Told::Served);
+                ledger.record_outcome(pending.number, AttemptOutcome::Done);
+                ledger.record_final_outcome(pending.number, "txn", FinalOutcome::Served);
                 count += 1;
             }
             Err(_) => {
@@ -194,7 +196,7 @@
         while began.elapsed() < SYNCING {
             let records: Vec<Record> = (0..batch).flat_map(|k| request(n + k + 8)).collect();
             n += batch;
-            journal.commit(&records, Now { wall_us: n, mono_us: n }).map_err(|e| format!("{e:?}"))?;
+            journal.commit(&records, Timestamp { wall_us: n, mono_us: n }).map_err(|e| format!("{e:?}"))?;
             commits += 1;
         }
         let took = began.elapsed();
@@ -228,7 +230,7 @@
         let records: Vec<Record> = (0..320).flat_map(|k| request(n + k)).collect();
         n += 320;
         written += records.len() as u64;
-        journal.commit(&records, Now { wall_us: n, mono_us: n }).map_err(|e| format!("{e:?}"))?;
+        journal.commit(&records, Timestamp { wall_us: n, mono_us: n }).map_err(|e| format!("{e:?}"))?;
     }
     let (bytes, open) = (journal.done().bytes, journal.truth().open().len());
     drop(journal);
--- a/crates/ledger/src/guard.rs
+++ b/crates/ledger/src/guard.rs
@@ -5,12 +5,12 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::record::{Fate, How, KeyDigest, Now};
+use crate::record::{AttemptOutcome, Execution, KeyDigest, Timestamp};
 use crate::truth::Open;
 
 /// What a class may do without the ledger.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Right {
+pub enum RepeatRule {
     /// It may run any number of times: the ledger is not asked.
     Any,
     /// Servers drop a repeat by its key.
@@ -25,7 +25,7 @@
     Once,
 }
 
-impl Right {
+impl RepeatRule {
     /// Must an attempt have its intent written?
     pub fn needs_intent(self) -> bool {
         self != Self::Any
@@ -34,7 +34,7 @@
 
 /// Why a request is answered as failed without an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectionReason {
     /// A request with this id was out when the node died: it may have run, and may run once.
     IdMayHaveRun,
     /// A request with this key was out when the node died, and the servers may have forgotten it by the time of a repeat.
@@ -45,9 +45,9 @@
     KeyNotTrusted,
 }
 
-impl Why {
+impl RejectionReason {
     /// One word, for the answer to the client.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::IdMayHaveRun => "id-may-have-run",
             Self::KeyOutOfSpan => "key-out-of-span",
@@ -59,29 +59,29 @@
 
 /// Why nothing that needs an intent is taken at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum IntentError {
     /// The disk failed, and is not back yet.
     Down,
     /// What is being written takes too long.
     Slow,
     /// Too many intents wait to be written.
-    Busy,
+    QueueFull,
     /// As many intents are open as may be; those of earlier lives await an operator's word.
-    Overfull,
+    TooManyOpen,
     /// Its id is longer than a record may hold.
-    LongId,
+    IdTooLong,
     /// The node ends.
     Closed,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for IntentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Down => "down",
             Self::Slow => "slow",
-            Self::Busy => "busy",
-            Self::Overfull => "overfull",
-            Self::LongId => "id too long",
+            Self::QueueFull => "busy",
+            Self::TooManyOpen => "overfull",
+            Self::IdTooLong => "id too long",
             Self::Closed => "closed",
         })
     }
@@ -120,17 +120,17 @@
     ///
     /// # Errors
     /// Why not; of several reasons the one that lasts longest.
-    pub fn admits(&self, bounds: &Bounds) -> Result<(), Trouble> {
+    pub fn admits(&self, bounds: &Bounds) -> Result<(), IntentError> {
         if self.closed {
-            Err(Trouble::Closed)
+            Err(IntentError::Closed)
         } else if self.down {
-            Err(Trouble::Down)
+            Err(IntentError::Down)
         } else if self.over || self.open + self.waiting >= bounds.open {
-            Err(Trouble::Overfull)
+            Err(IntentError::TooManyOpen)
         } else if self.writes_for.is_some_and(|span| span > bounds.stall) {
-            Err(Trouble::Slow)
+            Err(IntentError::Slow)
         } else if self.waiting >= bounds.waiting {
-            Err(Trouble::Busy)
+            Err(IntentError::QueueFull)
         } else {
             Ok(())
         }
@@ -138,22 +138,22 @@
 }
 
 /// Is it harmless to ask again for a request none of whose attempts is out, as these ended? Only where none may have run.
-pub fn may_ask_again(ended: impl IntoIterator<Item = How>) -> bool {
-    ended.into_iter().all(|how| how.fate() == Fate::Never)
+pub fn is_safe_to_retry(ended: impl IntoIterator<Item = AttemptOutcome>) -> bool {
+    ended.into_iter().all(|how| how.execution() == Execution::Never)
 }
 
 /// What is known of a key that was out when the node died.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     /// The earliest send that is known.
-    at: Now,
+    at: Timestamp,
     trusted: bool,
 }
 
 impl Sent {
     /// For how long at least it has been sent, in microseconds; `None` where the clocks do not say. The wall clock may have been
     /// set back since, and the machine's own begins anew when that starts: the longer of both is believed.
-    fn age_us(&self, now: Now) -> Option<u64> {
+    fn age_us(&self, now: Timestamp) -> Option<u64> {
         let by_wall = now.wall_us.checked_sub(self.at.wall_us)?;
         let by_boot = now.mono_us.saturating_sub(self.at.mono_us);
         Some(by_wall.max(by_boot))
@@ -162,15 +162,15 @@
 
 /// What was out when the node died, by id and by key.
 #[derive(Debug, Default)]
-pub struct Unknowns {
+pub struct UnknownIntents {
     ids: HashSet<Box<str>>,
     keys: HashMap<KeyDigest, Sent>,
     count: usize,
 }
 
-impl Unknowns {
+impl UnknownIntents {
     /// Those of a recovery.
-    pub fn of<'a>(open: impl IntoIterator<Item = &'a Open>) -> Self {
+    pub fn new<'a>(open: impl IntoIterator<Item = &'a Open>) -> Self {
         let mut all = Self::default();
         for Open { intent, trusted } in open {
             all.count += 1;
@@ -201,30 +201,30 @@
     ///
     /// # Errors
     /// Why it is answered as failed.
-    pub fn judge(
+    pub fn check_repeat(
         &self,
-        right: Right,
+        right: RepeatRule,
         id: &str,
         key: Option<KeyDigest>,
-        now: Now,
+        now: Timestamp,
         left_us: u64,
-    ) -> Result<(), Why> {
+    ) -> Result<(), RejectionReason> {
         if self.count == 0 {
             return Ok(());
         }
         match right {
-            Right::Any => Ok(()),
-            Right::Once if self.ids.contains(id) => Err(Why::IdMayHaveRun),
-            Right::Once => Ok(()),
-            Right::Keyed { everywhere, span_us } => {
+            RepeatRule::Any => Ok(()),
+            RepeatRule::Once if self.ids.contains(id) => Err(RejectionReason::IdMayHaveRun),
+            RepeatRule::Once => Ok(()),
+            RepeatRule::Keyed { everywhere, span_us } => {
                 let Some(sent) = key.and_then(|key| self.keys.get(&key)) else { return Ok(()) };
                 // A clock that has stepped back behind the send says nothing of how long ago it was.
                 let age = sent.age_us(now);
                 let in_span = age.is_some_and(|age| age.saturating_add(left_us) < span_us);
                 match sent.trusted {
-                    false => Err(Why::KeyNotTrusted),
-                    true if !everywhere => Err(Why::KeyElsewhere),
-                    true if !in_span => Err(Why::KeyOutOfSpan),
+                    false => Err(RejectionReason::KeyNotTrusted),
+                    true if !everywhere => Err(RejectionReason::KeyElsewhere),
+                    true if !in_span => Err(RejectionReason::KeyOutOfSpan),
                     true => Ok(()),
                 }
             }
--- a/crates/ledger/src/guard/tests.rs
+++ b/crates/ledger/src/guard/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::record::{Intent, Now};
+use crate::record::{Intent, Timestamp};
 
 fn open(id: &str, key: Option<&str>, at_s: u64, trusted: bool) -> Open {
     let intent = Intent {
@@ -12,7 +12,7 @@
         server: String::new(),
         server_start_ms: 0,
         left_us: 0,
-        at: Now { wall_us: at_s * 1_000_000, mono_us: 0 },
+        at: Timestamp { wall_us: at_s * 1_000_000, mono_us: 0 },
         boot: 1,
     };
     Open { intent, trusted }
@@ -26,17 +26,24 @@
     assert_eq!(good.admits(&bounds), Ok(()));
     let slow = Some(Duration::from_millis(51));
     for (load, trouble) in [
-        (Load { waiting: 4, ..good }, Trouble::Busy),
-        (Load { waiting: 4, writes_for: slow, ..good }, Trouble::Slow),
-        (Load { open: 7, writes_for: slow, ..good }, Trouble::Overfull),
-        (Load { over: true, ..good }, Trouble::Overfull),
-        (Load { over: true, down: true, ..good }, Trouble::Down),
-        (Load { down: true, closed: true, ..good }, Trouble::Closed),
+        (Load { waiting: 4, ..good }, IntentError::QueueFull),
+        (Load { waiting: 4, writes_for: slow, ..good }, IntentError::Slow),
+        (Load { open: 7, writes_for: slow, ..good }, IntentError::TooManyOpen),
+        (Load { over: true, ..good }, IntentError::TooManyOpen),
+        (Load { over: true, down: true, ..good }, IntentError::Down),
+        (Load { down: true, closed: true, ..good }, IntentError::Closed),
     ] {
         assert_eq!(load.admits(&bounds), Err(trouble), "{load:?}");
     }
-    assert!(may_ask_again([How::NotSent, How::Full, How::ConnectFailed, How::Unwritten]));
-    assert!([How::Done, How::Reset, How::TimedOut, How::Error].iter().all(|how| !may_ask_again([*how])));
+    assert!(is_safe_to_retry([
+        AttemptOutcome::NotSent,
+        AttemptOutcome::Full,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Unwritten
+    ]));
+    assert!([AttemptOutcome::Done, AttemptOutcome::Reset, AttemptOutcome::TimedOut, AttemptOutcome::Error]
+        .iter()
+        .all(|how| !is_safe_to_retry([*how])));
 }
 
 #[test]
@@ -48,29 +55,32 @@
         open("c", Some("k"), 102, true),
         open("d", Some("bent"), 100, false),
     ];
-    let all = Unknowns::of(&left);
+    let all = UnknownIntents::new(&left);
     assert_eq!(all.count(), 4);
     let key = |k: &str| Some(KeyDigest::of(k.as_bytes()));
-    let span = |everywhere| Right::Keyed { everywhere, span_us: s(5) };
+    let span = |everywhere| RepeatRule::Keyed { everywhere, span_us: s(5) };
     for (right, id, k, now, verdict) in [
-        (Right::Any, "a", None, 101, Ok(())),
-        (Right::Once, "a", None, 101, Err(Why::IdMayHaveRun)),
-        (Right::Once, "a", None, 999_999, Err(Why::IdMayHaveRun)),
-        (Right::Once, "e", None, 101, Ok(())),
+        (RepeatRule::Any, "a", None, 101, Ok(())),
+        (RepeatRule::Once, "a", None, 101, Err(RejectionReason::IdMayHaveRun)),
+        (RepeatRule::Once, "a", None, 999_999, Err(RejectionReason::IdMayHaveRun)),
+        (RepeatRule::Once, "e", None, 101, Ok(())),
         // The span runs from the first of two sends, and the second in it may still be to come.
         (span(true), "b", key("k"), 103, Ok(())),
-        (span(true), "b", key("k"), 104, Err(Why::KeyOutOfSpan)),
+        (span(true), "b", key("k"), 104, Err(RejectionReason::KeyOutOfSpan)),
         (span(true), "new", key("k"), 103, Ok(())),
-        (span(false), "b", key("k"), 101, Err(Why::KeyElsewhere)),
-        (span(true), "d", key("bent"), 101, Err(Why::KeyNotTrusted)),
+        (span(false), "b", key("k"), 101, Err(RejectionReason::KeyElsewhere)),
+        (span(true), "d", key("bent"), 101, Err(RejectionReason::KeyNotTrusted)),
         (span(true), "b", key("other"), 999, Ok(())),
         // The clock has stepped back.
-        (span(true), "b", key("k"), 99, Err(Why::KeyOutOfSpan)),
+        (span(true), "b", key("k"), 99, Err(RejectionReason::KeyOutOfSpan)),
     ] {
-        let now_us = Now { wall_us: s(now), mono_us: 0 };
-        assert_eq!(all.judge(right, id, k, now_us, s(1)), verdict, "{right:?} {id} at {now}");
+        let now_us = Timestamp { wall_us: s(now), mono_us: 0 };
+        assert_eq!(all.check_repeat(right, id, k, now_us, s(1)), verdict, "{right:?} {id} at {now}");
     }
     // The clock was set back by less than has gone by, which the boot's clock tells.
-    let set_back = Now { wall_us: s(102), mono_us: s(30) };
-    assert_eq!(all.judge(span(true), "b", key("k"), set_back, s(1)), Err(Why::KeyOutOfSpan));
+    let set_back = Timestamp { wall_us: s(102), mono_us: s(30) };
+    assert_eq!(
+        all.check_repeat(span(true), "b", key("k"), set_back, s(1)),
+        Err(RejectionReason::KeyOutOfSpan)
+    );
 }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -7,7 +7,7 @@
 
 use crate::dir::{recover, segments, Reach};
 use crate::disk::Disk;
-use crate::record::{encode, Carried, Now, Record, Salt};
+use crate::record::{encode, Carried, Record, Salt, Timestamp};
 use crate::recover::{Bounds, Finding, Recovered};
 use crate::segment::{name, Header, HeaderTrouble, Owner, HEADER};
 use crate::truth::Truth;
@@ -83,7 +83,7 @@
     number: u64,
     /// Bytes since the checkpoint.
     bytes: u64,
-    began: Now,
+    began: Timestamp,
 }
 
 /// What a journal has done so far.
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// Where the disk failed, or is not back. Nothing is tried twice.
-    pub fn commit(&mut self, batch: &[Record], now: Now) -> Result<(), Failure> {
+    pub fn commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), Failure> {
         let result = self.try_commit(batch, now);
         if result.is_err() {
             for record in batch.iter().filter(|r| !matches!(r, Record::Intent(_))) {
@@ -208,7 +208,7 @@
         result
     }
 
-    fn try_commit(&mut self, batch: &[Record], now: Now) -> Result<(), Failure> {
+    fn try_commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), Failure> {
         self.rotate_if_due(now).map_err(Failure::Fault)?;
         let Some(current) = &mut self.current else { return Err(Failure::Down) };
         let first = self.next_seq;
@@ -257,11 +257,11 @@
     ///
     /// # Errors
     /// Where the disk failed.
-    pub fn tick(&mut self, now: Now) -> Result<(), Fault> {
+    pub fn tick(&mut self, now: Timestamp) -> Result<(), Fault> {
         self.rotate_if_due(now)
     }
 
-    fn rotate_if_due(&mut self, now: Now) -> Result<(), Fault> {
+    fn rotate_if_due(&mut self, now: Timestamp) -> Result<(), Fault> {
         let Some(current) = &self.current else { return Ok(()) };
         let age = now.mono_us.saturating_sub(current.began.mono_us);
         if current.bytes < self.keeping.segment_bytes
@@ -294,7 +294,7 @@
     ///
     /// # Errors
     /// Where the disk still fails; nothing is changed then.
-    pub fn heal(&mut self, now: Now) -> Result<(), Fault> {
+    pub fn heal(&mut self, now: Timestamp) -> Result<(), Fault> {
         if self.current.is_some() {
             return Ok(());
         }
@@ -302,7 +302,7 @@
         self.prune(now)
     }
 
-    fn begin_segment(&mut self, now: Now) -> Result<(), Fault> {
+    fn begin_segment(&mut self, now: Timestamp) -> Result<(), Fault> {
         let number = self.next_segment;
         let file_name = name(number);
         let mut file = match self.disk.create(&file_name) {
@@ -363,7 +363,7 @@
 
     /// Removes segments that are too many or too old. All that is open stands at the head of the current one, so none is
     /// lost with them; but that head must be safe first.
-    fn prune(&mut self, now: Now) -> Result<(), Fault> {
+    fn prune(&mut self, now: Timestamp) -> Result<(), Fault> {
         let most = self.keeping.segments.max(1) - 1;
         let due = |old: &VecDeque<(u64, u64)>, keeping: &Keeping| {
             old.front().is_some_and(|(_, began)| {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -23,6 +23,6 @@
 
 pub use magpietally_store::sim;
 
-pub use guard::{Right, Trouble, Why};
-pub use record::{How, KeyDigest, Told};
-pub use writer::{Draft, Ledger, Options, Pending, Running};
+pub use guard::{IntentError, RejectionReason, RepeatRule};
+pub use record::{AttemptOutcome, FinalOutcome, KeyDigest};
+pub use writer::{Ledger, NewIntent, Options, PendingIntent, WriterHandle};
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Fate, How, Intent, KeyDigest, Record, Told};
+use crate::record::{AttemptOutcome, Execution, FinalOutcome, Intent, KeyDigest, Record};
 use crate::recover::Seen;
 
 /// A server's record of a request that it ran: a line of JSON in its file. Fields that are not named here are passed over.
@@ -127,14 +127,14 @@
     seq: u64,
     server: Box<str>,
     key: Option<KeyDigest>,
-    how: Option<How>,
+    how: Option<AttemptOutcome>,
     settled: bool,
 }
 
 #[derive(Debug, Default)]
 struct Request {
     attempts: Vec<Noted>,
-    told: Option<Told>,
+    told: Option<FinalOutcome>,
 }
 
 /// All that ledgers say, by request.
@@ -144,7 +144,7 @@
     /// Whose an intent is.
     numbers: HashMap<(usize, u64), Box<str>>,
     /// Outcomes whose intents have not been seen yet.
-    early: HashMap<(usize, u64), How>,
+    early: HashMap<(usize, u64), AttemptOutcome>,
     doubts: Vec<(usize, u64, u64)>,
 }
 
@@ -232,9 +232,9 @@
                 let mut at = attempts.iter().filter(|a| *a.server == *run.server).peekable();
                 if at.peek().is_none() {
                     all.push(Difference::NotInLedger { id, server });
-                } else if at.all(|a| a.how.is_some_and(|how| how.fate() == Fate::Never)) {
+                } else if at.all(|a| a.how.is_some_and(|how| how.execution() == Execution::Never)) {
                     all.push(Difference::ProvenNeverAndRan { id, server });
-                } else if request.is_some_and(|r| r.told == Some(Told::Refused)) {
+                } else if request.is_some_and(|r| r.told == Some(FinalOutcome::Refused)) {
                     all.push(Difference::RefusedAndRan { id, server });
                 }
             }
@@ -247,7 +247,7 @@
                 let (id, server, intent) = (id.to_string(), a.server.to_string(), a.number.1);
                 let ran_there = ran.iter().any(|run| *run.server == *a.server);
                 match a.how {
-                    Some(How::Done) if ran.is_empty() && !by_key(a) => {
+                    Some(AttemptOutcome::Done) if ran.is_empty() && !by_key(a) => {
                         all.push(Difference::AnsweredNeverRan { id, server });
                     }
                     Some(_) => {}
--- a/crates/ledger/src/reconcile/tests.rs
+++ b/crates/ledger/src/reconcile/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::record::{Final, Now, Outcome};
+use crate::record::{Final, Outcome, Timestamp};
 use crate::segment::SegmentNo;
 
 fn seen(seq: u64, record: Record) -> Seen {
@@ -9,7 +9,7 @@
 fn intent(number: u64, id: &str, server: &str, key: Option<&str>) -> Seen {
     let key = key.map(|k| KeyDigest::of(k.as_bytes()));
     let (class, tenant) = (String::new(), String::new());
-    let (id, server, at) = (id.to_string(), server.to_string(), Now::default());
+    let (id, server, at) = (id.to_string(), server.to_string(), Timestamp::default());
     let (attempt, server_start_ms, left_us, boot) = (0, 0, 0, 1);
     seen(
         number,
@@ -29,8 +29,8 @@
     )
 }
 
-fn outcome(intent: u64, how: How) -> Seen {
-    seen(1000 + intent, Record::Outcome(Outcome { intent, how, at: Now::default() }))
+fn outcome(intent: u64, how: AttemptOutcome) -> Seen {
+    seen(1000 + intent, Record::Outcome(Outcome { intent, how, at: Timestamp::default() }))
 }
 
 fn run(id: &str, server: &str, key: Option<&str>) -> Run {
@@ -42,27 +42,27 @@
     let mut books = Books::new();
     let told = |intent, id: &str, told| {
         let id = id.to_string();
-        seen(2000 + intent, Record::Final(Final { intent, id, told, at: Now::default() }))
+        seen(2000 + intent, Record::Final(Final { intent, id, told, at: Timestamp::default() }))
     };
     for record in [
         intent(1, "good", "a", None),
-        outcome(1, How::Done),
+        outcome(1, AttemptOutcome::Done),
         intent(2, "unknown-ran", "a", None),
         intent(3, "unknown-not", "b", None),
         intent(4, "never-ran", "b", None),
-        outcome(4, How::Done),
+        outcome(4, AttemptOutcome::Done),
         // A repeat that its server dropped: the first one ran elsewhere, under another id.
         intent(5, "repeat", "b", Some("k")),
-        outcome(5, How::Done),
+        outcome(5, AttemptOutcome::Done),
         intent(6, "first", "a", Some("k")),
-        outcome(6, How::Reset),
-        outcome(7, How::Full),
+        outcome(6, AttemptOutcome::Reset),
+        outcome(7, AttemptOutcome::Full),
         intent(7, "proven", "a", None),
         intent(8, "refused", "a", None),
-        outcome(8, How::TimedOut),
-        told(8, "refused", Told::Refused),
+        outcome(8, AttemptOutcome::TimedOut),
+        told(8, "refused", FinalOutcome::Refused),
         intent(9, "other-box", "a", None),
-        outcome(9, How::Reset),
+        outcome(9, AttemptOutcome::Reset),
         intent(10, "failed-write", "b", None),
         seen(3000, Record::Doubt { segment: 1, from: 10 }),
     ] {
@@ -70,7 +70,7 @@
     }
     // Numbers are each ledger's own.
     books.take(1, &intent(1, "elsewhere", "c", None));
-    books.take(1, &outcome(1, How::Reset));
+    books.take(1, &outcome(1, AttemptOutcome::Reset));
     let runs = [
         run("good", "a", None),
         run("unknown-ran", "a", None),
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -7,17 +7,17 @@
 use sha2::{Digest as _, Sha256};
 
 /// The most bytes of a record's payload.
-pub const PAYLOAD_MOST: usize = 1024;
+pub const PAYLOAD_MAX_BYTES: usize = 1024;
 /// Bytes of a frame before its payload: mark, length, checksum, sequence, kind.
-pub const FRAME_HEAD: usize = 17;
+pub const FRAME_HEADER_BYTES: usize = 17;
 /// The most bytes of a frame.
-pub const FRAME_MOST: usize = FRAME_HEAD + PAYLOAD_MOST;
+pub const FRAME_MAX_BYTES: usize = FRAME_HEADER_BYTES + PAYLOAD_MAX_BYTES;
 /// What each frame begins with, so that a reader that lost its place finds one again.
-pub const MARK: [u8; 2] = *b"mL";
+pub const FRAME_MARK: [u8; 2] = *b"mL";
 /// The longest id of a request that a ledger takes, in bytes.
-pub const ID_MOST: usize = 256;
+pub const ID_MAX_BYTES: usize = 256;
 /// The longest names of classes, tenants and servers, in bytes; longer ones are cut, as they are for people.
-pub const NAME_MOST: usize = 128;
+pub const NAME_MAX_BYTES: usize = 128;
 
 /// What stands for a key: the first 16 bytes of its SHA-256. Keys may be secrets of users, and are not written.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,7 +52,7 @@
 
 /// A moment by both clocks, in microseconds. The wall's may step; the other only runs on, but from each boot anew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Now {
+pub struct Timestamp {
     /// Unix time.
     pub wall_us: u64,
     /// Since the machine was started, times of sleep included; in ledgers of earlier versions since the process opened it.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[repr(u8)]
-pub enum How {
+pub enum AttemptOutcome {
     /// Served.
     Done = 1,
     /// Answered by an error.
@@ -91,7 +91,7 @@
 /// Did a request run at a server?
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fate {
+pub enum Execution {
     /// It did.
     Ran,
     /// It did not.
@@ -100,7 +100,7 @@
     Unknown,
 }
 
-impl How {
+impl AttemptOutcome {
     const ALL: [Self; 11] = [
         Self::Done,
         Self::Error,
@@ -120,11 +120,11 @@
     }
 
     /// What an ending proves.
-    pub fn fate(self) -> Fate {
+    pub fn execution(self) -> Execution {
         match self {
-            Self::Done => Fate::Ran,
-            Self::Full | Self::ConnectFailed | Self::Unwritten | Self::NotSent => Fate::Never,
-            _ => Fate::Unknown,
+            Self::Done => Execution::Ran,
+            Self::Full | Self::ConnectFailed | Self::Unwritten | Self::NotSent => Execution::Never,
+            _ => Execution::Unknown,
         }
     }
 }
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[repr(u8)]
-pub enum Told {
+pub enum FinalOutcome {
     /// A server's answer.
     Served = 1,
     /// Refused: trying again is harmless.
@@ -146,7 +146,7 @@
     Abandoned = 5,
 }
 
-impl Told {
+impl FinalOutcome {
     fn of(code: u8) -> Option<Self> {
         [Self::Served, Self::Refused, Self::Failed, Self::Rejected, Self::Abandoned]
             .into_iter()
@@ -176,7 +176,7 @@
     /// Time that the request had left, in microseconds.
     pub left_us: u64,
     /// When.
-    pub at: Now,
+    pub at: Timestamp,
     /// Which life of the node.
     pub boot: u64,
 }
@@ -187,9 +187,9 @@
     /// The number of its intent.
     pub intent: u64,
     /// How it ended.
-    pub how: How,
+    pub how: AttemptOutcome,
     /// When.
-    pub at: Now,
+    pub at: Timestamp,
 }
 
 /// After a request: what its client was told.
@@ -200,9 +200,9 @@
     /// The client's id.
     pub id: String,
     /// What it was told.
-    pub told: Told,
+    pub told: FinalOutcome,
     /// When.
-    pub at: Now,
+    pub at: Timestamp,
 }
 
 /// An operator's word on an intent that was open when its node died.
@@ -213,7 +213,7 @@
     /// Whether the server's own records show that it ran.
     pub ran: bool,
     /// When.
-    pub at: Now,
+    pub at: Timestamp,
 }
 
 /// An open intent, written again at the head of a later segment.
@@ -285,7 +285,7 @@
                 number(to, f.intent);
                 to.push(f.told as u8);
                 now(to, f.at);
-                text(to, &f.id, ID_MOST);
+                text(to, &f.id, ID_MAX_BYTES);
             }
             Self::Settled(s) => {
                 number(to, s.intent);
@@ -312,11 +312,11 @@
             1 => Self::Intent(from.intent()?),
             2 => Self::Outcome(Outcome {
                 intent: from.number()?,
-                how: How::of(from.byte()?)?,
+                how: AttemptOutcome::of(from.byte()?)?,
                 at: from.now()?,
             }),
             3 => {
-                let (intent, told, at) = (from.number()?, Told::of(from.byte()?)?, from.now()?);
+                let (intent, told, at) = (from.number()?, FinalOutcome::of(from.byte()?)?, from.now()?);
                 Self::Final(Final { intent, told, at, id: from.text()? })
             }
             4 => Self::Settled(Settled { intent: from.number()?, ran: from.flag()?, at: from.now()? }),
@@ -339,17 +339,17 @@
     to.extend(intent.attempt.to_le_bytes());
     to.push(u8::from(intent.key.is_some()));
     to.extend(intent.key.iter().flat_map(|key| key.0));
-    text(to, &intent.id, ID_MOST);
-    text(to, &intent.class, NAME_MOST);
-    text(to, &intent.tenant, NAME_MOST);
-    text(to, &intent.server, NAME_MOST);
+    text(to, &intent.id, ID_MAX_BYTES);
+    text(to, &intent.class, NAME_MAX_BYTES);
+    text(to, &intent.tenant, NAME_MAX_BYTES);
+    text(to, &intent.server, NAME_MAX_BYTES);
 }
 
 fn number(to: &mut Vec<u8>, value: u64) {
     to.extend(value.to_le_bytes());
 }
 
-fn now(to: &mut Vec<u8>, at: Now) {
+fn now(to: &mut Vec<u8>, at: Timestamp) {
     number(to, at.wall_us);
     number(to, at.mono_us);
 }
@@ -383,8 +383,8 @@
         self.take().map(u64::from_le_bytes)
     }
 
-    fn now(&mut self) -> Option<Now> {
-        Some(Now { wall_us: self.number()?, mono_us: self.number()? })
+    fn now(&mut self) -> Option<Timestamp> {
+        Some(Timestamp { wall_us: self.number()?, mono_us: self.number()? })
     }
 
     fn text(&mut self) -> Option<String> {
@@ -430,13 +430,13 @@
 /// Adds a record's frame.
 pub fn encode(record: &Record, seq: u64, salt: Salt, to: &mut Vec<u8>) {
     let begin = to.len();
-    to.extend([0; FRAME_HEAD]);
+    to.extend([0; FRAME_HEADER_BYTES]);
     record.write(to);
     // The bounds of the texts keep every record under it.
-    debug_assert!(to.len() - begin <= FRAME_MOST);
-    let length = ((to.len() - begin - FRAME_HEAD) as u16).to_le_bytes();
+    debug_assert!(to.len() - begin <= FRAME_MAX_BYTES);
+    let length = ((to.len() - begin - FRAME_HEADER_BYTES) as u16).to_le_bytes();
     let frame = &mut to[begin..];
-    frame[..2].copy_from_slice(&MARK);
+    frame[..2].copy_from_slice(&FRAME_MARK);
     frame[2..4].copy_from_slice(&length);
     frame[8..16].copy_from_slice(&seq.to_le_bytes());
     frame[16] = record.kind();
@@ -446,7 +446,7 @@
 
 /// What some bytes begin with.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Parse<'a> {
+pub enum ParsedFrame<'a> {
     /// A whole frame.
     Frame {
         /// Its place in the order of all records.
@@ -457,31 +457,33 @@
         payload: &'a [u8],
     },
     /// What may become a frame, once there are more bytes.
-    More,
+    Incomplete,
     /// No frame.
-    Bad,
+    Invalid,
 }
 
 /// Reads the frame at the beginning of some bytes.
-pub fn parse(bytes: &[u8], salt: Salt) -> Parse<'_> {
+pub fn parse(bytes: &[u8], salt: Salt) -> ParsedFrame<'_> {
     let shown = bytes.len().min(2);
-    if bytes[..shown] != MARK[..shown] {
-        return Parse::Bad;
+    if bytes[..shown] != FRAME_MARK[..shown] {
+        return ParsedFrame::Invalid;
     }
-    let Some((head, rest)) = bytes.split_first_chunk::<FRAME_HEAD>() else { return Parse::More };
+    let Some((head, rest)) = bytes.split_first_chunk::<FRAME_HEADER_BYTES>() else {
+        return ParsedFrame::Incomplete;
+    };
     let length = [head[2], head[3]];
     let size = usize::from(u16::from_le_bytes(length));
-    if size > PAYLOAD_MOST {
-        return Parse::Bad;
+    if size > PAYLOAD_MAX_BYTES {
+        return ParsedFrame::Invalid;
     }
-    let Some(payload) = rest.get(..size) else { return Parse::More };
+    let Some(payload) = rest.get(..size) else { return ParsedFrame::Incomplete };
     let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
     if salt.sum(&[&length, &head[8..], payload]) != sum {
-        return Parse::Bad;
+        return ParsedFrame::Invalid;
     }
     let mut seq = [0; 8];
     seq.copy_from_slice(&head[8..16]);
-    Parse::Frame { seq: u64::from_le_bytes(seq), kind: head[16], payload }
+    ParsedFrame::Frame { seq: u64::from_le_bytes(seq), kind: head[16], payload }
 }
 
 #[cfg(test)]
--- a/crates/ledger/src/record/tests.rs
+++ b/crates/ledger/src/record/tests.rs
@@ -6,26 +6,26 @@
 
 #[test]
 fn every_record_comes_back_as_it_was_and_the_longest_fits() {
-    let at = Now { wall_us: 1_800_000_000_000_000, mono_us: 5 };
+    let at = Timestamp { wall_us: 1_800_000_000_000_000, mono_us: 5 };
     let intent = Intent {
         number: 7,
-        id: "x".repeat(ID_MOST),
-        class: long(NAME_MOST / 2),
-        tenant: long(NAME_MOST / 2),
+        id: "x".repeat(ID_MAX_BYTES),
+        class: long(NAME_MAX_BYTES / 2),
+        tenant: long(NAME_MAX_BYTES / 2),
         key: Some(KeyDigest::of(b"club-7")),
         attempt: u16::MAX,
-        server: long(NAME_MOST / 2),
+        server: long(NAME_MAX_BYTES / 2),
         server_start_ms: u64::MAX,
         left_us: 1,
         at,
         boot: 9,
     };
-    let mut all: Vec<Record> = How::ALL
+    let mut all: Vec<Record> = AttemptOutcome::ALL
         .into_iter()
         .map(|how| Record::Outcome(Outcome { intent: 7, how, at }))
         .chain([
             Record::Intent(Intent { key: None, ..intent.clone() }),
-            Record::Final(Final { intent: 7, id: intent.id.clone(), told: Told::Abandoned, at }),
+            Record::Final(Final { intent: 7, id: intent.id.clone(), told: FinalOutcome::Abandoned, at }),
             Record::Settled(Settled { intent: 7, ran: true, at }),
             Record::Checkpoint { carried: 3 },
             Record::Doubt { segment: 2, from: 9 },
@@ -37,13 +37,15 @@
     for (seq, record) in all.iter().enumerate() {
         let mut bytes = Vec::new();
         encode(record, seq as u64, salt, &mut bytes);
-        assert!(bytes.len() <= FRAME_MOST, "{} bytes", bytes.len());
-        let Parse::Frame { seq: read, kind, payload } = parse(&bytes, salt) else { panic!("{record:?}") };
+        assert!(bytes.len() <= FRAME_MAX_BYTES, "{} bytes", bytes.len());
+        let ParsedFrame::Frame { seq: read, kind, payload } = parse(&bytes, salt) else {
+            panic!("{record:?}")
+        };
         assert_eq!((read, Record::read(kind, payload).as_ref()), (seq as u64, Some(record)));
-        assert_eq!(parse(&bytes, Salt::of([3; 16], 2)), Parse::Bad, "another segment's");
-        assert_eq!(parse(&bytes, Salt::of([4; 16], 1)), Parse::Bad, "another node's");
+        assert_eq!(parse(&bytes, Salt::of([3; 16], 2)), ParsedFrame::Invalid, "another segment's");
+        assert_eq!(parse(&bytes, Salt::of([4; 16], 1)), ParsedFrame::Invalid, "another node's");
         for cut in 0..bytes.len() {
-            assert_eq!(parse(&bytes[..cut], salt), Parse::More, "cut at {cut}");
+            assert_eq!(parse(&bytes[..cut], salt), ParsedFrame::Incomplete, "cut at {cut}");
         }
     }
 }
@@ -51,6 +53,6 @@
 #[test]
 fn what_is_too_long_is_cut_at_a_whole_character() {
     let mut to = Vec::new();
-    text(&mut to, &format!("a{}", long(100)), NAME_MOST);
+    text(&mut to, &format!("a{}", long(100)), NAME_MAX_BYTES);
     assert_eq!(Fields(&to).text(), Some(format!("a{}", long(63))));
 }
--- a/crates/ledger/src/scan.rs
+++ b/crates/ledger/src/scan.rs
@@ -1,7 +1,7 @@
 //! One segment's bytes, in pieces of any size, to records and what is wrong between them. Pure; holds at most one frame
 //! and one piece.
 
-use crate::record::{parse, Parse, Record, Salt, FRAME_MOST};
+use crate::record::{parse, ParsedFrame, Record, Salt, FRAME_MAX_BYTES};
 use crate::segment::{Header, HeaderTrouble, Owner, HEADER};
 
 /// What a segment's bytes hold, in their order.
@@ -132,7 +132,7 @@
             let at = self.at + used as u64;
             match parse(&self.buf[used..], self.salt) {
                 // An order that runs backwards is an old piece of the file in a new place.
-                Parse::Frame { seq, kind, payload } if self.next.is_none_or(|next| seq >= next) => {
+                ParsedFrame::Frame { seq, kind, payload } if self.next.is_none_or(|next| seq >= next) => {
                     if let Some(from) = self.lost.take() {
                         sink(Item::Damage { from, to: at });
                     }
@@ -141,15 +141,15 @@
                     }
                     // The last of all numbers has none after it: what claims it is followed by nothing.
                     self.next = Some(seq.saturating_add(1));
-                    let size = crate::record::FRAME_HEAD + payload.len();
+                    let size = crate::record::FRAME_HEADER_BYTES + payload.len();
                     sink(match Record::read(kind, payload) {
                         Some(record) => Item::Record { at, seq, record },
                         None => Item::Strange { at, seq, kind },
                     });
                     used += size;
                 }
-                Parse::More if !last => break,
-                Parse::Frame { .. } | Parse::More | Parse::Bad => {
+                ParsedFrame::Incomplete if !last => break,
+                ParsedFrame::Frame { .. } | ParsedFrame::Incomplete | ParsedFrame::Invalid => {
                     self.lost.get_or_insert(at);
                     used += 1;
                 }
@@ -160,7 +160,7 @@
         }
         self.buf.drain(..used);
         self.at += used as u64;
-        debug_assert!(self.buf.len() < FRAME_MOST.max(HEADER));
+        debug_assert!(self.buf.len() < FRAME_MAX_BYTES.max(HEADER));
     }
 }
 
--- a/crates/ledger/src/truth/tests.rs
+++ b/crates/ledger/src/truth/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::record::{How, Now, Outcome};
+use crate::record::{AttemptOutcome, Outcome, Timestamp};
 
 fn intent(number: u64) -> Record {
     let (id, class) = (format!("txn-{number}"), "signup".to_string());
@@ -14,13 +14,13 @@
         server,
         server_start_ms: 0,
         left_us: 0,
-        at: Now::default(),
+        at: Timestamp::default(),
         boot: 1,
     })
 }
 
 fn outcome(intent: u64) -> Record {
-    Record::Outcome(Outcome { intent, how: How::Done, at: Now::default() })
+    Record::Outcome(Outcome { intent, how: AttemptOutcome::Done, at: Timestamp::default() })
 }
 
 fn numbers(truth: &Truth) -> Vec<u64> {
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -13,9 +13,11 @@
 use tokio::sync::oneshot;
 
 use crate::disk::{identity, Disk, Folder, Lock, Refused};
-use crate::guard::{Bounds, Load, Right, Trouble, Unknowns, Why};
+use crate::guard::{Bounds, IntentError, Load, RejectionReason, RepeatRule, UnknownIntents};
 use crate::journal::{Done, Failure, Journal, Keeping};
-use crate::record::{Final, How, Intent, KeyDigest, Now, Outcome, Record, Told, ID_MOST};
+use crate::record::{
+    AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Timestamp, ID_MAX_BYTES,
+};
 use crate::recover::{Finding, Recovered};
 
 /// Records in a batch.
@@ -40,7 +42,7 @@
 
 /// What a caller knows of an intent; the ledger adds its number, its life and the time.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct NewIntent {
     /// The client's id.
     pub id: String,
     /// The class's name.
@@ -61,11 +63,11 @@
 
 /// An intent that waits for its promise.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingIntent {
     /// Its number, for its outcome.
     pub number: u64,
     /// Whether it counts: true once the promise holds. An end without a word is a ledger that has ended.
-    pub promised: oneshot::Receiver<bool>,
+    pub confirmed: oneshot::Receiver<bool>,
 }
 
 enum Queued {
@@ -102,7 +104,7 @@
 struct Shared {
     queue: Mutex<Queue>,
     wake: Condvar,
-    unknowns: Unknowns,
+    unknowns: UnknownIntents,
     options: Options,
     boot: u64,
     began: Began,
@@ -124,10 +126,10 @@
         Self { instant: Instant::now(), wall, since_boot }
     }
 
-    fn elapsed(&self) -> Now {
+    fn elapsed(&self) -> Timestamp {
         let age = self.instant.elapsed();
         let micros = |since: Duration| (since + age).as_micros() as u64;
-        Now { wall_us: micros(self.wall), mono_us: micros(self.since_boot) }
+        Timestamp { wall_us: micros(self.wall), mono_us: micros(self.since_boot) }
     }
 }
 
@@ -137,7 +139,7 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> Now {
+    fn now(&self) -> Timestamp {
         self.began.elapsed()
     }
 }
@@ -155,7 +157,7 @@
 }
 
 /// Waits for the writer's end.
-pub struct Running {
+pub struct WriterHandle {
     ledger: Ledger,
     ended: mpsc::Receiver<()>,
 }
@@ -189,7 +191,7 @@
     ///
     /// # Errors
     /// Where the directory is another's, or can't be read.
-    pub fn start(node: &str, options: Options) -> Result<(Self, Running, Recovered), StartError> {
+    pub fn start(node: &str, options: Options) -> Result<(Self, WriterHandle, Recovered), StartError> {
         let folder = &options.directory;
         retry::at_start(Call::File, "directory", || std::fs::create_dir_all(folder))
             .map_err(|e| StartError::Io("directory", e))?;
@@ -205,7 +207,7 @@
         Ok((ledger, running, recovered))
     }
 
-    /// Starts the thread that writes to this journal, for as long as the handle's [`Running`] lasts.
+    /// Starts the thread that writes to this journal, for as long as the handle's [`WriterHandle`] lasts.
     ///
     /// # Errors
     /// Where there is no thread to be had.
@@ -214,7 +216,7 @@
         recovered: &Recovered,
         options: Options,
         lock: Option<Lock>,
-    ) -> Result<(Self, Running), StartError>
+    ) -> Result<(Self, WriterHandle), StartError>
     where
         D::File: Send,
     {
@@ -233,7 +235,7 @@
         let shared = Arc::new(Shared {
             queue: Mutex::new(queue),
             wake: Condvar::new(),
-            unknowns: Unknowns::of(&recovered.open),
+            unknowns: UnknownIntents::new(&recovered.open),
             options,
             boot: journal.boot(),
             began: Began::now(),
@@ -253,18 +255,18 @@
         };
         retry::spawn("ledger", work).map_err(|e| StartError::Io("thread", e))?;
         let ledger = Self { shared };
-        Ok((ledger.clone(), Running { ledger, ended }))
+        Ok((ledger.clone(), WriterHandle { ledger, ended }))
     }
 
     /// Whether what needs an intent may be taken now.
     ///
     /// # Errors
     /// Why not.
-    pub fn standing(&self) -> Result<(), Trouble> {
+    pub fn check_available(&self) -> Result<(), IntentError> {
         self.check(&self.shared.queue())
     }
 
-    fn check(&self, queue: &Queue) -> Result<(), Trouble> {
+    fn check(&self, queue: &Queue) -> Result<(), IntentError> {
         let Options { keeping, queue: waiting, stall, .. } = &self.shared.options;
         let load = Load {
             closed: queue.closed,
@@ -281,26 +283,32 @@
     ///
     /// # Errors
     /// Why it is answered as failed.
-    pub fn judge(&self, right: Right, id: &str, key: Option<KeyDigest>, left: Duration) -> Result<(), Why> {
-        self.shared.unknowns.judge(right, id, key, self.shared.now(), left.as_micros() as u64)
+    pub fn check_repeat(
+        &self,
+        right: RepeatRule,
+        id: &str,
+        key: Option<KeyDigest>,
+        left: Duration,
+    ) -> Result<(), RejectionReason> {
+        self.shared.unknowns.check_repeat(right, id, key, self.shared.now(), left.as_micros() as u64)
     }
 
     /// An attempt is about to be made. Nothing of it may go out before the promise.
     ///
     /// # Errors
     /// Why it can't be noted; then the attempt may not be made.
-    pub fn intent(&self, draft: Draft) -> Result<Pending, Trouble> {
+    pub fn record_intent(&self, draft: NewIntent) -> Result<PendingIntent, IntentError> {
         let at = self.shared.now();
-        let (to, promised) = oneshot::channel();
+        let (to, confirmed) = oneshot::channel();
         let mut queue = self.shared.queue();
         self.check(&queue)?;
         // One with a longer id could not be told from others by what is left of it.
-        if draft.id.len() > ID_MOST {
-            return Err(Trouble::LongId);
+        if draft.id.len() > ID_MAX_BYTES {
+            return Err(IntentError::IdTooLong);
         }
         let number = queue.next_number;
         queue.next_number += 1;
-        let Draft { id, class, tenant, key, attempt, server, server_start_ms, left } = draft;
+        let NewIntent { id, class, tenant, key, attempt, server, server_start_ms, left } = draft;
         let intent = Intent {
             number,
             id,
@@ -316,17 +324,17 @@
         };
         queue.intents += 1;
         self.put(queue, Queued::Intent(intent, to));
-        Ok(Pending { number, promised })
+        Ok(PendingIntent { number, confirmed })
     }
 
     /// An attempt has ended.
-    pub fn outcome(&self, intent: u64, how: How) {
+    pub fn record_outcome(&self, intent: u64, how: AttemptOutcome) {
         let at = self.shared.now();
         self.note(Record::Outcome(Outcome { intent, how, at }));
     }
 
     /// A request has its final answer, or none is owed any more. `intent` is its last one.
-    pub fn told(&self, intent: u64, id: &str, told: Told) {
+    pub fn record_final_outcome(&self, intent: u64, id: &str, told: FinalOutcome) {
         let at = self.shared.now();
         self.note(Record::Final(Final { intent, id: id.to_string(), told, at }));
     }
@@ -350,7 +358,7 @@
     }
 
     /// What was out when the node died: how many intents.
-    pub fn unknown(&self) -> usize {
+    pub fn unknown_count(&self) -> usize {
         self.shared.unknowns.count()
     }
 
@@ -363,19 +371,19 @@
     }
 
     /// Its part of a status line.
-    pub fn line(&self) -> String {
+    pub fn status_line(&self) -> String {
         let Stats { done, faults, slowest } = self.stats();
         let queue = self.shared.queue();
         let standing = match self.check(&queue) {
             Ok(()) => "good".to_string(),
-            Err(Trouble::Down) => format!("down ({})", queue.down.as_deref().unwrap_or_default()),
+            Err(IntentError::Down) => format!("down ({})", queue.down.as_deref().unwrap_or_default()),
             Err(trouble) => trouble.to_string(),
         };
         format!(
             "ledger {standing}, open {} unknown {} waiting {} records {} bytes {} writes {} syncs {} faults {} lost {} \
              slowest {:.1} ms",
             queue.open,
-            self.unknown(),
+            self.unknown_count(),
             queue.waiting.len(),
             done.records,
             done.bytes,
@@ -388,7 +396,7 @@
     }
 }
 
-impl Running {
+impl WriterHandle {
     /// Writes what waits and ends, within so long; false where it took longer.
     pub fn close(self, within: Duration) -> bool {
         self.ledger.shared.queue().closed = true;
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -5,7 +5,9 @@
 
 use magpietally_ledger::dir::{recover, Reach};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::record::{Final, How, Intent, KeyDigest, Now, Outcome, Record, Told};
+use magpietally_ledger::record::{
+    AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Timestamp,
+};
 use magpietally_ledger::recover::{Bounds, Recovered, Seen};
 use magpietally_ledger::segment::Owner;
 use magpietally_ledger::sim::{files_after_crash, DiskFault, Loss, Op, SimDisk, PAGE_BYTES};
@@ -26,10 +28,10 @@
     }
 }
 
-pub fn now(step: u64) -> Now {
+pub fn now(step: u64) -> Timestamp {
     // The wall's clock steps back by a minute half way.
     let back = if step > BATCHES / 2 { 60_000_000 } else { 0 };
-    Now { wall_us: 1_800_000_000_000_000 + step * 1000 - back, mono_us: step * 1000 }
+    Timestamp { wall_us: 1_800_000_000_000_000 + step * 1000 - back, mono_us: step * 1000 }
 }
 
 pub fn intent(number: u64, step: u64) -> Record {
@@ -49,7 +51,7 @@
 }
 
 pub fn outcome(intent: u64, step: u64) -> Record {
-    Record::Outcome(Outcome { intent, how: How::Done, at: now(step) })
+    Record::Outcome(Outcome { intent, how: AttemptOutcome::Done, at: now(step) })
 }
 
 /// The batches: each brings two intents, ends one of the batch before, and leaves every fourth one open for long.
@@ -60,7 +62,7 @@
             if step > 0 {
                 let over = 2 * (step - 1);
                 batch.push(outcome(over, step));
-                let (id, told, at) = (format!("txn-{over}"), Told::Served, now(step));
+                let (id, told, at) = (format!("txn-{over}"), FinalOutcome::Served, now(step));
                 batch.push(Record::Final(Final { intent: over, id, told, at }));
                 if step % 2 == 0 {
                     batch.push(outcome(over + 1, step));
@@ -101,7 +103,7 @@
 /// What must hold of the files after a crash behind these operations; `whole` where nothing was removed yet.
 pub fn check(ops: &[Op], files: &BTreeMap<String, Vec<u8>>, whole: bool, point: &dyn Fn() -> String) {
     let all = batches();
-    let promised = marks(ops);
+    let confirmed = marks(ops);
     let (recovered, _) = read(files, Reach::Checkpoint);
     let open: BTreeMap<u64, bool> = recovered.open.iter().map(|o| (o.intent.number, o.trusted)).collect();
     for o in &recovered.open {
@@ -111,16 +113,16 @@
     let ends = |batch: &[Record], number| {
         batch.iter().any(|r| matches!(r, Record::Outcome(o) if o.intent == number))
     };
-    for step in &promised {
+    for step in &confirmed {
         for record in &all[*step] {
             let Record::Intent(intent) = record else { continue };
             let ended = |n: &usize| ends(&all[*n], intent.number);
-            let ended_for_good = promised.iter().any(ended);
+            let ended_for_good = confirmed.iter().any(ended);
             let ended_at_all = (0..all.len()).any(|n| ended(&n));
             let is = open.get(&intent.number);
             if ended_for_good {
                 assert_eq!(is, None, "{}: {} has its outcome", point(), intent.id);
-            } else if !ended_at_all || promised.last().is_some_and(|last| !(0..=last + 1).any(|n| ended(&n)))
+            } else if !ended_at_all || confirmed.last().is_some_and(|last| !(0..=last + 1).any(|n| ended(&n)))
             {
                 assert_eq!(is, Some(&true), "{}: {} was promised", point(), intent.id);
             }
@@ -139,7 +141,7 @@
         assert!(ours || all.iter().flatten().any(|r| *r == s.record), "{}: {s:?}", point());
     }
     if whole {
-        for record in promised.iter().flat_map(|step| &all[*step]) {
+        for record in confirmed.iter().flat_map(|step| &all[*step]) {
             let there = seen.iter().any(|s| s.trusted && s.record == *record);
             assert!(there, "{}: {record:?} was promised", point());
         }
--- a/crates/ledger/tests/crash.rs
+++ b/crates/ledger/tests/crash.rs
@@ -5,7 +5,7 @@
 use common::*;
 use magpietally_ledger::dir::{Follower, News, Reach};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::record::{Intent, Record, ID_MOST, NAME_MOST};
+use magpietally_ledger::record::{Intent, Record, ID_MAX_BYTES, NAME_MAX_BYTES};
 use magpietally_ledger::recover::Finding;
 use magpietally_ledger::segment::{name, SegmentNo};
 use magpietally_ledger::sim::{files_after_crash, Loss, Op, SimDisk};
@@ -84,8 +84,8 @@
     let mut long = Vec::new();
     for n in 0..4 {
         let Record::Intent(own) = intent(n, 0) else { unreachable!("it is one") };
-        let (class, server) = ("c".repeat(NAME_MOST), "s".repeat(NAME_MOST));
-        long.push(Record::Intent(Intent { id: "i".repeat(ID_MOST), class, server, ..own }));
+        let (class, server) = ("c".repeat(NAME_MAX_BYTES), "s".repeat(NAME_MAX_BYTES));
+        long.push(Record::Intent(Intent { id: "i".repeat(ID_MAX_BYTES), class, server, ..own }));
         journal.commit(&long[n as usize..], now(n)).expect("a good disk");
     }
     let (recovered, seen) = read(&disk.files(), Reach::All);
--- a/crates/ledger/tests/writer.rs
+++ b/crates/ledger/tests/writer.rs
@@ -10,12 +10,12 @@
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
 use magpietally_ledger::sim::{DiskFault, SimDisk};
 use magpietally_ledger::writer::StartError;
-use magpietally_ledger::{Draft, How, Ledger, Options, Running, Trouble};
+use magpietally_ledger::{AttemptOutcome, IntentError, Ledger, NewIntent, Options, WriterHandle};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn draft(id: &str) -> Draft {
-    Draft {
+fn draft(id: &str) -> NewIntent {
+    NewIntent {
         id: id.into(),
         class: "signup".into(),
         tenant: String::new(),
@@ -31,7 +31,7 @@
     Options { directory: PathBuf::from("simulated"), keeping, queue: 32, stall: Duration::from_secs(60) }
 }
 
-fn run(disk: &SimDisk, options: Options) -> (Ledger, Running) {
+fn run(disk: &SimDisk, options: Options) -> (Ledger, WriterHandle) {
     let (journal, recovered) =
         Journal::open(disk.clone(), OWNER, options.keeping).expect("names can be read");
     Ledger::run(journal, &recovered, options, None).expect("a thread")
@@ -43,21 +43,22 @@
     let roomy = Keeping { segment_bytes: 1 << 20, ..keeping(Promise::PowerLoss, 10) };
     let (ledger, running) = run(&disk, options(roomy));
     disk.set_latency(Duration::from_millis(100));
-    let first = ledger.intent(draft("first")).expect("there is room");
+    let first = ledger.record_intent(draft("first")).expect("there is room");
     // The first one is being written, and counts until it is; the queue fills up behind it.
-    while ledger.line().contains("waiting 1") {
+    while ledger.status_line().contains("waiting 1") {
         std::thread::yield_now();
     }
     let before = ledger.stats().done.syncs;
-    let waiting: Vec<_> = (0..31).map(|n| ledger.intent(draft(&format!("{n}"))).expect("room")).collect();
-    assert_eq!(ledger.intent(draft("one more")).expect_err("full"), Trouble::Busy);
+    let waiting: Vec<_> =
+        (0..31).map(|n| ledger.record_intent(draft(&format!("{n}"))).expect("room")).collect();
+    assert_eq!(ledger.record_intent(draft("one more")).expect_err("full"), IntentError::QueueFull);
     for pending in std::iter::once(first).chain(waiting) {
-        assert_eq!(pending.promised.blocking_recv(), Ok(true));
+        assert_eq!(pending.confirmed.blocking_recv(), Ok(true));
     }
     assert!(running.close(PATIENCE));
     let syncs = ledger.stats().done.syncs - before;
     assert!(syncs <= 3, "{syncs} syncs for 32 intents");
-    assert_eq!(ledger.intent(draft("late")).expect_err("it has ended"), Trouble::Closed);
+    assert_eq!(ledger.record_intent(draft("late")).expect_err("it has ended"), IntentError::Closed);
 }
 
 /// What earlier lives left counts against the bound, so that what is kept for the next life always fits.
@@ -67,21 +68,21 @@
     let tight = options(Keeping { open: 4, ..keeping(Promise::ProcessCrash, 10) });
     let (ledger, running) = run(&disk, tight.clone());
     for n in 0..3 {
-        let pending = ledger.intent(draft(&n.to_string())).expect("room");
-        assert_eq!(pending.promised.blocking_recv(), Ok(true));
+        let pending = ledger.record_intent(draft(&n.to_string())).expect("room");
+        assert_eq!(pending.confirmed.blocking_recv(), Ok(true));
     }
     assert!(running.close(PATIENCE));
     let (ledger, running) = run(&disk, tight);
-    assert_eq!(ledger.unknown(), 3);
-    let fourth = ledger.intent(draft("3")).expect("room for one");
-    assert_eq!(ledger.standing(), Err(Trouble::Overfull));
+    assert_eq!(ledger.unknown_count(), 3);
+    let fourth = ledger.record_intent(draft("3")).expect("room for one");
+    assert_eq!(ledger.check_available(), Err(IntentError::TooManyOpen));
     let number = fourth.number;
-    assert_eq!(fourth.promised.blocking_recv(), Ok(true));
-    ledger.outcome(number, How::Done);
-    while ledger.standing().is_err() {
+    assert_eq!(fourth.confirmed.blocking_recv(), Ok(true));
+    ledger.record_outcome(number, AttemptOutcome::Done);
+    while ledger.check_available().is_err() {
         std::thread::yield_now();
     }
-    assert_eq!(ledger.intent(draft(&"x".repeat(300))).expect_err("too long"), Trouble::LongId);
+    assert_eq!(ledger.record_intent(draft(&"x".repeat(300))).expect_err("too long"), IntentError::IdTooLong);
     drop(running);
 }
 
@@ -90,21 +91,21 @@
 fn what_ends_while_the_disk_is_away_is_not_forgotten() {
     let disk = SimDisk::default();
     let (ledger, running) = run(&disk, options(keeping(Promise::PowerLoss, 10)));
-    let pending = ledger.intent(draft("1")).expect("room");
+    let pending = ledger.record_intent(draft("1")).expect("room");
     let number = pending.number;
-    assert_eq!(pending.promised.blocking_recv(), Ok(true));
+    assert_eq!(pending.confirmed.blocking_recv(), Ok(true));
     disk.fail(0..usize::MAX, DiskFault::ReadOnly);
-    let lost = ledger.intent(draft("2")).expect("nobody knows yet");
-    assert_eq!(lost.promised.blocking_recv(), Ok(false), "no promise, no send");
-    ledger.outcome(number, How::Done);
-    assert_eq!(ledger.intent(draft("3")).expect_err("it is away"), Trouble::Down);
+    let lost = ledger.record_intent(draft("2")).expect("nobody knows yet");
+    assert_eq!(lost.confirmed.blocking_recv(), Ok(false), "no promise, no send");
+    ledger.record_outcome(number, AttemptOutcome::Done);
+    assert_eq!(ledger.record_intent(draft("3")).expect_err("it is away"), IntentError::Down);
     disk.repair();
-    while ledger.standing().is_err() {
+    while ledger.check_available().is_err() {
         std::thread::yield_now();
     }
     assert!(running.close(PATIENCE));
     let (ledger, _running) = run(&disk, options(keeping(Promise::PowerLoss, 10)));
-    assert_eq!((ledger.unknown(), ledger.stats().done.lost), (0, 0));
+    assert_eq!((ledger.unknown_count(), ledger.stats().done.lost), (0, 0));
 }
 
 #[test]
--- a/src/commands/ledger.rs
+++ b/src/commands/ledger.rs
@@ -10,7 +10,7 @@
 use magpietally_ledger::disk::{whose, Folder, Lock};
 use magpietally_ledger::journal::{Journal, Keeping, Promise};
 use magpietally_ledger::reconcile::{Books, Difference, Run};
-use magpietally_ledger::record::{Fate, Now, Record, Settled};
+use magpietally_ledger::record::{Execution, Record, Settled, Timestamp};
 use magpietally_ledger::recover::{Bounds, Recovered, Seen};
 use magpietally_ledger::segment::Owner;
 use serde_json::json;
@@ -169,16 +169,16 @@
     recovered.map_err(|e| Failure::Failed(format!("{}: {e}", directory.display())))
 }
 
-fn time(at: Now) -> String {
+fn time(at: Timestamp) -> String {
     let at = UNIX_EPOCH.checked_add(Duration::from_micros(at.wall_us)).unwrap_or(UNIX_EPOCH);
     humantime::format_rfc3339_millis(at).to_string()
 }
 
-fn fate(fate: Fate) -> &'static str {
+fn fate(fate: Execution) -> &'static str {
     match fate {
-        Fate::Ran => "ran",
-        Fate::Never => "never ran",
-        Fate::Unknown => "may have run",
+        Execution::Ran => "ran",
+        Execution::Never => "never ran",
+        Execution::Unknown => "may have run",
     }
 }
 
@@ -200,7 +200,7 @@
     match record {
         Record::Intent(i) => intent(i),
         Record::Outcome(o) => {
-            format!("{} outcome {} {:?}: {}", time(o.at), o.intent, o.how, fate(o.how.fate()))
+            format!("{} outcome {} {:?}: {}", time(o.at), o.intent, o.how, fate(o.how.execution()))
         }
         Record::Final(f) => format!("{} answer {} {} {:?}", time(f.at), f.intent, f.id, f.told),
         Record::Settled(s) => {
@@ -423,7 +423,7 @@
         backlog: 0,
     };
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let at = Now { wall_us: wall.as_micros() as u64, mono_us: 0 };
+    let at = Timestamp { wall_us: wall.as_micros() as u64, mono_us: 0 };
     let (mut journal, _) =
         Journal::open(Folder::new(&args.directory), owner, keeping).map_err(|e| failed(&e))?;
     journal.heal(at).map_err(|e| failed(&e))?;
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -3,7 +3,7 @@
 use magpietally_config::WatchOptions;
 use magpietally_ledger::recover::Finding;
 use magpietally_ledger::settings::LedgerSettings;
-use magpietally_ledger::{Ledger, Options, Running};
+use magpietally_ledger::{Ledger, Options, WriterHandle};
 use serde::Deserialize;
 
 use crate::commands::{toml_file, wrong, Failure};
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Where the directory is another's or can't be read: nothing that must not run twice would be safe.
-pub fn start_ledger(node: &str, options: Options) -> Result<(Option<Ledger>, Option<Running>), Failure> {
+pub fn start_ledger(node: &str, options: Options) -> Result<(Option<Ledger>, Option<WriterHandle>), Failure> {
     let directory = options.directory.display().to_string();
     let promise = options.keeping.promise;
     let (ledger, running, recovered) =
