--- a/crates/core/src/intents.rs
+++ b/crates/core/src/intents.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use magpietally_ledger::guard::is_safe_to_retry;
+use magpietally_ledger::admission::is_safe_to_retry;
 use magpietally_ledger::{
     AttemptOutcome, FinalOutcome, IntentError, KeyDigest, NewIntent, PendingIntent, RejectionReason,
     RepeatRule,
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -8,10 +8,10 @@
 
 use common::*;
 use magpietally_core::{Answer, ClientRequest, Core, Rejection, Setup};
-use magpietally_ledger::dir::{recover, Reach};
-use magpietally_ledger::journal::{Journal, Keeping, Promise};
+use magpietally_ledger::directory::{recover, ReadScope};
+use magpietally_ledger::journal::{Durability, Journal, JournalOptions};
 use magpietally_ledger::record::{AttemptOutcome, Record};
-use magpietally_ledger::recover::Bounds;
+use magpietally_ledger::recovery::RecoveryLimits;
 use magpietally_ledger::segment::Owner;
 use magpietally_ledger::sim::{DiskFault, SimDisk};
 use magpietally_ledger::{FinalOutcome, Ledger, Options, WriterHandle};
@@ -20,8 +20,8 @@
 const OWNER: Owner = Owner([7; 16]);
 
 fn options() -> Options {
-    let keeping = Keeping {
-        promise: Promise::PowerLoss,
+    let journal_options = JournalOptions {
+        durability: Durability::PowerLoss,
         segment_bytes: 1 << 20,
         segment_age_us: 1 << 40,
         segments: 10,
@@ -29,7 +29,7 @@
         open: 100,
         backlog: 100,
     };
-    Options { directory: "simulated".into(), keeping, queue: 16, stall: Duration::from_secs(20) }
+    Options { directory: "simulated".into(), journal_options, queue: 16, stall: Duration::from_secs(20) }
 }
 
 struct TestNode {
@@ -47,7 +47,7 @@
 
     fn with_aim(disk: SimDisk, options: Options, aim: f64) -> Self {
         let (journal, recovered) =
-            Journal::open(disk.clone(), OWNER, options.keeping).expect("names can be read");
+            Journal::open(disk.clone(), OWNER, options.journal_options).expect("names can be read");
         let (ledger, running) = Ledger::run(journal, &recovered, options, None).expect("a thread");
         let setup = Setup { ledger: Some(ledger.clone()), ..setup(settings(aim)) };
         let core = Core::new(setup, TestTransport::default()).expect("good settings");
@@ -74,7 +74,7 @@
         let (mut all, mut owners) = (BTreeMap::<String, Vec<String>>::new(), BTreeMap::new());
         let mut note = |id: &str, entry: String| all.entry(id.to_string()).or_default().push(entry);
         let mut disk = SimDisk::with_files(self.disk.files());
-        recover(&mut disk, OWNER, Bounds::default(), Reach::All, &mut |seen| match seen.record {
+        recover(&mut disk, OWNER, RecoveryLimits::default(), ReadScope::All, &mut |seen| match seen.record {
             Record::Intent(i) => {
                 note(&i.id, format!("to {}", i.server));
                 owners.insert(i.number, i.id);
--- a/crates/ledger/examples/crash_points.rs
+++ b/crates/ledger/examples/crash_points.rs
@@ -4,16 +4,16 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{crash_everywhere, fail_everywhere, keeping, play};
-use magpietally_ledger::journal::Promise;
+use common::{crash_everywhere, fail_everywhere, journal_options, play};
+use magpietally_ledger::journal::Durability;
 use magpietally_ledger::sim::SimDisk;
 
 fn main() {
-    for promise in [Promise::ProcessCrash, Promise::PowerLoss] {
+    for promise in [Durability::ProcessCrash, Durability::PowerLoss] {
         let mut points = 0;
         for segments in [100, 3, 2] {
             let disk = SimDisk::default();
-            play(&disk, keeping(promise, segments));
+            play(&disk, journal_options(promise, segments));
             points += crash_everywhere(&disk.ops(), promise, segments == 100, true);
         }
         println!("{promise}: {points} crash points without faults, all as promised");
--- a/crates/ledger/examples/speed.rs
+++ b/crates/ledger/examples/speed.rs
@@ -8,13 +8,13 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use magpietally_ledger::dir::{recover, Reach};
+use magpietally_ledger::directory::{recover, ReadScope};
 use magpietally_ledger::disk::Folder;
-use magpietally_ledger::journal::{Journal, Keeping, Promise};
+use magpietally_ledger::journal::{Durability, Journal, JournalOptions};
 use magpietally_ledger::record::{
     encode, AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Salt, Timestamp,
 };
-use magpietally_ledger::recover::Bounds;
+use magpietally_ledger::recovery::RecoveryLimits;
 use magpietally_ledger::segment::Owner;
 use magpietally_ledger::{Ledger, NewIntent, Options};
 
@@ -63,9 +63,9 @@
     vec![intent, outcome, Record::Final(Final { intent: n, id, told: FinalOutcome::Served, at })]
 }
 
-fn keeping(promise: Promise) -> Keeping {
-    Keeping {
-        promise,
+fn journal_options(promise: Durability) -> JournalOptions {
+    JournalOptions {
+        durability: promise,
         segment_bytes: 64 << 20,
         segment_age_us: u64::MAX,
         segments: usize::MAX,
@@ -95,9 +95,9 @@
     }
 }
 
-fn journal(own: &Own, promise: Promise) -> Result<Journal<Folder>, Failure> {
-    let (mut journal, _) = Journal::open(Folder::new(&own.0), OWNER, keeping(promise))?;
-    journal.heal(Timestamp::default())?;
+fn journal(own: &Own, promise: Durability) -> Result<Journal<Folder>, Failure> {
+    let (mut journal, _) = Journal::open(Folder::new(&own.0), OWNER, journal_options(promise))?;
+    journal.ensure_segment(Timestamp::default())?;
     Ok(journal)
 }
 
@@ -111,13 +111,13 @@
         let requests: Vec<Vec<Record>> = (1..=WRITTEN / 3).map(request).collect();
         let records: Vec<Record> = requests.into_iter().flatten().collect();
         let own = Own::new(folder, "writing")?;
-        let mut journal = journal(&own, Promise::ProcessCrash)?;
+        let mut journal = journal(&own, Durability::ProcessCrash)?;
         let began = Instant::now();
         for (n, batch) in records.chunks(batch).enumerate() {
             let now = Timestamp { wall_us: n as u64, mono_us: n as u64 };
             journal.commit(batch, now).map_err(|e| format!("{e:?}"))?;
         }
-        let bytes = journal.done().bytes;
+        let bytes = journal.stats().bytes;
         rate(&format!("journal, {batch} records a write"), records.len() as u64, bytes, began.elapsed());
         // The same bytes, in the same pieces, and nothing else.
         let mut pieces: Vec<Vec<u8>> = Vec::new();
@@ -146,10 +146,11 @@
 /// By way of the queue and the thread, as a node does: one that asks and never waits.
 fn queued(folder: &Path) -> Result<(), Failure> {
     let own = Own::new(folder, "queued")?;
-    let (journal, recovered) = Journal::open(Folder::new(&own.0), OWNER, keeping(Promise::ProcessCrash))?;
+    let (journal, recovered) =
+        Journal::open(Folder::new(&own.0), OWNER, journal_options(Durability::ProcessCrash))?;
     let options = Options {
         directory: own.0.clone(),
-        keeping: keeping(Promise::ProcessCrash),
+        journal_options: journal_options(Durability::ProcessCrash),
         queue: 65_536,
         stall: Duration::from_secs(60),
     };
@@ -182,17 +183,17 @@
     if !running.close(Duration::from_secs(60)) {
         return Err("the writer did not end".into());
     }
-    let bytes = ledger.stats().done.bytes;
+    let bytes = ledger.stats().journal.bytes;
     rate("by the queue and the thread", 3 * count, bytes, began.elapsed());
-    println!("  {} writes, asked again {busy} times while the queue was full", ledger.stats().done.writes);
+    println!("  {} writes, asked again {busy} times while the queue was full", ledger.stats().journal.writes);
     Ok(())
 }
 
 fn syncing(folder: &Path) -> Result<(), Failure> {
     for batch in [1, 16, 128] {
         let own = Own::new(folder, "syncing")?;
-        let mut journal = journal(&own, Promise::PowerLoss)?;
-        let (began, mut n, mut commits, before) = (Instant::now(), 0u64, 0u64, journal.done().bytes);
+        let mut journal = journal(&own, Durability::PowerLoss)?;
+        let (began, mut n, mut commits, before) = (Instant::now(), 0u64, 0u64, journal.stats().bytes);
         while began.elapsed() < SYNCING {
             let records: Vec<Record> = (0..batch).flat_map(|k| request(n + k + 8)).collect();
             n += batch;
@@ -200,7 +201,7 @@
             commits += 1;
         }
         let took = began.elapsed();
-        let bytes = journal.done().bytes - before;
+        let bytes = journal.stats().bytes - before;
         rate(&format!("power-loss, {batch} requests a sync: syncs"), commits, bytes, took);
         rate(&format!("power-loss, {batch} requests a sync: requests"), commits * batch, bytes, took);
         // The disk's own: the same number of bytes added and synced, and nothing else.
@@ -224,7 +225,7 @@
 
 fn recovering(folder: &Path, count: u64) -> Result<(), Failure> {
     let own = Own::new(folder, "recovering")?;
-    let mut journal = journal(&own, Promise::ProcessCrash)?;
+    let mut journal = journal(&own, Durability::ProcessCrash)?;
     let (mut n, mut written) = (0u64, 0u64);
     while written < count {
         let records: Vec<Record> = (0..320).flat_map(|k| request(n + k)).collect();
@@ -232,11 +233,12 @@
         written += records.len() as u64;
         journal.commit(&records, Timestamp { wall_us: n, mono_us: n }).map_err(|e| format!("{e:?}"))?;
     }
-    let (bytes, open) = (journal.done().bytes, journal.truth().open().len());
+    let (bytes, open) = (journal.stats().bytes, journal.open_intents().open().len());
     drop(journal);
-    for reach in [Reach::Checkpoint, Reach::All] {
+    for reach in [ReadScope::Checkpoint, ReadScope::All] {
         let began = Instant::now();
-        let recovered = recover(&mut Folder::new(&own.0), OWNER, Bounds::default(), reach, &mut |_| {})?;
+        let recovered =
+            recover(&mut Folder::new(&own.0), OWNER, RecoveryLimits::default(), reach, &mut |_| {})?;
         let took = began.elapsed();
         if recovered.open.len() != open || recovered.is_damaged() {
             return Err(
@@ -247,8 +249,8 @@
             "{written} records, {:.0} MB, {open} open: recovery from {:<10} {:>8.0} ms, {} records read; most memory {:.1} MB",
             bytes as f64 / 1e6,
             match reach {
-                Reach::All => "all",
-                Reach::Checkpoint => "checkpoint",
+                ReadScope::All => "all",
+                ReadScope::Checkpoint => "checkpoint",
             },
             took.as_secs_f64() * 1000.0,
             recovered.records,
--- a/crates/ledger/src/guard.rs
+++ b/crates/ledger/src/admission.rs
@@ -5,8 +5,8 @@
 use std::fmt;
 use std::time::Duration;
 
+use crate::open_intents::OpenIntent;
 use crate::record::{AttemptOutcome, Execution, KeyDigest, Timestamp};
-use crate::truth::Open;
 
 /// What a class may do without the ledger.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -89,7 +89,7 @@
 
 /// How a ledger stands, for whoever asks whether one more intent may be noted.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
+pub struct LedgerLoad {
     /// The node ends.
     pub closed: bool,
     /// The disk failed, and is not back yet.
@@ -101,12 +101,12 @@
     /// Intents that wait to be written, those that are being written among them.
     pub waiting: usize,
     /// For how long the batch of now has been written.
-    pub writes_for: Option<Duration>,
+    pub write_elapsed: Option<Duration>,
 }
 
 /// How much a ledger bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct IntentLimits {
     /// Open intents.
     pub open: usize,
     /// Waiting intents.
@@ -115,21 +115,21 @@
     pub stall: Duration,
 }
 
-impl Load {
+impl LedgerLoad {
     /// May one more intent be noted?
     ///
     /// # Errors
     /// Why not; of several reasons the one that lasts longest.
-    pub fn admits(&self, bounds: &Bounds) -> Result<(), IntentError> {
+    pub fn check(&self, limits: &IntentLimits) -> Result<(), IntentError> {
         if self.closed {
             Err(IntentError::Closed)
         } else if self.down {
             Err(IntentError::Down)
-        } else if self.over || self.open + self.waiting >= bounds.open {
+        } else if self.over || self.open + self.waiting >= limits.open {
             Err(IntentError::TooManyOpen)
-        } else if self.writes_for.is_some_and(|span| span > bounds.stall) {
+        } else if self.write_elapsed.is_some_and(|span| span > limits.stall) {
             Err(IntentError::Slow)
-        } else if self.waiting >= bounds.waiting {
+        } else if self.waiting >= limits.waiting {
             Err(IntentError::QueueFull)
         } else {
             Ok(())
@@ -170,9 +170,9 @@
 
 impl UnknownIntents {
     /// Those of a recovery.
-    pub fn new<'a>(open: impl IntoIterator<Item = &'a Open>) -> Self {
+    pub fn new<'a>(open: impl IntoIterator<Item = &'a OpenIntent>) -> Self {
         let mut all = Self::default();
-        for Open { intent, trusted } in open {
+        for OpenIntent { intent, trusted } in open {
             all.count += 1;
             let sent = Sent { at: intent.at, trusted: *trusted };
             match intent.key {
--- a/crates/ledger/src/guard/tests.rs
+++ b/crates/ledger/src/admission/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::record::{Intent, Timestamp};
 
-fn open(id: &str, key: Option<&str>, at_s: u64, trusted: bool) -> Open {
+fn open(id: &str, key: Option<&str>, at_s: u64, trusted: bool) -> OpenIntent {
     let intent = Intent {
         number: 1,
         id: id.into(),
@@ -15,25 +15,32 @@
         at: Timestamp { wall_us: at_s * 1_000_000, mono_us: 0 },
         boot: 1,
     };
-    Open { intent, trusted }
+    OpenIntent { intent, trusted }
 }
 
 #[test]
 fn an_intent_is_noted_only_where_it_can_be_kept() {
-    let bounds = Bounds { open: 10, waiting: 4, stall: Duration::from_millis(50) };
+    let limits = IntentLimits { open: 10, waiting: 4, stall: Duration::from_millis(50) };
     let (closed, down, over) = (false, false, false);
-    let good = Load { closed, down, over, open: 3, waiting: 3, writes_for: Some(Duration::from_millis(50)) };
-    assert_eq!(good.admits(&bounds), Ok(()));
+    let good = LedgerLoad {
+        closed,
+        down,
+        over,
+        open: 3,
+        waiting: 3,
+        write_elapsed: Some(Duration::from_millis(50)),
+    };
+    assert_eq!(good.check(&limits), Ok(()));
     let slow = Some(Duration::from_millis(51));
     for (load, trouble) in [
-        (Load { waiting: 4, ..good }, IntentError::QueueFull),
-        (Load { waiting: 4, writes_for: slow, ..good }, IntentError::Slow),
-        (Load { open: 7, writes_for: slow, ..good }, IntentError::TooManyOpen),
-        (Load { over: true, ..good }, IntentError::TooManyOpen),
-        (Load { over: true, down: true, ..good }, IntentError::Down),
-        (Load { down: true, closed: true, ..good }, IntentError::Closed),
+        (LedgerLoad { waiting: 4, ..good }, IntentError::QueueFull),
+        (LedgerLoad { waiting: 4, write_elapsed: slow, ..good }, IntentError::Slow),
+        (LedgerLoad { open: 7, write_elapsed: slow, ..good }, IntentError::TooManyOpen),
+        (LedgerLoad { over: true, ..good }, IntentError::TooManyOpen),
+        (LedgerLoad { over: true, down: true, ..good }, IntentError::Down),
+        (LedgerLoad { down: true, closed: true, ..good }, IntentError::Closed),
     ] {
-        assert_eq!(load.admits(&bounds), Err(trouble), "{load:?}");
+        assert_eq!(load.check(&limits), Err(trouble), "{load:?}");
     }
     assert!(is_safe_to_retry([
         AttemptOutcome::NotSent,
--- a/crates/ledger/src/dir.rs
+++ b/crates/ledger/src/directory.rs
@@ -5,16 +5,16 @@
 
 use crate::disk::Disk;
 use crate::record::Record;
-use crate::recover::{Bounds, Finding, Recovered, Recovery, Seen};
-use crate::scan::{Item, Scanner};
-use crate::segment::{looks_like_one, number_in, Owner, SegmentNo};
+use crate::recovery::{Finding, LocatedRecord, Recovered, Recovery, RecoveryLimits};
+use crate::scan::{ScanEvent, Scanner};
+use crate::segment::{looks_like_copy, parse_file_name, Owner, SegmentNo};
 
 /// Bytes that are read at a time.
-pub const PIECE: usize = 256 * 1024;
+pub const READ_BYTES: usize = 256 * 1024;
 
 /// How much of a directory is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum ReadScope {
     /// Every segment.
     All,
     /// From the last whole checkpoint on: enough to know what is open.
@@ -28,11 +28,11 @@
 pub fn segments(disk: &mut impl Disk) -> io::Result<(BTreeMap<u64, String>, Vec<String>)> {
     let (mut found, mut copies) = (BTreeMap::new(), Vec::new());
     for name in disk.file_names()? {
-        match number_in(&name) {
+        match parse_file_name(&name) {
             Some(number) => {
                 found.insert(number, name);
             }
-            None if looks_like_one(&name) => copies.push(name),
+            None if looks_like_copy(&name) => copies.push(name),
             None => {}
         }
     }
@@ -47,20 +47,20 @@
 pub fn recover<D: Disk>(
     disk: &mut D,
     owner: Owner,
-    bounds: Bounds,
-    reach: Reach,
-    sink: &mut impl FnMut(Seen),
+    limits: RecoveryLimits,
+    reach: ReadScope,
+    sink: &mut impl FnMut(LocatedRecord),
 ) -> io::Result<Recovered> {
     let (found, copies) = segments(disk)?;
-    let mut piece = vec![0; PIECE];
+    let mut piece = vec![0; READ_BYTES];
     let from = match reach {
-        Reach::All => 0,
-        Reach::Checkpoint => {
+        ReadScope::All => 0,
+        ReadScope::Checkpoint => {
             let whole = |number: &u64| has_checkpoint(disk, owner, *number, &found[number], &mut piece);
             found.keys().rev().copied().find(whole).unwrap_or(0)
         }
     };
-    let mut recovery = Recovery::new(owner, bounds);
+    let mut recovery = Recovery::new(owner, limits);
     copies.into_iter().for_each(|file| recovery.find(Finding::Doubled { file }));
     for (number, name) in found.range(from..) {
         recovery.begin(*number, sink);
@@ -85,7 +85,7 @@
 /// Does a segment begin with a whole checkpoint? Reads no further than that.
 fn has_checkpoint(disk: &mut impl Disk, owner: Owner, number: u64, name: &str, piece: &mut [u8]) -> bool {
     // Only the shape counts here, so none of the open intents need be held.
-    let mut recovery = Recovery::new(owner, Bounds { open: 0, findings: 0 });
+    let mut recovery = Recovery::new(owner, RecoveryLimits { open: 0, findings: 0 });
     recovery.begin(number, &mut |_| {});
     let (mut at, mut past) = (0, false);
     while let Ok(count @ 1..) = disk.read(name, at, piece) {
@@ -104,7 +104,7 @@
     false
 }
 
-fn is_head(seen: &Seen) -> bool {
+fn is_head(seen: &LocatedRecord) -> bool {
     matches!(seen.record, Record::Carried(_) | Record::Checkpoint { .. })
 }
 
@@ -119,11 +119,11 @@
 
 /// What a follower sees.
 #[derive(Debug, PartialEq, Eq)]
-pub enum News {
+pub enum FollowEvent {
     /// A record.
-    Seen(Seen),
+    Record(LocatedRecord),
     /// Something wrong.
-    Found(Finding),
+    Finding(Finding),
     /// Segments were removed before they could be read.
     Missed {
         /// From this one.
@@ -136,14 +136,14 @@
 impl Follower {
     /// Begins at the oldest segment that is there.
     pub fn new(owner: Owner) -> Self {
-        Self { owner, reading: None, piece: vec![0; PIECE] }
+        Self { owner, reading: None, piece: vec![0; READ_BYTES] }
     }
 
     /// Reads what there is by now.
     ///
     /// # Errors
     /// Where the names can't be read. A file that is gone is told as missed.
-    pub fn poll(&mut self, disk: &mut impl Disk, sink: &mut impl FnMut(News)) -> io::Result<()> {
+    pub fn poll(&mut self, disk: &mut impl Disk, sink: &mut impl FnMut(FollowEvent)) -> io::Result<()> {
         loop {
             // The names first: a segment that is there by then was begun after the end of the one before.
             let (found, _) = segments(disk)?;
@@ -165,19 +165,21 @@
                 old.end(&mut |item| tell(number, item, sink));
             }
             if *next > number + 1 || !found.contains_key(&number) {
-                sink(News::Missed { from: number, to: *next });
+                sink(FollowEvent::Missed { from: number, to: *next });
             }
         }
     }
 }
 
-fn tell(number: u64, item: Item, sink: &mut impl FnMut(News)) {
+fn tell(number: u64, item: ScanEvent, sink: &mut impl FnMut(FollowEvent)) {
     let segment = SegmentNo(number);
     sink(match item {
-        Item::Record { seq, record, .. } => News::Seen(Seen { segment, seq, trusted: true, record }),
-        Item::Header(Err(_)) => News::Found(Finding::BadHeader { segment }),
+        ScanEvent::Record { seq, record, .. } => {
+            FollowEvent::Record(LocatedRecord { segment, seq, trusted: true, record })
+        }
+        ScanEvent::Header(Err(_)) => FollowEvent::Finding(Finding::BadHeader { segment }),
         other => match Finding::of(segment, &other) {
-            Some(finding) => News::Found(finding),
+            Some(finding) => FollowEvent::Finding(finding),
             None => return,
         },
     });
--- a/crates/ledger/src/disk.rs
+++ b/crates/ledger/src/disk.rs
@@ -12,9 +12,9 @@
 
 /// Why a directory can't be had.
 #[derive(Debug)]
-pub enum Refused {
+pub enum DirectoryError {
     /// Another process writes in it.
-    Held(String),
+    Locked(String),
     /// It is another node's.
     OtherNode(String),
     /// Its identity makes no sense, or is of a later version.
@@ -23,10 +23,10 @@
     Io(&'static str, io::Error),
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for DirectoryError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Held(by) => write!(f, "lock: held by {by}: one node a directory"),
+            Self::Locked(by) => write!(f, "lock: held by {by}: one node a directory"),
             Self::OtherNode(name) => {
                 write!(f, "identity: this is the ledger of {name}; a copy is read with `magpietally ledger`")
             }
@@ -36,12 +36,12 @@
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for DirectoryError {}
 
-impl From<magpietally_store::disk::LockError> for Refused {
+impl From<magpietally_store::disk::LockError> for DirectoryError {
     fn from(why: magpietally_store::disk::LockError) -> Self {
         match why {
-            magpietally_store::disk::LockError::Locked(by) => Self::Held(by),
+            magpietally_store::disk::LockError::Locked(by) => Self::Locked(by),
             magpietally_store::disk::LockError::Io(what, error) => Self::Io(what, error),
         }
     }
@@ -52,14 +52,14 @@
 /// Whose directory it is: read, or drawn where there is none yet.
 ///
 /// # Errors
-/// [`Refused::OtherNode`] where it is another node's.
-pub fn identity(folder: &Path, node: &str) -> Result<Owner, Refused> {
-    let io = |e| Refused::Io(IDENTITY, e);
-    match whose(folder) {
-        Ok(own) if own.node != node => Err(Refused::OtherNode(own.node)),
+/// [`DirectoryError::OtherNode`] where it is another node's.
+pub fn load_or_create_identity(folder: &Path, node: &str) -> Result<Owner, DirectoryError> {
+    let io = |e| DirectoryError::Io(IDENTITY, e);
+    match read_identity(folder) {
+        Ok(own) if own.node != node => Err(DirectoryError::OtherNode(own.node)),
         Ok(own) => Ok(own.owner),
-        Err(Refused::Io(_, error)) if error.kind() == ErrorKind::NotFound => {
-            let own = Identity { node: node.to_string(), owner: Owner::draw() };
+        Err(DirectoryError::Io(_, error)) if error.kind() == ErrorKind::NotFound => {
+            let own = Identity { node: node.to_string(), owner: Owner::random() };
             let write = || replace_file(folder, IDENTITY, own.text().as_bytes());
             retry::at_start(Call::File, IDENTITY, write).map_err(io)?;
             Ok(own.owner)
@@ -72,9 +72,9 @@
 ///
 /// # Errors
 /// Where it is no ledger's.
-pub fn whose(folder: &Path) -> Result<Identity, Refused> {
+pub fn read_identity(folder: &Path) -> Result<Identity, DirectoryError> {
     let read = || std::fs::read_to_string(folder.join(IDENTITY));
-    let text =
-        retry::within(FILE_TIMEOUT, Call::File, IDENTITY, read).map_err(|e| Refused::Io(IDENTITY, e))?;
-    Identity::read(&text).map_err(Refused::Identity)
+    let text = retry::within(FILE_TIMEOUT, Call::File, IDENTITY, read)
+        .map_err(|e| DirectoryError::Io(IDENTITY, e))?;
+    Identity::read(&text).map_err(DirectoryError::Identity)
 }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -5,26 +5,26 @@
 use std::fmt;
 use std::io;
 
-use crate::dir::{recover, segments, Reach};
+use crate::directory::{recover, segments, ReadScope};
 use crate::disk::Disk;
+use crate::open_intents::OpenIntents;
 use crate::record::{encode, Carried, Record, Salt, Timestamp};
-use crate::recover::{Bounds, Finding, Recovered};
-use crate::segment::{name, Header, HeaderTrouble, Owner, HEADER};
-use crate::truth::Truth;
+use crate::recovery::{Finding, Recovered, RecoveryLimits};
+use crate::segment::{file_name, Header, HeaderError, Owner, HEADER_BYTES};
 
 /// The most damaged places that are kept aside, and the most bytes of each.
 const KEPT_MOST: (usize, u64) = (16, 1 << 20);
 
 /// What holds for an intent before its attempt is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Durability {
     /// It is written: it outlives the process.
     ProcessCrash,
     /// It is synced: it outlives a loss of power.
     PowerLoss,
 }
 
-impl fmt::Display for Promise {
+impl fmt::Display for Durability {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::ProcessCrash => "process-crash",
@@ -35,9 +35,9 @@
 
 /// How a journal keeps its segments.
 #[derive(Clone, Copy, Debug)]
-pub struct Keeping {
+pub struct JournalOptions {
     /// The promise.
-    pub promise: Promise,
+    pub durability: Durability,
     /// A segment that holds so many bytes after its checkpoint is followed by a new one.
     pub segment_bytes: u64,
     /// One that is so old, in microseconds, likewise.
@@ -54,26 +54,26 @@
 
 /// A disk that did not do as it was told.
 #[derive(Debug)]
-pub struct Fault {
+pub struct DiskError {
     /// At what.
     pub at: &'static str,
     /// The system's word.
     pub error: io::Error,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DiskError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.at, self.error)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DiskError {}
 
 /// Why a batch came to nothing.
 #[derive(Debug)]
-pub enum Failure {
+pub enum CommitError {
     /// The disk failed at it.
-    Fault(Fault),
+    Disk(DiskError),
     /// The disk had failed before, and is not back.
     Down,
 }
@@ -88,7 +88,7 @@
 
 /// What a journal has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Done {
+pub struct JournalStats {
     /// Records written.
     pub records: u64,
     /// Bytes written.
@@ -106,8 +106,8 @@
     disk: D,
     owner: Owner,
     boot: u64,
-    keeping: Keeping,
-    truth: Truth,
+    options: JournalOptions,
+    open_intents: OpenIntents,
     current: Option<Current<D::File>>,
     /// Segments on disk before the current one: number, and when each began by the wall's clock.
     old: VecDeque<(u64, u64)>,
@@ -117,7 +117,7 @@
     doubts: Vec<(u64, u64)>,
     backlog: VecDeque<Record>,
     buf: Vec<u8>,
-    done: Done,
+    stats: JournalStats,
 }
 
 impl<D: Disk> Journal<D> {
@@ -126,30 +126,30 @@
     ///
     /// # Errors
     /// Where the directory's names can't be read.
-    pub fn open(mut disk: D, owner: Owner, keeping: Keeping) -> io::Result<(Self, Recovered)> {
-        let bounds = Bounds { open: keeping.open, ..Bounds::default() };
-        let recovered = recover(&mut disk, owner, bounds, Reach::Checkpoint, &mut |_| {})?;
+    pub fn open(mut disk: D, owner: Owner, options: JournalOptions) -> io::Result<(Self, Recovered)> {
+        let bounds = RecoveryLimits { open: options.open, ..RecoveryLimits::default() };
+        let recovered = recover(&mut disk, owner, bounds, ReadScope::Checkpoint, &mut |_| {})?;
         let (found, _) = segments(&mut disk)?;
         let next_segment = found.last_key_value().map_or(1, |(last, _)| last.saturating_add(1));
-        let mut truth = Truth::new(keeping.open);
+        let mut open_intents = OpenIntents::new(options.open);
         for open in &recovered.open {
             let carried = Carried { intent: open.intent.clone(), trusted: open.trusted };
-            truth.apply(&Record::Carried(carried), true);
+            open_intents.apply(&Record::Carried(carried), true);
         }
         let mut old = VecDeque::new();
         for (number, name) in &found {
-            let mut head = [0; HEADER];
+            let mut head = [0; HEADER_BYTES];
             // One of another node's, or that can't be told, is not ours to remove; one without a head is of no use.
             match disk.read(name, 0, &mut head).map(|count| Header::read(&head[..count])) {
                 Ok(Ok(header)) if header.owner == owner => old.push_back((*number, header.wall_us)),
-                Ok(Err(HeaderTrouble::Short)) => old.push_back((*number, 0)),
+                Ok(Err(HeaderError::Short)) => old.push_back((*number, 0)),
                 _ => {}
             }
         }
         for finding in &recovered.findings {
             if let Finding::Damaged { segment, from, to } = finding {
                 // What can't be kept aside is still in its place, until the segment is too old.
-                if let Err(error) = keep_aside(&mut disk, segment.0, *from, *to) {
+                if let Err(error) = save_damaged_bytes(&mut disk, segment.0, *from, *to) {
                     tracing::warn!(target: "ledger", "{segment}: its damaged bytes were not kept aside: {error}");
                 }
             }
@@ -159,8 +159,8 @@
             owner,
             // Numbers of segments only grow, so the first that a life writes is the life's own.
             boot: next_segment,
-            keeping,
-            truth,
+            options,
+            open_intents,
             current: None,
             old,
             next_seq: recovered.next_seq.min(1 << 62),
@@ -168,7 +168,7 @@
             doubts: Vec::new(),
             backlog: VecDeque::new(),
             buf: Vec::new(),
-            done: Done::default(),
+            stats: JournalStats::default(),
         };
         Ok((journal, recovered))
     }
@@ -179,8 +179,8 @@
     }
 
     /// What is open.
-    pub fn truth(&self) -> &Truth {
-        &self.truth
+    pub fn open_intents(&self) -> &OpenIntents {
+        &self.open_intents
     }
 
     /// Is a segment open?
@@ -189,8 +189,8 @@
     }
 
     /// What has been done.
-    pub fn done(&self) -> Done {
-        self.done
+    pub fn stats(&self) -> JournalStats {
+        self.stats
     }
 
     /// Writes a batch: after this returns well each intent in it has its promise. Where it does not, none of its intents
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// Where the disk failed, or is not back. Nothing is tried twice.
-    pub fn commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), Failure> {
+    pub fn commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), CommitError> {
         let result = self.try_commit(batch, now);
         if result.is_err() {
             for record in batch.iter().filter(|r| !matches!(r, Record::Intent(_))) {
@@ -208,9 +208,9 @@
         result
     }
 
-    fn try_commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), Failure> {
-        self.rotate_if_due(now).map_err(Failure::Fault)?;
-        let Some(current) = &mut self.current else { return Err(Failure::Down) };
+    fn try_commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), CommitError> {
+        self.rotate_if_due(now).map_err(CommitError::Disk)?;
+        let Some(current) = &mut self.current else { return Err(CommitError::Down) };
         let first = self.next_seq;
         let salt = Salt::of(self.owner.0, current.number);
         self.buf.clear();
@@ -219,14 +219,14 @@
             self.next_seq += 1;
         }
         let synced =
-            write(&mut self.disk, &mut current.file, &self.buf, self.keeping.promise, &mut self.done);
+            write(&mut self.disk, &mut current.file, &self.buf, self.options.durability, &mut self.stats);
         current.bytes += self.buf.len() as u64;
         if let Err(fault) = synced {
             self.doubt_from(first);
-            return Err(Failure::Fault(fault));
+            return Err(CommitError::Disk(fault));
         }
-        self.done.records += batch.len() as u64;
-        batch.iter().for_each(|record| self.truth.apply(record, true));
+        self.stats.records += batch.len() as u64;
+        batch.iter().for_each(|record| self.open_intents.apply(record, true));
         Ok(())
     }
 
@@ -241,15 +241,15 @@
     /// A record that could not be written waits for the next segment. One of an intent that never counted is not needed.
     fn keep_for_later(&mut self, record: &Record) {
         if let Record::Outcome(outcome) = record {
-            if !self.truth.is_open(outcome.intent) {
+            if !self.open_intents.is_open(outcome.intent) {
                 return;
             }
         }
-        self.truth.apply(record, true);
-        if self.backlog.len() < self.keeping.backlog {
+        self.open_intents.apply(record, true);
+        if self.backlog.len() < self.options.backlog {
             self.backlog.push_back(record.clone());
         } else {
-            self.done.lost += 1;
+            self.stats.lost += 1;
         }
     }
 
@@ -257,15 +257,15 @@
     ///
     /// # Errors
     /// Where the disk failed.
-    pub fn tick(&mut self, now: Timestamp) -> Result<(), Fault> {
+    pub fn tick(&mut self, now: Timestamp) -> Result<(), DiskError> {
         self.rotate_if_due(now)
     }
 
-    fn rotate_if_due(&mut self, now: Timestamp) -> Result<(), Fault> {
+    fn rotate_if_due(&mut self, now: Timestamp) -> Result<(), DiskError> {
         let Some(current) = &self.current else { return Ok(()) };
         let age = now.mono_us.saturating_sub(current.began.mono_us);
-        if current.bytes < self.keeping.segment_bytes
-            && (age < self.keeping.segment_age_us || current.bytes == 0)
+        if current.bytes < self.options.segment_bytes
+            && (age < self.options.segment_age_us || current.bytes == 0)
         {
             return Ok(());
         }
@@ -274,14 +274,14 @@
         self.prune(now)
     }
 
-    fn close_current(&mut self, last: bool) -> Result<(), Fault> {
+    fn close_current(&mut self, last: bool) -> Result<(), DiskError> {
         let Some(mut current) = self.current.take() else { return Ok(()) };
         let first = self.next_seq;
         self.buf.clear();
         encode(&Record::Closed { last }, first, Salt::of(self.owner.0, current.number), &mut self.buf);
         self.next_seq += 1;
         let synced =
-            write(&mut self.disk, &mut current.file, &self.buf, self.keeping.promise, &mut self.done);
+            write(&mut self.disk, &mut current.file, &self.buf, self.options.durability, &mut self.stats);
         self.old.push_back((current.number, current.began.wall_us));
         if synced.is_err() {
             self.doubts.push((current.number, first));
@@ -294,7 +294,7 @@
     ///
     /// # Errors
     /// Where the disk still fails; nothing is changed then.
-    pub fn heal(&mut self, now: Timestamp) -> Result<(), Fault> {
+    pub fn ensure_segment(&mut self, now: Timestamp) -> Result<(), DiskError> {
         if self.current.is_some() {
             return Ok(());
         }
@@ -302,21 +302,21 @@
         self.prune(now)
     }
 
-    fn begin_segment(&mut self, now: Timestamp) -> Result<(), Fault> {
+    fn begin_segment(&mut self, now: Timestamp) -> Result<(), DiskError> {
         let number = self.next_segment;
-        let file_name = name(number);
-        let mut file = match self.disk.create(&file_name) {
+        let new_name = file_name(number);
+        let mut file = match self.disk.create(&new_name) {
             Ok(file) => file,
             Err(error) => {
                 // Left behind by a try that failed half way, or somebody else's: its number is spent.
                 if error.kind() == io::ErrorKind::AlreadyExists {
                     self.next_segment += 1;
                 }
-                return Err(Fault { at: "new segment", error });
+                return Err(DiskError { at: "new segment", error });
             }
         };
         let (first_seq, wall_us) = (self.next_seq, now.wall_us);
-        let synced = self.keeping.promise == Promise::PowerLoss;
+        let synced = self.options.durability == Durability::PowerLoss;
         let salt = Salt::of(self.owner.0, number);
         let mut bytes = Vec::with_capacity(4096);
         Header { owner: self.owner, number, first_seq, boot: self.boot, wall_us, synced }.write(&mut bytes);
@@ -325,11 +325,11 @@
             encode(record, seq, salt, bytes);
             seq += 1;
         };
-        for open in self.truth.open() {
+        for open in self.open_intents.open() {
             let carried = Carried { intent: open.intent.clone(), trusted: open.trusted };
             add(&Record::Carried(carried), &mut bytes);
         }
-        add(&Record::Checkpoint { carried: self.truth.open().len() as u32 }, &mut bytes);
+        add(&Record::Checkpoint { carried: self.open_intents.open().len() as u32 }, &mut bytes);
         for (segment, from) in &self.doubts {
             add(&Record::Doubt { segment: *segment, from: *from }, &mut bytes);
         }
@@ -337,14 +337,14 @@
             add(record, &mut bytes);
         }
         let written =
-            append_all(&mut self.disk, &mut file, &bytes, &mut self.done).and_then(|()| match synced {
+            append_all(&mut self.disk, &mut file, &bytes, &mut self.stats).and_then(|()| match synced {
                 false => Ok(()),
-                true => sync_whole(&mut self.disk, &mut file, &mut self.done),
+                true => sync_whole(&mut self.disk, &mut file, &mut self.stats),
             });
         if let Err(fault) = written {
             // A full disk is tried again and again, and each try must not leave a file.
             drop(file);
-            if self.disk.remove(&file_name).is_err() {
+            if self.disk.remove(&new_name).is_err() {
                 self.next_segment += 1;
                 self.next_seq = seq;
                 self.doubts.push((number, first_seq));
@@ -354,7 +354,7 @@
         }
         self.next_segment += 1;
         self.next_seq = seq;
-        self.done.records += self.backlog.len() as u64;
+        self.stats.records += self.backlog.len() as u64;
         self.doubts.clear();
         self.backlog.clear();
         self.current = Some(Current { file, number, bytes: 0, began: now });
@@ -363,30 +363,30 @@
 
     /// Removes segments that are too many or too old. All that is open stands at the head of the current one, so none is
     /// lost with them; but that head must be safe first.
-    fn prune(&mut self, now: Timestamp) -> Result<(), Fault> {
-        let most = self.keeping.segments.max(1) - 1;
-        let due = |old: &VecDeque<(u64, u64)>, keeping: &Keeping| {
+    fn prune(&mut self, now: Timestamp) -> Result<(), DiskError> {
+        let most = self.options.segments.max(1) - 1;
+        let due = |old: &VecDeque<(u64, u64)>, options: &JournalOptions| {
             old.front().is_some_and(|(_, began)| {
                 // Age counts only where it is known, and where the clock has not stepped back behind it.
                 let age = if *began == 0 { 0 } else { now.wall_us.saturating_sub(*began) };
-                old.len() > most || age > keeping.age_us
+                old.len() > most || age > options.age_us
             })
         };
-        if !due(&self.old, &self.keeping) {
+        if !due(&self.old, &self.options) {
             return Ok(());
         }
-        if self.keeping.promise == Promise::ProcessCrash {
+        if self.options.durability == Durability::ProcessCrash {
             let Some(current) = &mut self.current else { return Ok(()) };
-            let safe = sync_whole(&mut self.disk, &mut current.file, &mut self.done);
+            let safe = sync_whole(&mut self.disk, &mut current.file, &mut self.stats);
             if let Err(fault) = safe {
                 // What is written is still promised to outlive the process; it is the old ones that must stay.
                 tracing::warn!(target: "ledger", "{fault}; old segments stay");
                 return Ok(());
             }
         }
-        while due(&self.old, &self.keeping) {
+        while due(&self.old, &self.options) {
             let Some((number, _)) = self.old.front() else { break };
-            match self.disk.remove(&name(*number)) {
+            match self.disk.remove(&file_name(*number)) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 // It is in the way of nothing; the next rotation tries again.
@@ -401,8 +401,8 @@
     ///
     /// # Errors
     /// Where the disk failed; the next start then finds no end in order.
-    pub fn close(&mut self) -> Result<(), Fault> {
-        let nothing_out = self.truth.open().len() == 0;
+    pub fn close(&mut self) -> Result<(), DiskError> {
+        let nothing_out = self.open_intents.open().len() == 0;
         self.close_current(nothing_out)
     }
 
@@ -413,38 +413,43 @@
 }
 
 /// Copies damaged bytes to a file of their own, which retention does not know: `NUMBER-FROM.kept`.
-fn keep_aside<D: Disk>(disk: &mut D, segment: u64, from: u64, to: u64) -> io::Result<()> {
+fn save_damaged_bytes<D: Disk>(disk: &mut D, segment: u64, from: u64, to: u64) -> io::Result<()> {
     let aside = format!("{segment:020}-{from}.kept");
     let names = disk.file_names()?;
     if names.contains(&aside) || names.iter().filter(|n| n.ends_with(".kept")).count() >= KEPT_MOST.0 {
         return Ok(());
     }
     let mut bytes = vec![0; (to - from).min(KEPT_MOST.1) as usize];
-    let count = disk.read(&name(segment), from, &mut bytes)?;
+    let count = disk.read(&file_name(segment), from, &mut bytes)?;
     let mut file = disk.create(&aside)?;
-    append_all(disk, &mut file, &bytes[..count], &mut Done::default()).map_err(|fault| fault.error)
+    append_all(disk, &mut file, &bytes[..count], &mut JournalStats::default()).map_err(|fault| fault.error)
 }
 
-fn append_all<D: Disk>(disk: &mut D, file: &mut D::File, bytes: &[u8], done: &mut Done) -> Result<(), Fault> {
+fn append_all<D: Disk>(
+    disk: &mut D,
+    file: &mut D::File,
+    bytes: &[u8],
+    stats: &mut JournalStats,
+) -> Result<(), DiskError> {
     let mut rest = bytes;
     while !rest.is_empty() {
-        done.writes += 1;
-        let count = disk.append(file, rest).map_err(|error| Fault { at: "write", error })?;
-        done.bytes += count as u64;
+        stats.writes += 1;
+        let count = disk.append(file, rest).map_err(|error| DiskError { at: "write", error })?;
+        stats.bytes += count as u64;
         rest = rest.get(count.max(1)..).unwrap_or_default();
     }
     Ok(())
 }
 
-fn sync<D: Disk>(disk: &mut D, file: &mut D::File, done: &mut Done) -> Result<(), Fault> {
-    done.syncs += 1;
-    disk.sync(file).map_err(|error| Fault { at: "sync", error })
+fn sync<D: Disk>(disk: &mut D, file: &mut D::File, stats: &mut JournalStats) -> Result<(), DiskError> {
+    stats.syncs += 1;
+    disk.sync(file).map_err(|error| DiskError { at: "sync", error })
 }
 
 /// The same with the file's name.
-fn sync_whole<D: Disk>(disk: &mut D, file: &mut D::File, done: &mut Done) -> Result<(), Fault> {
-    sync(disk, file, done)?;
-    disk.sync_directory().map_err(|error| Fault { at: "sync of the directory", error })
+fn sync_whole<D: Disk>(disk: &mut D, file: &mut D::File, stats: &mut JournalStats) -> Result<(), DiskError> {
+    sync(disk, file, stats)?;
+    disk.sync_directory().map_err(|error| DiskError { at: "sync of the directory", error })
 }
 
 /// Adds bytes, so that the promise holds for them.
@@ -452,12 +457,12 @@
     disk: &mut D,
     file: &mut D::File,
     bytes: &[u8],
-    promise: Promise,
-    done: &mut Done,
-) -> Result<(), Fault> {
-    append_all(disk, file, bytes, done)?;
+    promise: Durability,
+    stats: &mut JournalStats,
+) -> Result<(), DiskError> {
+    append_all(disk, file, bytes, stats)?;
     match promise {
-        Promise::ProcessCrash => Ok(()),
-        Promise::PowerLoss => sync(disk, file, done),
+        Durability::ProcessCrash => Ok(()),
+        Durability::PowerLoss => sync(disk, file, stats),
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -4,25 +4,25 @@
 //! it its outcome, and what the client was told. When a node dies, what it had out can be named, and held against the
 //! servers' own records.
 //!
-//! Pure are the records ([`record`], [`segment`], [`scan`]), what they come to ([`truth`], [`recover`]), what a node does
-//! with that ([`guard`]) and the comparison with the servers' records ([`reconcile`]). [`journal`] writes through the seam
+//! Pure are the records ([`record`], [`segment`], [`scan`]), what they come to ([`open_intents`], [`recovery`]), what a node does
+//! with that ([`admission`]) and the comparison with the servers' records ([`reconcile`]). [`journal`] writes through the seam
 //! [`disk::Disk`]; [`writer`] is the thread and its queue; [`sim`] is a disk that loses what it may lose.
 
-pub mod dir;
+pub mod admission;
+pub mod directory;
 pub mod disk;
-pub mod guard;
 pub mod journal;
+pub mod open_intents;
 pub mod reconcile;
 pub mod record;
-pub mod recover;
+pub mod recovery;
 pub mod scan;
 pub mod segment;
 pub mod settings;
-pub mod truth;
 pub mod writer;
 
 pub use magpietally_store::sim;
 
-pub use guard::{IntentError, RejectionReason, RepeatRule};
+pub use admission::{IntentError, RejectionReason, RepeatRule};
 pub use record::{AttemptOutcome, FinalOutcome, KeyDigest};
 pub use writer::{Ledger, NewIntent, Options, PendingIntent, WriterHandle};
--- a/crates/ledger/src/truth.rs
+++ b/crates/ledger/src/open_intents.rs
@@ -11,7 +11,7 @@
 
 /// An intent without an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Open {
+pub struct OpenIntent {
     /// The intent.
     #[serde(flatten)]
     pub intent: Intent,
@@ -21,8 +21,8 @@
 
 /// The open intents, at most so many.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Truth {
-    open: BTreeMap<u64, Open>,
+pub struct OpenIntents {
+    open: BTreeMap<u64, OpenIntent>,
     /// Outcomes that overtook their intents.
     early: BTreeSet<u64>,
     most: usize,
@@ -30,14 +30,14 @@
     orphans: u64,
 }
 
-impl Truth {
+impl OpenIntents {
     /// Nothing is open. More than `most` are counted, not held.
     pub fn new(most: usize) -> Self {
         Self { most, ..Self::default() }
     }
 
     /// The open intents by number.
-    pub fn open(&self) -> impl ExactSizeIterator<Item = &Open> {
+    pub fn open(&self) -> impl ExactSizeIterator<Item = &OpenIntent> {
         self.open.values()
     }
 
@@ -80,7 +80,7 @@
             self.over += 1;
             return;
         }
-        self.open.insert(intent.number, Open { intent: intent.clone(), trusted });
+        self.open.insert(intent.number, OpenIntent { intent: intent.clone(), trusted });
     }
 
     fn close(&mut self, number: u64, trusted: bool) {
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::record::{AttemptOutcome, Execution, FinalOutcome, Intent, KeyDigest, Record};
-use crate::recover::Seen;
+use crate::recovery::LocatedRecord;
 
 /// A server's record of a request that it ran: a line of JSON in its file. Fields that are not named here are passed over.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub struct Run {
+pub struct ServerRun {
     /// The server's name, as the list has it.
     #[serde(rename = "box")]
     pub server: String,
@@ -120,7 +120,7 @@
 }
 
 #[derive(Debug)]
-struct Noted {
+struct LedgerAttempt {
     /// Which of the ledgers, and its number there.
     number: (usize, u64),
     segment: u64,
@@ -133,13 +133,13 @@
 
 #[derive(Debug, Default)]
 struct Request {
-    attempts: Vec<Noted>,
+    attempts: Vec<LedgerAttempt>,
     told: Option<FinalOutcome>,
 }
 
 /// All that ledgers say, by request.
 #[derive(Debug, Default)]
-pub struct Books {
+pub struct LedgerIndex {
     requests: BTreeMap<Box<str>, Request>,
     /// Whose an intent is.
     numbers: HashMap<(usize, u64), Box<str>>,
@@ -148,7 +148,7 @@
     doubts: Vec<(usize, u64, u64)>,
 }
 
-impl Books {
+impl LedgerIndex {
     /// Nothing is noted.
     pub fn new() -> Self {
         Self::default()
@@ -160,7 +160,7 @@
     }
 
     /// Takes a record of one of the ledgers, counted from 0.
-    pub fn take(&mut self, ledger: usize, seen: &Seen) {
+    pub fn add(&mut self, ledger: usize, seen: &LocatedRecord) {
         match &seen.record {
             Record::Intent(intent) => self.intent(ledger, intent, seen),
             // Of a segment that is not there any more.
@@ -187,19 +187,19 @@
         }
     }
 
-    fn attempt(&mut self, number: (usize, u64)) -> Option<&mut Noted> {
+    fn attempt(&mut self, number: (usize, u64)) -> Option<&mut LedgerAttempt> {
         let id = self.numbers.get(&number)?;
         self.requests.get_mut(id)?.attempts.iter_mut().find(|a| a.number == number)
     }
 
-    fn intent(&mut self, ledger: usize, intent: &Intent, seen: &Seen) {
+    fn intent(&mut self, ledger: usize, intent: &Intent, seen: &LocatedRecord) {
         let number = (ledger, intent.number);
         if self.numbers.contains_key(&number) {
             return;
         }
         let id: Box<str> = intent.id.as_str().into();
         self.numbers.insert(number, id.clone());
-        let noted = Noted {
+        let noted = LedgerAttempt {
             number,
             segment: seen.segment.0,
             seq: seen.seq,
@@ -212,8 +212,8 @@
     }
 
     /// Holds the servers' records against the ledgers: each difference, in an order of its own.
-    pub fn against(&self, runs: &[Run]) -> Vec<Difference> {
-        let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
+    pub fn compare(&self, runs: &[ServerRun]) -> Vec<Difference> {
+        let mut by_id: HashMap<&str, Vec<&ServerRun>> = HashMap::new();
         let mut keys: HashSet<KeyDigest> = HashSet::new();
         for run in runs {
             by_id.entry(&run.id).or_default().push(run);
@@ -240,9 +240,9 @@
             }
         }
         for (id, request) in &self.requests {
-            let ran: &[&Run] = by_id.get(&**id).map_or(&[], Vec::as_slice);
+            let ran: &[&ServerRun] = by_id.get(&**id).map_or(&[], Vec::as_slice);
             // The server of an answer may have dropped a repeat of what another ran.
-            let by_key = |a: &Noted| a.key.is_some_and(|key| keys.contains(&key));
+            let by_key = |a: &LedgerAttempt| a.key.is_some_and(|key| keys.contains(&key));
             for a in &request.attempts {
                 let (id, server, intent) = (id.to_string(), a.server.to_string(), a.number.1);
                 let ran_there = ran.iter().any(|run| *run.server == *a.server);
@@ -262,7 +262,7 @@
     }
 
     /// An intent that a failed write may have left behind was never sent.
-    fn never_promised(&self, noted: &Noted) -> bool {
+    fn never_promised(&self, noted: &LedgerAttempt) -> bool {
         self.doubts.iter().any(|(ledger, segment, from)| {
             *ledger == noted.number.0 && *segment == noted.segment && noted.seq >= *from
         })
--- a/crates/ledger/src/reconcile/tests.rs
+++ b/crates/ledger/src/reconcile/tests.rs
@@ -2,11 +2,11 @@
 use crate::record::{Final, Outcome, Timestamp};
 use crate::segment::SegmentNo;
 
-fn seen(seq: u64, record: Record) -> Seen {
-    Seen { segment: SegmentNo(1), seq, trusted: true, record }
+fn seen(seq: u64, record: Record) -> LocatedRecord {
+    LocatedRecord { segment: SegmentNo(1), seq, trusted: true, record }
 }
 
-fn intent(number: u64, id: &str, server: &str, key: Option<&str>) -> Seen {
+fn intent(number: u64, id: &str, server: &str, key: Option<&str>) -> LocatedRecord {
     let key = key.map(|k| KeyDigest::of(k.as_bytes()));
     let (class, tenant) = (String::new(), String::new());
     let (id, server, at) = (id.to_string(), server.to_string(), Timestamp::default());
@@ -29,17 +29,17 @@
     )
 }
 
-fn outcome(intent: u64, how: AttemptOutcome) -> Seen {
+fn outcome(intent: u64, how: AttemptOutcome) -> LocatedRecord {
     seen(1000 + intent, Record::Outcome(Outcome { intent, how, at: Timestamp::default() }))
 }
 
-fn run(id: &str, server: &str, key: Option<&str>) -> Run {
-    Run { server: server.into(), id: id.into(), class: String::new(), key: key.map(str::to_string) }
+fn run(id: &str, server: &str, key: Option<&str>) -> ServerRun {
+    ServerRun { server: server.into(), id: id.into(), class: String::new(), key: key.map(str::to_string) }
 }
 
 #[test]
 fn each_kind_of_difference_is_found_and_what_agrees_is_none() {
-    let mut books = Books::new();
+    let mut books = LedgerIndex::new();
     let told = |intent, id: &str, told| {
         let id = id.to_string();
         seen(2000 + intent, Record::Final(Final { intent, id, told, at: Timestamp::default() }))
@@ -66,11 +66,11 @@
         intent(10, "failed-write", "b", None),
         seen(3000, Record::Doubt { segment: 1, from: 10 }),
     ] {
-        books.take(0, &record);
+        books.add(0, &record);
     }
     // Numbers are each ledger's own.
-    books.take(1, &intent(1, "elsewhere", "c", None));
-    books.take(1, &outcome(1, AttemptOutcome::Reset));
+    books.add(1, &intent(1, "elsewhere", "c", None));
+    books.add(1, &outcome(1, AttemptOutcome::Reset));
     let runs = [
         run("good", "a", None),
         run("unknown-ran", "a", None),
@@ -81,7 +81,7 @@
         run("stranger", "b", None),
         run("stranger", "c", None),
     ];
-    let words: Vec<String> = books.against(&runs).iter().map(Difference::to_string).collect();
+    let words: Vec<String> = books.compare(&runs).iter().map(Difference::to_string).collect();
     assert_eq!(
         words,
         [
--- a/crates/ledger/src/recover.rs
+++ b/crates/ledger/src/recovery.rs
@@ -1,26 +1,26 @@
 //! Recovery: from the bytes of segments to what is open, and what is wrong. Pure; the memory it takes is bounded by
-//! [`Bounds`], whatever the bytes.
+//! [`RecoveryLimits`], whatever the bytes.
 
 use std::fmt;
 
 use serde::Serialize;
 
+use crate::open_intents::{OpenIntent, OpenIntents};
 use crate::record::Record;
-use crate::scan::{Item, Scanner};
-use crate::segment::{Header, HeaderTrouble, Owner, SegmentNo};
-use crate::truth::{Open, Truth};
+use crate::scan::{ScanEvent, Scanner};
+use crate::segment::{Header, HeaderError, Owner, SegmentNo};
 
 /// What recovery may hold: about 1.2 KiB for each open intent at the most (300 bytes as a rule), 64 bytes a finding, and
 /// 66 KiB of a segment.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct RecoveryLimits {
     /// Open intents; further ones are counted.
     pub open: usize,
     /// Findings; further ones are counted.
     pub findings: usize,
 }
 
-impl Default for Bounds {
+impl Default for RecoveryLimits {
     fn default() -> Self {
         Self { open: 16_384, findings: 256 }
     }
@@ -132,13 +132,13 @@
 
 impl Finding {
     /// What an item of a segment shows to be wrong; a header is judged by who knows what it should be.
-    pub(crate) fn of(segment: SegmentNo, item: &Item) -> Option<Self> {
+    pub(crate) fn of(segment: SegmentNo, item: &ScanEvent) -> Option<Self> {
         Some(match *item {
-            Item::Strange { seq, kind, .. } => Self::Strange { segment, seq, kind },
-            Item::Gap { expected, found } => Self::Gap { segment, expected, found },
-            Item::Damage { from, to } => Self::Damaged { segment, from, to },
-            Item::Tail { from, length } => Self::Torn { segment, from, length },
-            Item::Header(_) | Item::Record { .. } => return None,
+            ScanEvent::UnknownKind { seq, kind, .. } => Self::Strange { segment, seq, kind },
+            ScanEvent::Gap { expected, found } => Self::Gap { segment, expected, found },
+            ScanEvent::Damage { from, to } => Self::Damaged { segment, from, to },
+            ScanEvent::Tail { from, length } => Self::Torn { segment, from, length },
+            ScanEvent::Header(_) | ScanEvent::Record { .. } => return None,
         })
     }
 
@@ -190,7 +190,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Recovered {
     /// Intents without an outcome, by number.
-    pub open: Vec<Open>,
+    pub open: Vec<OpenIntent>,
     /// Open intents that there was no room for.
     pub over: u64,
     /// What is not as it should be.
@@ -218,7 +218,7 @@
 
 /// A record as recovery sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Seen {
+pub struct LocatedRecord {
     /// Its segment.
     pub segment: SegmentNo,
     /// Its sequence.
@@ -234,7 +234,7 @@
 #[derive(Debug)]
 enum Head {
     /// So far all records were carried.
-    Carries { truth: Truth, count: u32 },
+    Carries { open_intents: OpenIntents, count: u32 },
     /// It is complete, or there is none.
     Past,
 }
@@ -243,8 +243,8 @@
 #[derive(Debug)]
 pub struct Recovery {
     owner: Owner,
-    bounds: Bounds,
-    truth: Truth,
+    limits: RecoveryLimits,
+    open_intents: OpenIntents,
     trusted: bool,
     findings: Vec<Finding>,
     more_findings: u64,
@@ -269,11 +269,11 @@
 
 impl Recovery {
     /// Nothing is read yet.
-    pub fn new(owner: Owner, bounds: Bounds) -> Self {
+    pub fn new(owner: Owner, limits: RecoveryLimits) -> Self {
         Self {
             owner,
-            bounds,
-            truth: Truth::new(bounds.open),
+            limits,
+            open_intents: OpenIntents::new(limits.open),
             trusted: true,
             findings: Vec::new(),
             more_findings: 0,
@@ -290,7 +290,7 @@
 
     /// Notes something that the reader of the directory saw.
     pub fn find(&mut self, finding: Finding) {
-        if self.findings.len() < self.bounds.findings {
+        if self.findings.len() < self.limits.findings {
             self.findings.push(finding);
         } else {
             self.more_findings += 1;
@@ -298,7 +298,7 @@
     }
 
     /// A segment begins; the one before is over.
-    pub fn begin(&mut self, number: u64, sink: &mut impl FnMut(Seen)) {
+    pub fn begin(&mut self, number: u64, sink: &mut impl FnMut(LocatedRecord)) {
         self.end(sink);
         // Of a long row that is missing the first is named, and how far it goes shows in the numbers.
         if let Some(missing) = self.last.map(|last| last + 1).filter(|n| *n < number) {
@@ -308,12 +308,12 @@
         self.last = Some(number);
         self.segments += 1;
         (self.in_order, self.checkpoint) = (false, false);
-        let head = Head::Carries { truth: Truth::new(self.bounds.open), count: 0 };
+        let head = Head::Carries { open_intents: OpenIntents::new(self.limits.open), count: 0 };
         self.current = Some(Current { number, scanner: Some(Scanner::new(self.owner, number)), head });
     }
 
     /// Its next bytes.
-    pub fn push(&mut self, bytes: &[u8], sink: &mut impl FnMut(Seen)) {
+    pub fn push(&mut self, bytes: &[u8], sink: &mut impl FnMut(LocatedRecord)) {
         let Some(mut scanner) = self.current.as_mut().and_then(|c| c.scanner.take()) else { return };
         scanner.push(bytes, &mut |item| self.take(item, sink));
         if let Some(current) = &mut self.current {
@@ -328,7 +328,7 @@
         self.trusted = false;
     }
 
-    fn end(&mut self, sink: &mut impl FnMut(Seen)) {
+    fn end(&mut self, sink: &mut impl FnMut(LocatedRecord)) {
         let scanner = self.current.as_mut().and_then(|c| c.scanner.take());
         if let Some(scanner) = scanner {
             scanner.end(&mut |item| self.take(item, sink));
@@ -345,14 +345,14 @@
     }
 
     /// All segments are read.
-    pub fn finish(mut self, sink: &mut impl FnMut(Seen)) -> Recovered {
+    pub fn finish(mut self, sink: &mut impl FnMut(LocatedRecord)) -> Recovered {
         self.end(sink);
         Recovered {
-            open: self.truth.open().cloned().collect(),
-            over: self.truth.over(),
+            open: self.open_intents.open().cloned().collect(),
+            over: self.open_intents.over(),
             findings: self.findings,
             more_findings: self.more_findings,
-            orphans: self.truth.orphans(),
+            orphans: self.open_intents.orphans(),
             records: self.records,
             segments: self.segments,
             next_seq: self.next_seq.unwrap_or(0),
@@ -371,42 +371,42 @@
         !self.trusted
     }
 
-    fn take(&mut self, item: Item, sink: &mut impl FnMut(Seen)) {
+    fn take(&mut self, item: ScanEvent, sink: &mut impl FnMut(LocatedRecord)) {
         let Some(number) = self.current.as_ref().map(|c| c.number) else { return };
         let segment = SegmentNo(number);
         if let Some(finding) = Finding::of(segment, &item) {
             self.find(finding);
         }
         match item {
-            Item::Header(header) => self.head(segment, header),
-            Item::Record { seq, record, .. } => {
+            ScanEvent::Header(header) => self.head(segment, header),
+            ScanEvent::Record { seq, record, .. } => {
                 self.next_seq = Some(seq.saturating_add(1));
                 self.records += 1;
                 self.apply(segment, &record);
-                sink(Seen { segment, seq, trusted: self.trusted, record });
+                sink(LocatedRecord { segment, seq, trusted: self.trusted, record });
             }
-            Item::Strange { seq, .. } => {
+            ScanEvent::UnknownKind { seq, .. } => {
                 self.next_seq = Some(seq.saturating_add(1));
                 self.doubt_rest();
             }
-            Item::Gap { .. } | Item::Damage { .. } => self.doubt_rest(),
-            Item::Tail { .. } => self.in_order = false,
+            ScanEvent::Gap { .. } | ScanEvent::Damage { .. } => self.doubt_rest(),
+            ScanEvent::Tail { .. } => self.in_order = false,
         }
     }
 
     /// What follows in this segment is not trusted; a checkpoint that is not whole by now is of no use.
     fn doubt_rest(&mut self) {
         self.trusted = false;
-        self.truth.forget_early();
+        self.open_intents.forget_early();
         let carried = self.current.as_mut().map(|c| std::mem::replace(&mut c.head, Head::Past));
-        if let Some(Head::Carries { truth, .. }) = carried {
-            for open in truth.open() {
-                self.truth.apply(&Record::Intent(open.intent.clone()), false);
+        if let Some(Head::Carries { open_intents, .. }) = carried {
+            for open in open_intents.open() {
+                self.open_intents.apply(&Record::Intent(open.intent.clone()), false);
             }
         }
     }
 
-    fn head(&mut self, segment: SegmentNo, header: Result<Header, HeaderTrouble>) {
+    fn head(&mut self, segment: SegmentNo, header: Result<Header, HeaderError>) {
         let trouble = match header {
             Ok(header) if header.owner != self.owner => {
                 Finding::Foreign { segment, owner: header.owner.to_string() }
@@ -421,11 +421,11 @@
                 self.next_seq = Some(header.first_seq);
                 return;
             }
-            Err(HeaderTrouble::Later(version)) => Finding::Later { segment, version },
-            Err(HeaderTrouble::NotOurs) => Finding::NotOurs { segment },
-            Err(HeaderTrouble::Damaged) => Finding::BadHeader { segment },
+            Err(HeaderError::Later(version)) => Finding::Later { segment, version },
+            Err(HeaderError::NotOurs) => Finding::NotOurs { segment },
+            Err(HeaderError::Damaged) => Finding::BadHeader { segment },
             // Made, and not a header written: its node died, or its disk was full.
-            Err(HeaderTrouble::Short) => Finding::Torn { segment, from: 0, length: 0 },
+            Err(HeaderError::Short) => Finding::Torn { segment, from: 0, length: 0 },
         };
         let torn = !trouble.is_damage();
         self.find(trouble);
@@ -438,25 +438,25 @@
         self.in_order = matches!(record, Record::Closed { last: true });
         let Some(current) = &mut self.current else { return };
         match (&mut current.head, record) {
-            (Head::Carries { truth, count }, Record::Carried(_)) => {
-                truth.apply(record, true);
+            (Head::Carries { open_intents, count }, Record::Carried(_)) => {
+                open_intents.apply(record, true);
                 *count += 1;
             }
-            (Head::Carries { truth, count }, Record::Checkpoint { carried }) if count == carried => {
+            (Head::Carries { open_intents, count }, Record::Checkpoint { carried }) if count == carried => {
                 // The writer knew all that was open: what went wrong in earlier segments matters no more.
-                self.truth = std::mem::take(truth);
+                self.open_intents = std::mem::take(open_intents);
                 (self.trusted, self.checkpoint) = (true, true);
                 current.head = Head::Past;
             }
             (Head::Carries { .. }, _) => {
                 self.find(Finding::BadCheckpoint { segment });
                 self.doubt_rest();
-                self.truth.apply(record, false);
+                self.open_intents.apply(record, false);
             }
             (Head::Past, Record::Doubt { segment: doubted, from }) => {
                 self.doubts_at(*doubted, *from);
             }
-            (Head::Past, _) => self.truth.apply(record, self.trusted),
+            (Head::Past, _) => self.open_intents.apply(record, self.trusted),
         }
         // A gap is explained by what stands right after the checkpoint; the first record of any other kind ends the wait.
         if !matches!(record, Record::Carried(_) | Record::Checkpoint { .. } | Record::Doubt { .. }) {
--- a/crates/ledger/src/scan.rs
+++ b/crates/ledger/src/scan.rs
@@ -2,13 +2,13 @@
 //! and one piece.
 
 use crate::record::{parse, ParsedFrame, Record, Salt, FRAME_MAX_BYTES};
-use crate::segment::{Header, HeaderTrouble, Owner, HEADER};
+use crate::segment::{Header, HeaderError, Owner, HEADER_BYTES};
 
 /// What a segment's bytes hold, in their order.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Item {
+pub enum ScanEvent {
     /// The header, or what is wrong with it; always the first.
-    Header(Result<Header, HeaderTrouble>),
+    Header(Result<Header, HeaderError>),
     /// A record.
     Record {
         /// Where its frame begins.
@@ -19,7 +19,7 @@
         record: Record,
     },
     /// A good frame with a record that this version does not know.
-    Strange {
+    UnknownKind {
         /// Where it begins.
         at: u64,
         /// Its place in the order.
@@ -78,7 +78,7 @@
     }
 
     /// Takes the next bytes.
-    pub fn push(&mut self, bytes: &[u8], sink: &mut impl FnMut(Item)) {
+    pub fn push(&mut self, bytes: &[u8], sink: &mut impl FnMut(ScanEvent)) {
         // In pieces, so that what is held is bounded whatever the caller reads at a time.
         for piece in bytes.chunks(64 * 1024) {
             if self.over {
@@ -91,20 +91,20 @@
     }
 
     /// The file ends here.
-    pub fn end(mut self, sink: &mut impl FnMut(Item)) {
+    pub fn end(mut self, sink: &mut impl FnMut(ScanEvent)) {
         if self.over {
             return;
         }
         self.advance(true, sink);
         if let Some(from) = self.lost {
-            sink(Item::Tail { from, length: self.at - from });
+            sink(ScanEvent::Tail { from, length: self.at - from });
         }
     }
 
-    fn advance(&mut self, last: bool, sink: &mut impl FnMut(Item)) {
+    fn advance(&mut self, last: bool, sink: &mut impl FnMut(ScanEvent)) {
         let mut used = 0;
         if !self.headed {
-            if self.buf.len() < HEADER && !last {
+            if self.buf.len() < HEADER_BYTES && !last {
                 return;
             }
             let header = Header::read(&self.buf);
@@ -113,20 +113,20 @@
                 Ok(header) => {
                     self.next = Some(header.first_seq);
                     self.over = header.owner != self.owner;
-                    HEADER
+                    HEADER_BYTES
                 }
                 // The frames may still be whole: their salt needs no header.
-                Err(HeaderTrouble::Damaged) => HEADER,
-                Err(HeaderTrouble::Short) => {
+                Err(HeaderError::Damaged) => HEADER_BYTES,
+                Err(HeaderError::Short) => {
                     self.over = true;
                     self.buf.len()
                 }
-                Err(HeaderTrouble::NotOurs | HeaderTrouble::Later(_)) => {
+                Err(HeaderError::NotOurs | HeaderError::Later(_)) => {
                     self.over = true;
                     0
                 }
             };
-            sink(Item::Header(header));
+            sink(ScanEvent::Header(header));
         }
         while used < self.buf.len() && !self.over {
             let at = self.at + used as u64;
@@ -134,17 +134,17 @@
                 // An order that runs backwards is an old piece of the file in a new place.
                 ParsedFrame::Frame { seq, kind, payload } if self.next.is_none_or(|next| seq >= next) => {
                     if let Some(from) = self.lost.take() {
-                        sink(Item::Damage { from, to: at });
+                        sink(ScanEvent::Damage { from, to: at });
                     }
                     if let Some(expected) = self.next.filter(|next| *next != seq) {
-                        sink(Item::Gap { expected, found: seq });
+                        sink(ScanEvent::Gap { expected, found: seq });
                     }
                     // The last of all numbers has none after it: what claims it is followed by nothing.
                     self.next = Some(seq.saturating_add(1));
                     let size = crate::record::FRAME_HEADER_BYTES + payload.len();
                     sink(match Record::read(kind, payload) {
-                        Some(record) => Item::Record { at, seq, record },
-                        None => Item::Strange { at, seq, kind },
+                        Some(record) => ScanEvent::Record { at, seq, record },
+                        None => ScanEvent::UnknownKind { at, seq, kind },
                     });
                     used += size;
                 }
@@ -160,7 +160,7 @@
         }
         self.buf.drain(..used);
         self.at += used as u64;
-        debug_assert!(self.buf.len() < FRAME_MAX_BYTES.max(HEADER));
+        debug_assert!(self.buf.len() < FRAME_MAX_BYTES.max(HEADER_BYTES));
     }
 }
 
--- a/crates/ledger/src/scan/tests.rs
+++ b/crates/ledger/src/scan/tests.rs
@@ -15,7 +15,7 @@
     (bytes, begins)
 }
 
-fn items(bytes: &[u8], step: usize) -> Vec<Item> {
+fn items(bytes: &[u8], step: usize) -> Vec<ScanEvent> {
     let mut all = Vec::new();
     let mut scanner = Scanner::new(OWNER, 1);
     bytes.chunks(step).for_each(|piece| scanner.push(piece, &mut |item| all.push(item)));
@@ -23,8 +23,11 @@
     all
 }
 
-fn seqs(items: &[Item]) -> Vec<u64> {
-    items.iter().filter_map(|i| if let Item::Record { seq, .. } = i { Some(*seq) } else { None }).collect()
+fn seqs(items: &[ScanEvent]) -> Vec<u64> {
+    items
+        .iter()
+        .filter_map(|i| if let ScanEvent::Record { seq, .. } = i { Some(*seq) } else { None })
+        .collect()
 }
 
 #[test]
@@ -35,10 +38,10 @@
     let whole = items(&bytes, usize::MAX);
     assert_eq!(seqs(&whole), [10, 11, 13]);
     let (from, to) = (begins[2] as u64, begins[3] as u64);
-    assert!(whole.contains(&Item::Damage { from, to }));
-    assert!(whole.contains(&Item::Gap { expected: 12, found: 13 }));
+    assert!(whole.contains(&ScanEvent::Damage { from, to }));
+    assert!(whole.contains(&ScanEvent::Gap { expected: 12, found: 13 }));
     let from = begins[4] as u64;
-    assert_eq!(whole.last(), Some(&Item::Tail { from, length: bytes.len() as u64 - from }));
+    assert_eq!(whole.last(), Some(&ScanEvent::Tail { from, length: bytes.len() as u64 - from }));
     for step in [1, 7, 64, 100] {
         assert_eq!(items(&bytes, step), whole, "pieces of {step}");
     }
@@ -51,7 +54,7 @@
     bytes.extend(again);
     let all = items(&bytes, 4096);
     assert_eq!(seqs(&all), [10, 11, 12, 13]);
-    assert!(matches!(all.last(), Some(Item::Tail { .. })));
+    assert!(matches!(all.last(), Some(ScanEvent::Tail { .. })));
 }
 
 #[test]
@@ -60,7 +63,7 @@
     let mut bent = bytes.clone();
     bent[40] ^= 1;
     let all = items(&bent, 4096);
-    assert_eq!((&all[0], seqs(&all).len()), (&Item::Header(Err(HeaderTrouble::Damaged)), 3));
+    assert_eq!((&all[0], seqs(&all).len()), (&ScanEvent::Header(Err(HeaderError::Damaged)), 3));
     for (at, value) in [(20, 0xFF), (0, b'x'), (8, 9)] {
         let mut other = bytes.clone();
         other[at] = value;
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Bytes of a header.
-pub const HEADER: usize = 68;
+pub const HEADER_BYTES: usize = 68;
 /// The version of the format that this program writes, and the last that it reads.
 pub const VERSION: u16 = 1;
 
@@ -19,7 +19,7 @@
 
 impl Owner {
     /// A new one. The standard library's keys for its hash tables are random for each process and table.
-    pub fn draw() -> Self {
+    pub fn random() -> Self {
         let half = || RandomState::new().hash_one(std::process::id()).to_le_bytes();
         let mut own = [0; 16];
         own[..8].copy_from_slice(&half());
@@ -59,7 +59,7 @@
 
 /// Why a header can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeaderTrouble {
+pub enum HeaderError {
     /// The file ends within it.
     Short,
     /// This is no segment.
@@ -76,7 +76,7 @@
         let begin = to.len();
         to.extend(MAGIC);
         to.extend(VERSION.to_le_bytes());
-        to.extend((HEADER as u16).to_le_bytes());
+        to.extend((HEADER_BYTES as u16).to_le_bytes());
         to.extend(u32::from(self.synced).to_le_bytes());
         to.extend(self.owner.0);
         for value in [self.number, self.first_seq, self.boot, self.wall_us] {
@@ -90,11 +90,11 @@
     ///
     /// # Errors
     /// What is wrong with it. A version is believed only where the magic stands before it.
-    pub fn read(bytes: &[u8]) -> Result<Self, HeaderTrouble> {
+    pub fn read(bytes: &[u8]) -> Result<Self, HeaderError> {
         if bytes.len() >= MAGIC.len() && bytes[..MAGIC.len()] != MAGIC {
-            return Err(HeaderTrouble::NotOurs);
+            return Err(HeaderError::NotOurs);
         }
-        let Some(bytes) = bytes.first_chunk::<HEADER>() else { return Err(HeaderTrouble::Short) };
+        let Some(bytes) = bytes.first_chunk::<HEADER_BYTES>() else { return Err(HeaderError::Short) };
         let number = |at: usize| {
             let mut value = [0; 8];
             value.copy_from_slice(&bytes[at..at + 8]);
@@ -104,14 +104,10 @@
         let sum = u32::from_le_bytes([bytes[64], bytes[65], bytes[66], bytes[67]]);
         if crc32fast::hash(&bytes[..64]) != sum {
             // A later version may have a longer header, and its sum elsewhere.
-            return Err(if version > VERSION {
-                HeaderTrouble::Later(version)
-            } else {
-                HeaderTrouble::Damaged
-            });
+            return Err(if version > VERSION { HeaderError::Later(version) } else { HeaderError::Damaged });
         }
         if version > VERSION {
-            return Err(HeaderTrouble::Later(version));
+            return Err(HeaderError::Later(version));
         }
         let mut owner = [0; 16];
         owner.copy_from_slice(&bytes[16..32]);
@@ -127,12 +123,12 @@
 }
 
 /// The file name of a segment.
-pub fn name(number: u64) -> String {
+pub fn file_name(number: u64) -> String {
     format!("{number:020}{SUFFIX}")
 }
 
 /// The number that a file name gives; `None` where it is no segment's.
-pub fn number_in(name: &str) -> Option<u64> {
+pub fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(SUFFIX)?;
     let whole = digits.len() == 20 && digits.bytes().all(|b| b.is_ascii_digit());
     // Numbers are counted up from 1: what is near the end of all numbers was not.
@@ -140,8 +136,8 @@
 }
 
 /// Does this file look like a copy of a segment under a name that none has?
-pub fn looks_like_one(name: &str) -> bool {
-    name.contains(SUFFIX) && number_in(name).is_none()
+pub fn looks_like_copy(name: &str) -> bool {
+    name.contains(SUFFIX) && parse_file_name(name).is_none()
 }
 
 /// Whose directory it is, as its file `identity` says.
--- a/crates/ledger/src/segment/tests.rs
+++ b/crates/ledger/src/segment/tests.rs
@@ -3,32 +3,32 @@
 #[test]
 fn a_header_comes_back_and_each_flipped_bit_is_seen() {
     let header =
-        Header { owner: Owner::draw(), number: 3, first_seq: 90, boot: 4, wall_us: 17, synced: true };
+        Header { owner: Owner::random(), number: 3, first_seq: 90, boot: 4, wall_us: 17, synced: true };
     let mut bytes = Vec::new();
     header.write(&mut bytes);
-    assert_eq!(bytes.len(), HEADER);
+    assert_eq!(bytes.len(), HEADER_BYTES);
     assert_eq!(Header::read(&bytes), Ok(header));
-    for bit in 0..8 * HEADER {
+    for bit in 0..8 * HEADER_BYTES {
         let mut bent = bytes.clone();
         bent[bit / 8] ^= 1 << (bit % 8);
         assert!(Header::read(&bent).is_err(), "bit {bit}");
     }
-    assert_eq!(Header::read(&bytes[..HEADER - 1]), Err(HeaderTrouble::Short));
+    assert_eq!(Header::read(&bytes[..HEADER_BYTES - 1]), Err(HeaderError::Short));
 }
 
 #[test]
 fn names_sort_as_numbers_do_and_copies_are_known_for_what_they_are() {
-    assert_eq!((number_in(&name(7)), number_in(&name(u64::MAX))), (Some(7), None));
-    assert!(name(99) < name(100));
+    assert_eq!((parse_file_name(&file_name(7)), parse_file_name(&file_name(u64::MAX))), (Some(7), None));
+    assert!(file_name(99) < file_name(100));
     for copy in ["00000000000000000003.seg.bak", "00000000000000000003 (1).seg", "3.seg"] {
-        assert!(number_in(copy).is_none() && looks_like_one(copy), "{copy}");
+        assert!(parse_file_name(copy).is_none() && looks_like_copy(copy), "{copy}");
     }
-    assert!(!looks_like_one("lock") && number_in("99999999999999999999.seg").is_none());
+    assert!(!looks_like_copy("lock") && parse_file_name("99999999999999999999.seg").is_none());
 }
 
 #[test]
 fn an_identity_comes_back_and_a_bad_line_is_named() {
-    let own = Identity { node: "lahore 1".into(), owner: Owner::draw() };
+    let own = Identity { node: "lahore 1".into(), owner: Owner::random() };
     assert_eq!(Identity::read(&own.text()), Ok(own.clone()));
     for (from, to, line) in [
         ("ledger 1", "ledger 2", "line 1: version 2"),
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use crate::journal::{Keeping, Promise};
+use crate::journal::{Durability, JournalOptions};
 use crate::writer::Options;
 
 /// What an operator may say.
@@ -99,11 +99,11 @@
             return Err("ledger.directory: empty".to_string());
         }
         let promise = match self.promise {
-            Word::ProcessCrash => Promise::ProcessCrash,
-            Word::PowerLoss => Promise::PowerLoss,
+            Word::ProcessCrash => Durability::ProcessCrash,
+            Word::PowerLoss => Durability::PowerLoss,
         };
-        let keeping = Keeping {
-            promise,
+        let journal_options = JournalOptions {
+            durability: promise,
             segment_bytes: self.segment_mib << 20,
             segment_age_us: self.segment_minutes * 60_000_000,
             segments: self.segments,
@@ -112,6 +112,6 @@
             backlog: self.open * BACKLOG_EACH,
         };
         let (directory, stall) = (self.directory.clone(), Duration::from_millis(self.stall_ms));
-        Ok(Options { directory, keeping, queue: self.queue, stall })
+        Ok(Options { directory, journal_options, queue: self.queue, stall })
     }
 }
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -12,13 +12,13 @@
 use nix::time::{clock_gettime, ClockId};
 use tokio::sync::oneshot;
 
-use crate::disk::{identity, Disk, Folder, Lock, Refused};
-use crate::guard::{Bounds, IntentError, Load, RejectionReason, RepeatRule, UnknownIntents};
-use crate::journal::{Done, Failure, Journal, Keeping};
+use crate::admission::{IntentError, IntentLimits, LedgerLoad, RejectionReason, RepeatRule, UnknownIntents};
+use crate::disk::{load_or_create_identity, DirectoryError, Disk, Folder, Lock};
+use crate::journal::{CommitError, Journal, JournalOptions, JournalStats};
 use crate::record::{
     AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Timestamp, ID_MAX_BYTES,
 };
-use crate::recover::{Finding, Recovered};
+use crate::recovery::{Finding, Recovered};
 
 /// Records in a batch.
 const BATCH: usize = 1024;
@@ -33,7 +33,7 @@
     /// Where it lies.
     pub directory: PathBuf,
     /// How its segments are kept.
-    pub keeping: Keeping,
+    pub journal_options: JournalOptions,
     /// The most intents that may wait to be written.
     pub queue: usize,
     /// A batch that takes longer shows a slow disk: what needs an intent is refused until it is done.
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
     /// By the journal.
-    pub done: Done,
+    pub journal: JournalStats,
     /// How often the disk failed.
     pub faults: u64,
     /// The longest batch since the last look.
@@ -104,7 +104,7 @@
 struct Shared {
     queue: Mutex<Queue>,
     wake: Condvar,
-    unknowns: UnknownIntents,
+    unknown_intents: UnknownIntents,
     options: Options,
     boot: u64,
     began: Began,
@@ -166,7 +166,7 @@
 #[derive(Debug)]
 pub enum StartError {
     /// The directory.
-    Refused(Refused),
+    Directory(DirectoryError),
     /// A later version of the program has written here: what it meant is not known.
     Later(Finding),
     /// The system's word.
@@ -176,7 +176,7 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(why) => write!(f, "{why}"),
+            Self::Directory(why) => write!(f, "{why}"),
             Self::Later(finding) => write!(f, "{finding}"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
@@ -195,9 +195,9 @@
         let folder = &options.directory;
         retry::at_start(Call::File, "directory", || std::fs::create_dir_all(folder))
             .map_err(|e| StartError::Io("directory", e))?;
-        let lock = Lock::acquire(folder).map_err(|why| StartError::Refused(why.into()))?;
-        let owner = identity(folder, node).map_err(StartError::Refused)?;
-        let opened = Journal::open(Folder::new(folder), owner, options.keeping);
+        let lock = Lock::acquire(folder).map_err(|why| StartError::Directory(why.into()))?;
+        let owner = load_or_create_identity(folder, node).map_err(StartError::Directory)?;
+        let opened = Journal::open(Folder::new(folder), owner, options.journal_options);
         let (journal, recovered) = opened.map_err(|e| StartError::Io("directory", e))?;
         let later = recovered.findings.iter().find(|f| matches!(f, Finding::Later { .. }));
         if let Some(finding) = later {
@@ -228,20 +228,20 @@
             next_number: journal.boot() << 32,
             down: None,
             closed: false,
-            open: journal.truth().open().len(),
+            open: journal.open_intents().open().len(),
             over: recovered.over > 0,
             stats: Stats::default(),
         };
         let shared = Arc::new(Shared {
             queue: Mutex::new(queue),
             wake: Condvar::new(),
-            unknowns: UnknownIntents::new(&recovered.open),
+            unknown_intents: UnknownIntents::new(&recovered.open),
             options,
             boot: journal.boot(),
             began: Began::now(),
         });
         // The first segment, before the first request: whoever starts a node on a full disk sees it in the log.
-        if let Err(fault) = journal.heal(shared.now()) {
+        if let Err(fault) = journal.ensure_segment(shared.now()) {
             tracing::error!(target: "ledger", "down: {fault}");
             shared.queue().down = Some(fault.to_string());
         }
@@ -267,16 +267,16 @@
     }
 
     fn check(&self, queue: &Queue) -> Result<(), IntentError> {
-        let Options { keeping, queue: waiting, stall, .. } = &self.shared.options;
-        let load = Load {
+        let Options { journal_options, queue: waiting, stall, .. } = &self.shared.options;
+        let load = LedgerLoad {
             closed: queue.closed,
             down: queue.down.is_some(),
             over: queue.over,
             open: queue.open,
             waiting: queue.intents,
-            writes_for: queue.writes_since.map(|since| since.elapsed()),
+            write_elapsed: queue.writes_since.map(|since| since.elapsed()),
         };
-        load.admits(&Bounds { open: keeping.open, waiting: *waiting, stall: *stall })
+        load.check(&IntentLimits { open: journal_options.open, waiting: *waiting, stall: *stall })
     }
 
     /// May this request go out, by what was out when the node died?
@@ -290,7 +290,7 @@
         key: Option<KeyDigest>,
         left: Duration,
     ) -> Result<(), RejectionReason> {
-        self.shared.unknowns.check_repeat(right, id, key, self.shared.now(), left.as_micros() as u64)
+        self.shared.unknown_intents.check_repeat(right, id, key, self.shared.now(), left.as_micros() as u64)
     }
 
     /// An attempt is about to be made. Nothing of it may go out before the promise.
@@ -359,7 +359,7 @@
 
     /// What was out when the node died: how many intents.
     pub fn unknown_count(&self) -> usize {
-        self.shared.unknowns.count()
+        self.shared.unknown_intents.count()
     }
 
     /// What has been done; the slowest batch is since the last look.
@@ -372,7 +372,7 @@
 
     /// Its part of a status line.
     pub fn status_line(&self) -> String {
-        let Stats { done, faults, slowest } = self.stats();
+        let Stats { journal, faults, slowest } = self.stats();
         let queue = self.shared.queue();
         let standing = match self.check(&queue) {
             Ok(()) => "good".to_string(),
@@ -385,12 +385,12 @@
             queue.open,
             self.unknown_count(),
             queue.waiting.len(),
-            done.records,
-            done.bytes,
-            done.writes,
-            done.syncs,
+            journal.records,
+            journal.bytes,
+            journal.writes,
+            journal.syncs,
             faults,
-            done.lost,
+            journal.lost,
             slowest.as_secs_f64() * 1000.0
         )
     }
@@ -425,9 +425,9 @@
                 let mut queue = self.shared.queue();
                 queue.writes_since = None;
                 queue.intents -= waiters.len();
-                queue.open = self.journal.truth().open().len();
+                queue.open = self.journal.open_intents().open().len();
                 let stats = &mut queue.stats;
-                stats.done = self.journal.done();
+                stats.journal = self.journal.stats();
                 stats.slowest = stats.slowest.max(began.elapsed());
             }
             records.clear();
@@ -471,7 +471,7 @@
         let now = self.shared.now();
         if !self.journal.is_up() && self.tried.elapsed() >= self.wait {
             self.tried = Instant::now();
-            match self.journal.heal(now) {
+            match self.journal.ensure_segment(now) {
                 Ok(()) => {
                     tracing::info!(target: "ledger", "up again");
                     self.wait = HEAL.0;
@@ -484,19 +484,19 @@
             }
         }
         let result = if records.is_empty() {
-            self.journal.tick(now).map_err(Failure::Fault)
+            self.journal.tick(now).map_err(CommitError::Disk)
         } else {
             self.journal.commit(records, now)
         };
         match result {
             Ok(()) => true,
-            Err(Failure::Fault(fault)) => {
+            Err(CommitError::Disk(fault)) => {
                 tracing::error!(target: "ledger", "down: {fault}; what must not run twice is refused");
                 (self.wait, self.tried) = (HEAL.0, Instant::now());
                 self.fails(&fault.to_string());
                 false
             }
-            Err(Failure::Down) => false,
+            Err(CommitError::Down) => false,
         }
     }
 
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use magpietally_ledger::dir::{recover, Reach};
-use magpietally_ledger::journal::{Journal, Keeping, Promise};
+use magpietally_ledger::directory::{recover, ReadScope};
+use magpietally_ledger::journal::{Durability, Journal, JournalOptions};
 use magpietally_ledger::record::{
     AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Timestamp,
 };
-use magpietally_ledger::recover::{Bounds, Recovered, Seen};
+use magpietally_ledger::recovery::{LocatedRecord, Recovered, RecoveryLimits};
 use magpietally_ledger::segment::Owner;
 use magpietally_ledger::sim::{files_after_crash, DiskFault, Loss, Op, SimDisk, PAGE_BYTES};
 
@@ -16,9 +16,9 @@
 /// Batches of the script.
 pub const BATCHES: u64 = 16;
 
-pub fn keeping(promise: Promise, segments: usize) -> Keeping {
-    Keeping {
-        promise,
+pub fn journal_options(promise: Durability, segments: usize) -> JournalOptions {
+    JournalOptions {
+        durability: promise,
         segment_bytes: 600,
         segment_age_us: 1_000_000,
         segments,
@@ -74,12 +74,12 @@
 }
 
 /// Plays the script; each batch that holds is marked on the disk. Which ones did not.
-pub fn play(disk: &SimDisk, keeping: Keeping) -> Vec<u64> {
-    let (mut journal, _) = Journal::open(disk.clone(), OWNER, keeping).expect("names can be read");
+pub fn play(disk: &SimDisk, journal_options: JournalOptions) -> Vec<u64> {
+    let (mut journal, _) = Journal::open(disk.clone(), OWNER, journal_options).expect("names can be read");
     let mut failed = Vec::new();
     for (step, batch) in (0..).zip(batches()) {
         // While the disk is away this fails, and is tried again at the next step.
-        let _ = journal.heal(now(step));
+        let _ = journal.ensure_segment(now(step));
         match journal.commit(&batch, now(step)) {
             Ok(()) => disk.mark(step as usize),
             Err(_) => failed.push(step),
@@ -88,10 +88,10 @@
     failed
 }
 
-pub fn read(files: &BTreeMap<String, Vec<u8>>, reach: Reach) -> (Recovered, Vec<Seen>) {
+pub fn read(files: &BTreeMap<String, Vec<u8>>, reach: ReadScope) -> (Recovered, Vec<LocatedRecord>) {
     let mut seen = Vec::new();
     let mut disk = SimDisk::with_files(files.clone());
-    let recovered = recover(&mut disk, OWNER, Bounds::default(), reach, &mut |s| seen.push(s));
+    let recovered = recover(&mut disk, OWNER, RecoveryLimits::default(), reach, &mut |s| seen.push(s));
     (recovered.expect("names can be read"), seen)
 }
 
@@ -104,7 +104,7 @@
 pub fn check(ops: &[Op], files: &BTreeMap<String, Vec<u8>>, whole: bool, point: &dyn Fn() -> String) {
     let all = batches();
     let confirmed = marks(ops);
-    let (recovered, _) = read(files, Reach::Checkpoint);
+    let (recovered, _) = read(files, ReadScope::Checkpoint);
     let open: BTreeMap<u64, bool> = recovered.open.iter().map(|o| (o.intent.number, o.trusted)).collect();
     for o in &recovered.open {
         let was = all.iter().flatten().any(|r| *r == Record::Intent(o.intent.clone()));
@@ -128,7 +128,7 @@
             }
         }
     }
-    let (everything, seen) = read(files, Reach::All);
+    let (everything, seen) = read(files, ReadScope::All);
     assert!(everything.findings.len() < 20, "{}: {:?}", point(), everything.findings);
     let mut last = None;
     for s in &seen {
@@ -149,20 +149,20 @@
 }
 
 /// A new life from these files: it must take the old one's open intents over and write behind them.
-pub fn live_on(files: &BTreeMap<String, Vec<u8>>, keeping: Keeping) {
-    let (before, _) = read(files, Reach::Checkpoint);
+pub fn live_on(files: &BTreeMap<String, Vec<u8>>, journal_options: JournalOptions) {
+    let (before, _) = read(files, ReadScope::Checkpoint);
     let disk = SimDisk::with_files(files.clone());
-    let (mut journal, _) = Journal::open(disk.clone(), OWNER, keeping).expect("names can be read");
-    journal.heal(now(100)).expect("nothing is wrong with the disk");
+    let (mut journal, _) = Journal::open(disk.clone(), OWNER, journal_options).expect("names can be read");
+    journal.ensure_segment(now(100)).expect("nothing is wrong with the disk");
     journal.commit(&[intent(1000, 100)], now(100)).expect("nothing is wrong with the disk");
-    let (after, _) = read(&disk.files(), Reach::Checkpoint);
+    let (after, _) = read(&disk.files(), ReadScope::Checkpoint);
     let numbers = |r: &Recovered| r.open.iter().map(|o| o.intent.number).collect::<Vec<_>>();
     assert_eq!(numbers(&after), [numbers(&before), vec![1000]].concat());
 }
 
 /// Crashes at every operation, with every write torn at every byte, and with power for each thing that may be lost. How
 /// many crashes that were.
-pub fn crash_everywhere(ops: &[Op], promise: Promise, whole: bool, bytes: bool) -> u64 {
+pub fn crash_everywhere(ops: &[Op], promise: Durability, whole: bool, bytes: bool) -> u64 {
     let mut points = 0;
     for n in 0..=ops.len() {
         let done = &ops[..n];
@@ -180,7 +180,7 @@
                 crash(&files_after_crash(done, Some(torn), Loss::Process), &format!("torn at {torn}"));
             }
         }
-        if promise == Promise::ProcessCrash {
+        if promise == Durability::ProcessCrash {
             continue;
         }
         crash(&files_after_crash(done, None, Loss::All), "all that was not synced");
@@ -225,16 +225,16 @@
 
 /// The script with each call failing in each way, alone and five in a row, and a crash at every operation of it. How many
 /// lives, and how many crashes.
-pub fn fail_everywhere(promise: Promise, every: usize, bytes: bool) -> (u64, u64) {
+pub fn fail_everywhere(promise: Durability, every: usize, bytes: bool) -> (u64, u64) {
     let calm = SimDisk::default();
-    assert_eq!(play(&calm, keeping(promise, 100)), [0u64; 0], "a calm disk fails no batch");
+    assert_eq!(play(&calm, journal_options(promise, 100)), [0u64; 0], "a calm disk fails no batch");
     let (mut lives, mut points) = (0, 0);
     for call in (0..calm.calls()).step_by(every) {
         for trouble in [DiskFault::NoSpace, DiskFault::Io, DiskFault::ShortWrite, DiskFault::ReadOnly] {
             for long in [1, 5] {
                 let disk = SimDisk::default();
                 disk.fail(call..call + long, trouble);
-                let failed = play(&disk, keeping(promise, 100));
+                let failed = play(&disk, journal_options(promise, 100));
                 assert!(trouble != DiskFault::ShortWrite || failed.is_empty(), "a short write is no failure");
                 let late = disk.calls() > call + long + 4;
                 assert!(!late || !failed.contains(&(BATCHES - 1)), "call {call}, {trouble:?}: not healed");
--- a/crates/ledger/tests/fuzz.rs
+++ b/crates/ledger/tests/fuzz.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use magpietally_ledger::dir::Reach;
-use magpietally_ledger::journal::Promise;
-use magpietally_ledger::recover::Bounds;
+use magpietally_ledger::directory::ReadScope;
+use magpietally_ledger::journal::Durability;
+use magpietally_ledger::recovery::RecoveryLimits;
 use magpietally_ledger::sim::SimDisk;
 use proptest::prelude::*;
 
@@ -88,38 +88,38 @@
     #[test]
     fn nothing_that_was_not_written_is_read(bends in prop::collection::vec(bend(), 1..6), roomy: bool) {
         let disk = SimDisk::default();
-        let mut keeping = keeping(Promise::ProcessCrash, 100);
+        let mut journal_options = journal_options(Durability::ProcessCrash, 100);
         if roomy {
-            keeping.segment_bytes = 1 << 20;
+            journal_options.segment_bytes = 1 << 20;
         }
-        play(&disk, keeping);
+        play(&disk, journal_options);
         let good = disk.files();
-        let (_, written) = read(&good, Reach::All);
+        let (_, written) = read(&good, ReadScope::All);
         let mut files = good.clone();
         bends.iter().for_each(|b| apply(&mut files, b));
-        for reach in [Reach::All, Reach::Checkpoint] {
+        for reach in [ReadScope::All, ReadScope::Checkpoint] {
             let (recovered, seen) = read(&files, reach);
             for s in &seen {
                 let was = written.iter().any(|w| (w.segment, w.seq, &w.record) == (s.segment, s.seq, &s.record));
                 prop_assert!(was, "{s:?} was not written");
             }
-            prop_assert!(recovered.open.len() <= Bounds::default().open);
-            prop_assert!(recovered.findings.len() <= Bounds::default().findings);
+            prop_assert!(recovered.open.len() <= RecoveryLimits::default().open);
+            prop_assert!(recovered.findings.len() <= RecoveryLimits::default().findings);
         }
         // And a node starts from it.
-        live_on(&files, keeping);
+        live_on(&files, journal_options);
     }
 
     #[test]
     fn any_bytes_are_read_without_harm(bytes in prop::collection::vec(any::<u8>(), 0..3000), headed: bool) {
         let disk = SimDisk::default();
-        play(&disk, keeping(Promise::ProcessCrash, 100));
+        play(&disk, journal_options(Durability::ProcessCrash, 100));
         let mut files = disk.files();
         let last = files.keys().next_back().cloned().expect("there are some");
         let mut content = if headed { files[&last][..68].to_vec() } else { Vec::new() };
         content.extend(bytes);
         files.insert(last, content);
-        let (recovered, seen) = read(&files, Reach::All);
+        let (recovered, seen) = read(&files, ReadScope::All);
         prop_assert!(seen.len() as u64 == recovered.records);
     }
 }
--- a/crates/ledger/tests/writer.rs
+++ b/crates/ledger/tests/writer.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use common::{keeping, OWNER};
-use magpietally_ledger::disk::{whose, Lock, Refused};
-use magpietally_ledger::journal::{Journal, Keeping, Promise};
+use common::{journal_options, OWNER};
+use magpietally_ledger::disk::{read_identity, DirectoryError, Lock};
+use magpietally_ledger::journal::{Durability, Journal, JournalOptions};
 use magpietally_ledger::sim::{DiskFault, SimDisk};
 use magpietally_ledger::writer::StartError;
 use magpietally_ledger::{AttemptOutcome, IntentError, Ledger, NewIntent, Options, WriterHandle};
@@ -27,20 +27,25 @@
     }
 }
 
-fn options(keeping: Keeping) -> Options {
-    Options { directory: PathBuf::from("simulated"), keeping, queue: 32, stall: Duration::from_secs(60) }
+fn options(journal_options: JournalOptions) -> Options {
+    Options {
+        directory: PathBuf::from("simulated"),
+        journal_options,
+        queue: 32,
+        stall: Duration::from_secs(60),
+    }
 }
 
 fn run(disk: &SimDisk, options: Options) -> (Ledger, WriterHandle) {
     let (journal, recovered) =
-        Journal::open(disk.clone(), OWNER, options.keeping).expect("names can be read");
+        Journal::open(disk.clone(), OWNER, options.journal_options).expect("names can be read");
     Ledger::run(journal, &recovered, options, None).expect("a thread")
 }
 
 #[test]
 fn those_that_wait_share_a_sync_and_more_than_the_queue_holds_are_turned_away() {
     let disk = SimDisk::default();
-    let roomy = Keeping { segment_bytes: 1 << 20, ..keeping(Promise::PowerLoss, 10) };
+    let roomy = JournalOptions { segment_bytes: 1 << 20, ..journal_options(Durability::PowerLoss, 10) };
     let (ledger, running) = run(&disk, options(roomy));
     disk.set_latency(Duration::from_millis(100));
     let first = ledger.record_intent(draft("first")).expect("there is room");
@@ -48,7 +53,7 @@
     while ledger.status_line().contains("waiting 1") {
         std::thread::yield_now();
     }
-    let before = ledger.stats().done.syncs;
+    let before = ledger.stats().journal.syncs;
     let waiting: Vec<_> =
         (0..31).map(|n| ledger.record_intent(draft(&format!("{n}"))).expect("room")).collect();
     assert_eq!(ledger.record_intent(draft("one more")).expect_err("full"), IntentError::QueueFull);
@@ -56,7 +61,7 @@
         assert_eq!(pending.confirmed.blocking_recv(), Ok(true));
     }
     assert!(running.close(PATIENCE));
-    let syncs = ledger.stats().done.syncs - before;
+    let syncs = ledger.stats().journal.syncs - before;
     assert!(syncs <= 3, "{syncs} syncs for 32 intents");
     assert_eq!(ledger.record_intent(draft("late")).expect_err("it has ended"), IntentError::Closed);
 }
@@ -65,7 +70,7 @@
 #[test]
 fn as_many_may_be_open_as_are_allowed_those_of_earlier_lives_among_them() {
     let disk = SimDisk::default();
-    let tight = options(Keeping { open: 4, ..keeping(Promise::ProcessCrash, 10) });
+    let tight = options(JournalOptions { open: 4, ..journal_options(Durability::ProcessCrash, 10) });
     let (ledger, running) = run(&disk, tight.clone());
     for n in 0..3 {
         let pending = ledger.record_intent(draft(&n.to_string())).expect("room");
@@ -90,7 +95,7 @@
 #[test]
 fn what_ends_while_the_disk_is_away_is_not_forgotten() {
     let disk = SimDisk::default();
-    let (ledger, running) = run(&disk, options(keeping(Promise::PowerLoss, 10)));
+    let (ledger, running) = run(&disk, options(journal_options(Durability::PowerLoss, 10)));
     let pending = ledger.record_intent(draft("1")).expect("room");
     let number = pending.number;
     assert_eq!(pending.confirmed.blocking_recv(), Ok(true));
@@ -104,8 +109,8 @@
         std::thread::yield_now();
     }
     assert!(running.close(PATIENCE));
-    let (ledger, _running) = run(&disk, options(keeping(Promise::PowerLoss, 10)));
-    assert_eq!((ledger.unknown_count(), ledger.stats().done.lost), (0, 0));
+    let (ledger, _running) = run(&disk, options(journal_options(Durability::PowerLoss, 10)));
+    assert_eq!((ledger.unknown_count(), ledger.stats().journal.lost), (0, 0));
 }
 
 #[test]
@@ -113,27 +118,31 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("one-node");
     // It is not there yet, or an earlier run's.
     let _ = std::fs::remove_dir_all(&folder);
-    let options = Options { directory: folder.clone(), ..options(keeping(Promise::ProcessCrash, 10)) };
+    let options =
+        Options { directory: folder.clone(), ..options(journal_options(Durability::ProcessCrash, 10)) };
     let (_, running, recovered) = Ledger::start("node-0", options.clone()).expect("a new directory");
-    assert_eq!((recovered.segments, whose(&folder).expect("an identity").node), (0, "node-0".to_string()));
+    assert_eq!(
+        (recovered.segments, read_identity(&folder).expect("an identity").node),
+        (0, "node-0".to_string())
+    );
     let own = format!("process {}", std::process::id());
     match Ledger::start("node-0", options.clone()) {
-        Err(StartError::Refused(Refused::Held(by))) => assert_eq!(by, own),
+        Err(StartError::Directory(DirectoryError::Locked(by))) => assert_eq!(by, own),
         _ => panic!("two writers in one directory"),
     }
     assert!(running.close(PATIENCE));
     // What a process that was killed leaves: the file, and nobody who holds it.
     std::fs::write(folder.join("lock"), "process 4194304\n").expect("a file");
     match Ledger::start("node-1", options.clone()) {
-        Err(StartError::Refused(Refused::OtherNode(node))) => assert_eq!(node, "node-0"),
+        Err(StartError::Directory(DirectoryError::OtherNode(node))) => assert_eq!(node, "node-0"),
         _ => panic!("another node's directory"),
     }
     let (_, running, _) = Ledger::start("node-0", options.clone()).expect("nobody holds it");
     assert!(running.close(PATIENCE));
     drop(Lock::acquire(&folder).expect("free again"));
     let mut later =
-        std::fs::read(folder.join(magpietally_ledger::segment::name(1))).expect("the first segment");
+        std::fs::read(folder.join(magpietally_ledger::segment::file_name(1))).expect("the first segment");
     later[8] = 9;
-    std::fs::write(folder.join(magpietally_ledger::segment::name(9)), later).expect("a file");
+    std::fs::write(folder.join(magpietally_ledger::segment::file_name(9)), later).expect("a file");
     assert!(matches!(Ledger::start("node-0", options), Err(StartError::Later(_))), "a later program's");
 }
--- a/src/commands/ledger.rs
+++ b/src/commands/ledger.rs
@@ -6,19 +6,19 @@
 
 use clap::{Args, Subcommand};
 use indicatif::ProgressBar;
-use magpietally_ledger::dir::{recover, Follower, News, Reach};
-use magpietally_ledger::disk::{whose, Folder, Lock};
-use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::reconcile::{Books, Difference, Run};
+use magpietally_ledger::directory::{recover, FollowEvent, Follower, ReadScope};
+use magpietally_ledger::disk::{read_identity, Folder, Lock};
+use magpietally_ledger::journal::{Durability, Journal, JournalOptions};
+use magpietally_ledger::reconcile::{Difference, LedgerIndex, ServerRun};
 use magpietally_ledger::record::{Execution, Record, Settled, Timestamp};
-use magpietally_ledger::recover::{Bounds, Recovered, Seen};
+use magpietally_ledger::recovery::{LocatedRecord, Recovered, RecoveryLimits};
 use magpietally_ledger::segment::Owner;
 use serde_json::json;
 
 use super::Failure;
 
 /// What recovery may hold here, where there is a whole machine's memory.
-const BOUNDS: Bounds = Bounds { open: 1 << 20, findings: 10_000 };
+const BOUNDS: RecoveryLimits = RecoveryLimits { open: 1 << 20, findings: 10_000 };
 /// The longest line of the boxes' records, in bytes.
 const LINE_MOST: u64 = 1 << 20;
 /// How often a follower looks.
@@ -147,12 +147,17 @@
 }
 
 fn owner(directory: &Path) -> Result<Owner, Failure> {
-    let own = whose(directory).map_err(|e| Failure::Wrong(format!("{}: {e}", directory.display())))?;
+    let own =
+        read_identity(directory).map_err(|e| Failure::Wrong(format!("{}: {e}", directory.display())))?;
     Ok(own.owner)
 }
 
 /// Reads a whole ledger, with a count on a terminal while that takes.
-fn read(directory: &Path, reach: Reach, mut sink: impl FnMut(&Seen)) -> Result<Recovered, Failure> {
+fn read(
+    directory: &Path,
+    reach: ReadScope,
+    mut sink: impl FnMut(&LocatedRecord),
+) -> Result<Recovered, Failure> {
     let owner = owner(directory)?;
     let bar =
         if std::io::stderr().is_terminal() { ProgressBar::new_spinner() } else { ProgressBar::hidden() };
@@ -230,7 +235,7 @@
 /// Prints records as they are read.
 fn records(directory: &Path, id: Option<&str>, json: bool, out: &mut Out) -> Result<Recovered, Failure> {
     let mut numbers = Vec::new();
-    read(directory, Reach::All, |seen| {
+    read(directory, ReadScope::All, |seen| {
         if id.is_some_and(|id| !is_about(&seen.record, id, &mut numbers)) {
             return;
         }
@@ -252,7 +257,7 @@
 }
 
 fn open(args: &ReadArgs, out: &mut Out) -> Result<(), Failure> {
-    let recovered = read(&args.directory, Reach::Checkpoint, |_| {})?;
+    let recovered = read(&args.directory, ReadScope::Checkpoint, |_| {})?;
     for open in &recovered.open {
         if args.json {
             out.json(open);
@@ -270,7 +275,7 @@
 }
 
 fn verify(args: &ReadArgs, out: &mut Out) -> Result<(), Failure> {
-    let recovered = read(&args.directory, Reach::All, |_| {})?;
+    let recovered = read(&args.directory, ReadScope::All, |_| {})?;
     if args.json {
         out.json(&json!({
             "segments": recovered.segments, "records": recovered.records, "open": recovered.open.len(),
@@ -304,16 +309,16 @@
     let (mut disk, mut follower) = (Folder::new(directory), Follower::new(owner(directory)?));
     loop {
         let polled = follower.poll(&mut disk, &mut |news| match (news, args.read.json) {
-            (News::Seen(seen), true) => out.json(&seen),
-            (News::Seen(seen), false) => {
+            (FollowEvent::Record(seen), true) => out.json(&seen),
+            (FollowEvent::Record(seen), false) => {
                 out.line(&format!("{}.{} {}", seen.segment.0, seen.seq, words(&seen.record)));
             }
-            (News::Found(finding), true) => out.json(&finding),
-            (News::Found(finding), false) => out.line(&format!("! {finding}")),
-            (News::Missed { from, to }, true) => {
+            (FollowEvent::Finding(finding), true) => out.json(&finding),
+            (FollowEvent::Finding(finding), false) => out.line(&format!("! {finding}")),
+            (FollowEvent::Missed { from, to }, true) => {
                 out.json(&json!({"finding": "missed", "from": from, "to": to}))
             }
-            (News::Missed { from, to }, false) => {
+            (FollowEvent::Missed { from, to }, false) => {
                 out.line(&format!(
                     "! segments {from} to {} were gone before they were read to the end",
                     to - 1
@@ -330,7 +335,7 @@
 }
 
 /// The boxes' records.
-fn runs(files: &[PathBuf]) -> Result<Vec<Run>, Failure> {
+fn runs(files: &[PathBuf]) -> Result<Vec<ServerRun>, Failure> {
     let mut all = Vec::new();
     for file in files {
         let name = file.display();
@@ -358,15 +363,15 @@
 
 fn reconcile(args: &ReconcileArgs, out: &mut Out) -> Result<(), Failure> {
     let runs = runs(&args.boxes)?;
-    let (mut books, mut damaged) = (Books::new(), false);
+    let (mut books, mut damaged) = (LedgerIndex::new(), false);
     for (n, directory) in args.directories.iter().enumerate() {
-        let recovered = read(directory, Reach::All, |seen| books.take(n, seen))?;
+        let recovered = read(directory, ReadScope::All, |seen| books.add(n, seen))?;
         damaged |= recovered.is_damaged();
         for finding in recovered.findings.iter().filter(|f| f.is_damage()) {
             eprintln!("magpietally: {}: {finding}", directory.display());
         }
     }
-    let all = books.against(&runs);
+    let all = books.compare(&runs);
     let unknown = all.iter().filter(|d| d.is_unknown()).count();
     for difference in &all {
         if args.json {
@@ -401,10 +406,10 @@
     let owner = owner(&args.directory)?;
     let failed = |e: &dyn std::fmt::Display| Failure::Failed(format!("{name}: {e}"));
     let _lock = Lock::acquire(&args.directory).map_err(|e| failed(&e))?;
-    let mut books = Books::new();
-    read(&args.directory, Reach::All, |seen| books.take(0, seen))?;
+    let mut books = LedgerIndex::new();
+    read(&args.directory, ReadScope::All, |seen| books.add(0, seen))?;
     let unknown: Vec<(u64, bool)> = books
-        .against(&runs)
+        .compare(&runs)
         .into_iter()
         .filter_map(|d| match d {
             Difference::UnknownAndRan { intent, .. } => Some((intent, true)),
@@ -413,8 +418,8 @@
         })
         .collect();
     // Nothing is removed here, and each batch is safe before it is told of.
-    let keeping = Keeping {
-        promise: Promise::PowerLoss,
+    let journal_options = JournalOptions {
+        durability: Durability::PowerLoss,
         segment_bytes: 64 << 20,
         segment_age_us: u64::MAX,
         segments: usize::MAX,
@@ -425,8 +430,8 @@
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let at = Timestamp { wall_us: wall.as_micros() as u64, mono_us: 0 };
     let (mut journal, _) =
-        Journal::open(Folder::new(&args.directory), owner, keeping).map_err(|e| failed(&e))?;
-    journal.heal(at).map_err(|e| failed(&e))?;
+        Journal::open(Folder::new(&args.directory), owner, journal_options).map_err(|e| failed(&e))?;
+    journal.ensure_segment(at).map_err(|e| failed(&e))?;
     let records: Vec<Record> = unknown
         .iter()
         .map(|(intent, ran)| Record::Settled(Settled { intent: *intent, ran: *ran, at }))
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' file: what installations may switch on beside the platform's configuration.
 
 use magpietally_config::WatchOptions;
-use magpietally_ledger::recover::Finding;
+use magpietally_ledger::recovery::Finding;
 use magpietally_ledger::settings::LedgerSettings;
 use magpietally_ledger::{Ledger, Options, WriterHandle};
 use serde::Deserialize;
@@ -48,7 +48,7 @@
 /// Where the directory is another's or can't be read: nothing that must not run twice would be safe.
 pub fn start_ledger(node: &str, options: Options) -> Result<(Option<Ledger>, Option<WriterHandle>), Failure> {
     let directory = options.directory.display().to_string();
-    let promise = options.keeping.promise;
+    let promise = options.journal_options.durability;
     let (ledger, running, recovered) =
         Ledger::start(node, options).map_err(|e| Failure::Failed(format!("ledger: {directory}: {e}")))?;
     tracing::info!(
