--- /dev/null
+++ b/crates/ledger/src/admission/tests.rs
@@ -0,0 +1,93 @@
+use super::*;
+use crate::record::{Intent, Timestamp};
+
+fn open(id: &str, key: Option<&str>, at_s: u64, trusted: bool) -> OpenIntent {
+    let intent = Intent {
+        number: 1,
+        id: id.into(),
+        class: String::new(),
+        tenant: String::new(),
+        key: key.map(|k| KeyDigest::of(k.as_bytes())),
+        attempt: 0,
+        server: String::new(),
+        server_start_ms: 0,
+        left_us: 0,
+        at: Timestamp { wall_us: at_s * 1_000_000, mono_us: 0 },
+        boot: 1,
+    };
+    OpenIntent { intent, trusted }
+}
+
+#[test]
+fn an_intent_is_noted_only_where_it_can_be_kept() {
+    let limits = IntentLimits { open: 10, waiting: 4, stall: Duration::from_millis(50) };
+    let (closed, down, over) = (false, false, false);
+    let good = LedgerLoad {
+        closed,
+        down,
+        over,
+        open: 3,
+        waiting: 3,
+        write_elapsed: Some(Duration::from_millis(50)),
+    };
+    assert_eq!(good.check(&limits), Ok(()));
+    let slow = Some(Duration::from_millis(51));
+    for (load, trouble) in [
+        (LedgerLoad { waiting: 4, ..good }, IntentError::QueueFull),
+        (LedgerLoad { waiting: 4, write_elapsed: slow, ..good }, IntentError::Slow),
+        (LedgerLoad { open: 7, write_elapsed: slow, ..good }, IntentError::TooManyOpen),
+        (LedgerLoad { over: true, ..good }, IntentError::TooManyOpen),
+        (LedgerLoad { over: true, down: true, ..good }, IntentError::Down),
+        (LedgerLoad { down: true, closed: true, ..good }, IntentError::Closed),
+    ] {
+        assert_eq!(load.check(&limits), Err(trouble), "{load:?}");
+    }
+    assert!(is_safe_to_retry([
+        AttemptOutcome::NotSent,
+        AttemptOutcome::Full,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Unwritten
+    ]));
+    assert!([AttemptOutcome::Done, AttemptOutcome::Reset, AttemptOutcome::TimedOut, AttemptOutcome::Error]
+        .iter()
+        .all(|how| !is_safe_to_retry([*how])));
+}
+
+#[test]
+fn each_class_gets_what_its_own_rules_allow() {
+    let s = |n: u64| n * 1_000_000;
+    let left = [
+        open("a", None, 100, true),
+        open("b", Some("k"), 100, true),
+        open("c", Some("k"), 102, true),
+        open("d", Some("bent"), 100, false),
+    ];
+    let all = UnknownIntents::new(&left);
+    assert_eq!(all.count(), 4);
+    let key = |k: &str| Some(KeyDigest::of(k.as_bytes()));
+    let span = |everywhere| RepeatRule::Keyed { everywhere, span_us: s(5) };
+    for (right, id, k, now, verdict) in [
+        (RepeatRule::Any, "a", None, 101, Ok(())),
+        (RepeatRule::Once, "a", None, 101, Err(RejectionReason::IdMayHaveRun)),
+        (RepeatRule::Once, "a", None, 999_999, Err(RejectionReason::IdMayHaveRun)),
+        (RepeatRule::Once, "e", None, 101, Ok(())),
+        // The span runs from the first of two sends, and the second in it may still be to come.
+        (span(true), "b", key("k"), 103, Ok(())),
+        (span(true), "b", key("k"), 104, Err(RejectionReason::KeyOutOfSpan)),
+        (span(true), "new", key("k"), 103, Ok(())),
+        (span(false), "b", key("k"), 101, Err(RejectionReason::KeyElsewhere)),
+        (span(true), "d", key("bent"), 101, Err(RejectionReason::KeyNotTrusted)),
+        (span(true), "b", key("other"), 999, Ok(())),
+        // The clock has stepped back.
+        (span(true), "b", key("k"), 99, Err(RejectionReason::KeyOutOfSpan)),
+    ] {
+        let now_us = Timestamp { wall_us: s(now), mono_us: 0 };
+        assert_eq!(all.check_repeat(right, id, k, now_us, s(1)), verdict, "{right:?} {id} at {now}");
+    }
+    // The clock was set back by less than has gone by, which the boot's clock tells.
+    let set_back = Timestamp { wall_us: s(102), mono_us: s(30) };
+    assert_eq!(
+        all.check_repeat(span(true), "b", key("k"), set_back, s(1)),
+        Err(RejectionReason::KeyOutOfSpan)
+    );
+}
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -12,11 +12,13 @@
 use nix::time::{clock_gettime, ClockId};
 use tokio::sync::oneshot;
 
-use crate::disk::{identity, Disk, Folder, Lock, Refused};
-use crate::guard::{Bounds, Load, Right, Trouble, Unknowns, Why};
-use crate::journal::{Done, Failure, Journal, Keeping};
-use crate::record::{Final, How, Intent, KeyDigest, Now, Outcome, Record, Told, ID_MOST};
-use crate::recover::{Finding, Recovered};
+use crate::admission::{IntentError, IntentLimits, LedgerLoad, RejectionReason, RepeatRule, UnknownIntents};
+use crate::disk::{load_or_create_identity, DirectoryError, Disk, Folder, Lock};
+use crate::journal::{CommitError, Journal, JournalOptions, JournalStats};
+use crate::record::{
+    AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Timestamp, ID_MAX_BYTES,
+};
+use crate::recovery::{Finding, Recovered};
 
 /// Records in a batch.
 const BATCH: usize = 1024;
@@ -31,7 +33,7 @@
     /// Where it lies.
     pub directory: PathBuf,
     /// How its segments are kept.
-    pub keeping: Keeping,
+    pub journal_options: JournalOptions,
     /// The most intents that may wait to be written.
     pub queue: usize,
     /// A batch that takes longer shows a slow disk: what needs an intent is refused until it is done.
@@ -40,7 +42,7 @@
 
 /// What a caller knows of an intent; the ledger adds its number, its life and the time.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct NewIntent {
     /// The client's id.
     pub id: String,
     /// The class's name.
@@ -61,11 +63,11 @@
 
 /// An intent that waits for its promise.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingIntent {
     /// Its number, for its outcome.
     pub number: u64,
     /// Whether it counts: true once the promise holds. An end without a word is a ledger that has ended.
-    pub promised: oneshot::Receiver<bool>,
+    pub confirmed: oneshot::Receiver<bool>,
 }
 
 enum Queued {
@@ -92,7 +94,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
     /// By the journal.
-    pub done: Done,
+    pub journal: JournalStats,
     /// How often the disk failed.
     pub faults: u64,
     /// The longest batch since the last look.
@@ -102,7 +104,7 @@
 struct Shared {
     queue: Mutex<Queue>,
     wake: Condvar,
-    unknowns: Unknowns,
+    unknown_intents: UnknownIntents,
     options: Options,
     boot: u64,
     began: Began,
@@ -124,10 +126,10 @@
         Self { instant: Instant::now(), wall, since_boot }
     }
 
-    fn elapsed(&self) -> Now {
+    fn elapsed(&self) -> Timestamp {
         let age = self.instant.elapsed();
         let micros = |since: Duration| (since + age).as_micros() as u64;
-        Now { wall_us: micros(self.wall), mono_us: micros(self.since_boot) }
+        Timestamp { wall_us: micros(self.wall), mono_us: micros(self.since_boot) }
     }
 }
 
@@ -137,7 +139,7 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> Now {
+    fn now(&self) -> Timestamp {
         self.began.elapsed()
     }
 }
@@ -155,7 +157,7 @@
 }
 
 /// Waits for the writer's end.
-pub struct Running {
+pub struct WriterHandle {
     ledger: Ledger,
     ended: mpsc::Receiver<()>,
 }
@@ -164,7 +166,7 @@
 #[derive(Debug)]
 pub enum StartError {
     /// The directory.
-    Refused(Refused),
+    Directory(DirectoryError),
     /// A later version of the program has written here: what it meant is not known.
     Later(Finding),
     /// The system's word.
@@ -174,7 +176,7 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(why) => write!(f, "{why}"),
+            Self::Directory(why) => write!(f, "{why}"),
             Self::Later(finding) => write!(f, "{finding}"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
@@ -189,13 +191,13 @@
     ///
     /// # Errors
     /// Where the directory is another's, or can't be read.
-    pub fn start(node: &str, options: Options) -> Result<(Self, Running, Recovered), StartError> {
+    pub fn start(node: &str, options: Options) -> Result<(Self, WriterHandle, Recovered), StartError> {
         let folder = &options.directory;
         retry::at_start(Call::File, "directory", || std::fs::create_dir_all(folder))
             .map_err(|e| StartError::Io("directory", e))?;
-        let lock = Lock::acquire(folder).map_err(|why| StartError::Refused(why.into()))?;
-        let owner = identity(folder, node).map_err(StartError::Refused)?;
-        let opened = Journal::open(Folder::new(folder), owner, options.keeping);
+        let lock = Lock::acquire(folder).map_err(|why| StartError::Directory(why.into()))?;
+        let owner = load_or_create_identity(folder, node).map_err(StartError::Directory)?;
+        let opened = Journal::open(Folder::new(folder), owner, options.journal_options);
         let (journal, recovered) = opened.map_err(|e| StartError::Io("directory", e))?;
         let later = recovered.findings.iter().find(|f| matches!(f, Finding::Later { .. }));
         if let Some(finding) = later {
@@ -205,7 +207,7 @@
         Ok((ledger, running, recovered))
     }
 
-    /// Starts the thread that writes to this journal, for as long as the handle's [`Running`] lasts.
+    /// Starts the thread that writes to this journal, for as long as the handle's [`WriterHandle`] lasts.
     ///
     /// # Errors
     /// Where there is no thread to be had.
@@ -214,7 +216,7 @@
         recovered: &Recovered,
         options: Options,
         lock: Option<Lock>,
-    ) -> Result<(Self, Running), StartError>
+    ) -> Result<(Self, WriterHandle), StartError>
     where
         D::File: Send,
     {
@@ -226,20 +228,20 @@
             next_number: journal.boot() << 32,
             down: None,
             closed: false,
-            open: journal.truth().open().len(),
+            open: journal.open_intents().open().len(),
             over: recovered.over > 0,
             stats: Stats::default(),
         };
         let shared = Arc::new(Shared {
             queue: Mutex::new(queue),
             wake: Condvar::new(),
-            unknowns: Unknowns::of(&recovered.open),
+            unknown_intents: UnknownIntents::new(&recovered.open),
             options,
             boot: journal.boot(),
             began: Began::now(),
         });
         // The first segment, before the first request: whoever starts a node on a full disk sees it in the log.
-        if let Err(fault) = journal.heal(shared.now()) {
+        if let Err(fault) = journal.ensure_segment(shared.now()) {
             tracing::error!(target: "ledger", "down: {fault}");
             shared.queue().down = Some(fault.to_string());
         }
@@ -253,54 +255,60 @@
         };
         retry::spawn("ledger", work).map_err(|e| StartError::Io("thread", e))?;
         let ledger = Self { shared };
-        Ok((ledger.clone(), Running { ledger, ended }))
+        Ok((ledger.clone(), WriterHandle { ledger, ended }))
     }
 
     /// Whether what needs an intent may be taken now.
     ///
     /// # Errors
     /// Why not.
-    pub fn standing(&self) -> Result<(), Trouble> {
+    pub fn check_available(&self) -> Result<(), IntentError> {
         self.check(&self.shared.queue())
     }
 
-    fn check(&self, queue: &Queue) -> Result<(), Trouble> {
-        let Options { keeping, queue: waiting, stall, .. } = &self.shared.options;
-        let load = Load {
+    fn check(&self, queue: &Queue) -> Result<(), IntentError> {
+        let Options { journal_options, queue: waiting, stall, .. } = &self.shared.options;
+        let load = LedgerLoad {
             closed: queue.closed,
             down: queue.down.is_some(),
             over: queue.over,
             open: queue.open,
             waiting: queue.intents,
-            writes_for: queue.writes_since.map(|since| since.elapsed()),
+            write_elapsed: queue.writes_since.map(|since| since.elapsed()),
         };
-        load.admits(&Bounds { open: keeping.open, waiting: *waiting, stall: *stall })
+        load.check(&IntentLimits { open: journal_options.open, waiting: *waiting, stall: *stall })
     }
 
     /// May this request go out, by what was out when the node died?
     ///
     /// # Errors
     /// Why it is answered as failed.
-    pub fn judge(&self, right: Right, id: &str, key: Option<KeyDigest>, left: Duration) -> Result<(), Why> {
-        self.shared.unknowns.judge(right, id, key, self.shared.now(), left.as_micros() as u64)
+    pub fn check_repeat(
+        &self,
+        right: RepeatRule,
+        id: &str,
+        key: Option<KeyDigest>,
+        left: Duration,
+    ) -> Result<(), RejectionReason> {
+        self.shared.unknown_intents.check_repeat(right, id, key, self.shared.now(), left.as_micros() as u64)
     }
 
     /// An attempt is about to be made. Nothing of it may go out before the promise.
     ///
     /// # Errors
     /// Why it can't be noted; then the attempt may not be made.
-    pub fn intent(&self, draft: Draft) -> Result<Pending, Trouble> {
+    pub fn record_intent(&self, draft: NewIntent) -> Result<PendingIntent, IntentError> {
         let at = self.shared.now();
-        let (to, promised) = oneshot::channel();
+        let (to, confirmed) = oneshot::channel();
         let mut queue = self.shared.queue();
         self.check(&queue)?;
         // One with a longer id could not be told from others by what is left of it.
-        if draft.id.len() > ID_MOST {
-            return Err(Trouble::LongId);
+        if draft.id.len() > ID_MAX_BYTES {
+            return Err(IntentError::IdTooLong);
         }
         let number = queue.next_number;
         queue.next_number += 1;
-        let Draft { id, class, tenant, key, attempt, server, server_start_ms, left } = draft;
+        let NewIntent { id, class, tenant, key, attempt, server, server_start_ms, left } = draft;
         let intent = Intent {
             number,
             id,
@@ -316,17 +324,17 @@
         };
         queue.intents += 1;
         self.put(queue, Queued::Intent(intent, to));
-        Ok(Pending { number, promised })
+        Ok(PendingIntent { number, confirmed })
     }
 
     /// An attempt has ended.
-    pub fn outcome(&self, intent: u64, how: How) {
+    pub fn record_outcome(&self, intent: u64, how: AttemptOutcome) {
         let at = self.shared.now();
         self.note(Record::Outcome(Outcome { intent, how, at }));
     }
 
     /// A request has its final answer, or none is owed any more. `intent` is its last one.
-    pub fn told(&self, intent: u64, id: &str, told: Told) {
+    pub fn record_final_outcome(&self, intent: u64, id: &str, told: FinalOutcome) {
         let at = self.shared.now();
         self.note(Record::Final(Final { intent, id: id.to_string(), told, at }));
     }
@@ -350,8 +358,8 @@
     }
 
     /// What was out when the node died: how many intents.
-    pub fn unknown(&self) -> usize {
-        self.shared.unknowns.count()
+    pub fn unknown_count(&self) -> usize {
+        self.shared.unknown_intents.count()
     }
 
     /// What has been done; the slowest batch is since the last look.
@@ -363,32 +371,32 @@
     }
 
     /// Its part of a status line.
-    pub fn line(&self) -> String {
-        let Stats { done, faults, slowest } = self.stats();
+    pub fn status_line(&self) -> String {
+        let Stats { journal, faults, slowest } = self.stats();
         let queue = self.shared.queue();
         let standing = match self.check(&queue) {
             Ok(()) => "good".to_string(),
-            Err(Trouble::Down) => format!("down ({})", queue.down.as_deref().unwrap_or_default()),
+            Err(IntentError::Down) => format!("down ({})", queue.down.as_deref().unwrap_or_default()),
             Err(trouble) => trouble.to_string(),
         };
         format!(
             "ledger {standing}, open {} unknown {} waiting {} records {} bytes {} writes {} syncs {} faults {} lost {} \
              slowest {:.1} ms",
             queue.open,
-            self.unknown(),
+            self.unknown_count(),
             queue.waiting.len(),
-            done.records,
-            done.bytes,
-            done.writes,
-            done.syncs,
+            journal.records,
+            journal.bytes,
+            journal.writes,
+            journal.syncs,
             faults,
-            done.lost,
+            journal.lost,
             slowest.as_secs_f64() * 1000.0
         )
     }
 }
 
-impl Running {
+impl WriterHandle {
     /// Writes what waits and ends, within so long; false where it took longer.
     pub fn close(self, within: Duration) -> bool {
         self.ledger.shared.queue().closed = true;
@@ -417,9 +425,9 @@
                 let mut queue = self.shared.queue();
                 queue.writes_since = None;
                 queue.intents -= waiters.len();
-                queue.open = self.journal.truth().open().len();
+                queue.open = self.journal.open_intents().open().len();
                 let stats = &mut queue.stats;
-                stats.done = self.journal.done();
+                stats.journal = self.journal.stats();
                 stats.slowest = stats.slowest.max(began.elapsed());
             }
             records.clear();
@@ -463,7 +471,7 @@
         let now = self.shared.now();
         if !self.journal.is_up() && self.tried.elapsed() >= self.wait {
             self.tried = Instant::now();
-            match self.journal.heal(now) {
+            match self.journal.ensure_segment(now) {
                 Ok(()) => {
                     tracing::info!(target: "ledger", "up again");
                     self.wait = HEAL.0;
@@ -476,19 +484,19 @@
             }
         }
         let result = if records.is_empty() {
-            self.journal.tick(now).map_err(Failure::Fault)
+            self.journal.tick(now).map_err(CommitError::Disk)
         } else {
             self.journal.commit(records, now)
         };
         match result {
             Ok(()) => true,
-            Err(Failure::Fault(fault)) => {
+            Err(CommitError::Disk(fault)) => {
                 tracing::error!(target: "ledger", "down: {fault}; what must not run twice is refused");
                 (self.wait, self.tried) = (HEAL.0, Instant::now());
                 self.fails(&fault.to_string());
                 false
             }
-            Err(Failure::Down) => false,
+            Err(CommitError::Down) => false,
         }
     }
 
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -3,10 +3,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use magpietally_ledger::dir::{recover, Reach};
-use magpietally_ledger::journal::{Journal, Keeping, Promise};
-use magpietally_ledger::record::{Final, How, Intent, KeyDigest, Now, Outcome, Record, Told};
-use magpietally_ledger::recover::{Bounds, Recovered, Seen};
+use magpietally_ledger::directory::{recover, ReadScope};
+use magpietally_ledger::journal::{Durability, Journal, JournalOptions};
+use magpietally_ledger::record::{
+    AttemptOutcome, Final, FinalOutcome, Intent, KeyDigest, Outcome, Record, Timestamp,
+};
+use magpietally_ledger::recovery::{LocatedRecord, Recovered, RecoveryLimits};
 use magpietally_ledger::segment::Owner;
 use magpietally_ledger::sim::{files_after_crash, DiskFault, Loss, Op, SimDisk, PAGE_BYTES};
 
@@ -14,9 +16,9 @@
 /// Batches of the script.
 pub const BATCHES: u64 = 16;
 
-pub fn keeping(promise: Promise, segments: usize) -> Keeping {
-    Keeping {
-        promise,
+pub fn journal_options(promise: Durability, segments: usize) -> JournalOptions {
+    JournalOptions {
+        durability: promise,
         segment_bytes: 600,
         segment_age_us: 1_000_000,
         segments,
@@ -26,10 +28,10 @@
     }
 }
 
-pub fn now(step: u64) -> Now {
+pub fn now(step: u64) -> Timestamp {
     // The wall's clock steps back by a minute half way.
     let back = if step > BATCHES / 2 { 60_000_000 } else { 0 };
-    Now { wall_us: 1_800_000_000_000_000 + step * 1000 - back, mono_us: step * 1000 }
+    Timestamp { wall_us: 1_800_000_000_000_000 + step * 1000 - back, mono_us: step * 1000 }
 }
 
 pub fn intent(number: u64, step: u64) -> Record {
@@ -49,7 +51,7 @@
 }
 
 pub fn outcome(intent: u64, step: u64) -> Record {
-    Record::Outcome(Outcome { intent, how: How::Done, at: now(step) })
+    Record::Outcome(Outcome { intent, how: AttemptOutcome::Done, at: now(step) })
 }
 
 /// The batches: each brings two intents, ends one of the batch before, and leaves every fourth one open for long.
@@ -60,7 +62,7 @@
             if step > 0 {
                 let over = 2 * (step - 1);
                 batch.push(outcome(over, step));
-                let (id, told, at) = (format!("txn-{over}"), Told::Served, now(step));
+                let (id, told, at) = (format!("txn-{over}"), FinalOutcome::Served, now(step));
                 batch.push(Record::Final(Final { intent: over, id, told, at }));
                 if step % 2 == 0 {
                     batch.push(outcome(over + 1, step));
@@ -72,12 +74,12 @@
 }
 
 /// Plays the script; each batch that holds is marked on the disk. Which ones did not.
-pub fn play(disk: &SimDisk, keeping: Keeping) -> Vec<u64> {
-    let (mut journal, _) = Journal::open(disk.clone(), OWNER, keeping).expect("names can be read");
+pub fn play(disk: &SimDisk, journal_options: JournalOptions) -> Vec<u64> {
+    let (mut journal, _) = Journal::open(disk.clone(), OWNER, journal_options).expect("names can be read");
     let mut failed = Vec::new();
     for (step, batch) in (0..).zip(batches()) {
         // While the disk is away this fails, and is tried again at the next step.
-        let _ = journal.heal(now(step));
+        let _ = journal.ensure_segment(now(step));
         match journal.commit(&batch, now(step)) {
             Ok(()) => disk.mark(step as usize),
             Err(_) => failed.push(step),
@@ -86,10 +88,10 @@
     failed
 }
 
-pub fn read(files: &BTreeMap<String, Vec<u8>>, reach: Reach) -> (Recovered, Vec<Seen>) {
+pub fn read(files: &BTreeMap<String, Vec<u8>>, reach: ReadScope) -> (Recovered, Vec<LocatedRecord>) {
     let mut seen = Vec::new();
     let mut disk = SimDisk::with_files(files.clone());
-    let recovered = recover(&mut disk, OWNER, Bounds::default(), reach, &mut |s| seen.push(s));
+    let recovered = recover(&mut disk, OWNER, RecoveryLimits::default(), reach, &mut |s| seen.push(s));
     (recovered.expect("names can be read"), seen)
 }
 
@@ -101,8 +103,8 @@
 /// What must hold of the files after a crash behind these operations; `whole` where nothing was removed yet.
 pub fn check(ops: &[Op], files: &BTreeMap<String, Vec<u8>>, whole: bool, point: &dyn Fn() -> String) {
     let all = batches();
-    let promised = marks(ops);
-    let (recovered, _) = read(files, Reach::Checkpoint);
+    let confirmed = marks(ops);
+    let (recovered, _) = read(files, ReadScope::Checkpoint);
     let open: BTreeMap<u64, bool> = recovered.open.iter().map(|o| (o.intent.number, o.trusted)).collect();
     for o in &recovered.open {
         let was = all.iter().flatten().any(|r| *r == Record::Intent(o.intent.clone()));
@@ -111,22 +113,22 @@
     let ends = |batch: &[Record], number| {
         batch.iter().any(|r| matches!(r, Record::Outcome(o) if o.intent == number))
     };
-    for step in &promised {
+    for step in &confirmed {
         for record in &all[*step] {
             let Record::Intent(intent) = record else { continue };
             let ended = |n: &usize| ends(&all[*n], intent.number);
-            let ended_for_good = promised.iter().any(ended);
+            let ended_for_good = confirmed.iter().any(ended);
             let ended_at_all = (0..all.len()).any(|n| ended(&n));
             let is = open.get(&intent.number);
             if ended_for_good {
                 assert_eq!(is, None, "{}: {} has its outcome", point(), intent.id);
-            } else if !ended_at_all || promised.last().is_some_and(|last| !(0..=last + 1).any(|n| ended(&n)))
+            } else if !ended_at_all || confirmed.last().is_some_and(|last| !(0..=last + 1).any(|n| ended(&n)))
             {
                 assert_eq!(is, Some(&true), "{}: {} was promised", point(), intent.id);
             }
         }
     }
-    let (everything, seen) = read(files, Reach::All);
+    let (everything, seen) = read(files, ReadScope::All);
     assert!(everything.findings.len() < 20, "{}: {:?}", point(), everything.findings);
     let mut last = None;
     for s in &seen {
@@ -139,7 +141,7 @@
         assert!(ours || all.iter().flatten().any(|r| *r == s.record), "{}: {s:?}", point());
     }
     if whole {
-        for record in promised.iter().flat_map(|step| &all[*step]) {
+        for record in confirmed.iter().flat_map(|step| &all[*step]) {
             let there = seen.iter().any(|s| s.trusted && s.record == *record);
             assert!(there, "{}: {record:?} was promised", point());
         }
@@ -147,20 +149,20 @@
 }
 
 /// A new life from these files: it must take the old one's open intents over and write behind them.
-pub fn live_on(files: &BTreeMap<String, Vec<u8>>, keeping: Keeping) {
-    let (before, _) = read(files, Reach::Checkpoint);
+pub fn live_on(files: &BTreeMap<String, Vec<u8>>, journal_options: JournalOptions) {
+    let (before, _) = read(files, ReadScope::Checkpoint);
     let disk = SimDisk::with_files(files.clone());
-    let (mut journal, _) = Journal::open(disk.clone(), OWNER, keeping).expect("names can be read");
-    journal.heal(now(100)).expect("nothing is wrong with the disk");
+    let (mut journal, _) = Journal::open(disk.clone(), OWNER, journal_options).expect("names can be read");
+    journal.ensure_segment(now(100)).expect("nothing is wrong with the disk");
     journal.commit(&[intent(1000, 100)], now(100)).expect("nothing is wrong with the disk");
-    let (after, _) = read(&disk.files(), Reach::Checkpoint);
+    let (after, _) = read(&disk.files(), ReadScope::Checkpoint);
     let numbers = |r: &Recovered| r.open.iter().map(|o| o.intent.number).collect::<Vec<_>>();
     assert_eq!(numbers(&after), [numbers(&before), vec![1000]].concat());
 }
 
 /// Crashes at every operation, with every write torn at every byte, and with power for each thing that may be lost. How
 /// many crashes that were.
-pub fn crash_everywhere(ops: &[Op], promise: Promise, whole: bool, bytes: bool) -> u64 {
+pub fn crash_everywhere(ops: &[Op], promise: Durability, whole: bool, bytes: bool) -> u64 {
     let mut points = 0;
     for n in 0..=ops.len() {
         let done = &ops[..n];
@@ -178,7 +180,7 @@
                 crash(&files_after_crash(done, Some(torn), Loss::Process), &format!("torn at {torn}"));
             }
         }
-        if promise == Promise::ProcessCrash {
+        if promise == Durability::ProcessCrash {
             continue;
         }
         crash(&files_after_crash(done, None, Loss::All), "all that was not synced");
@@ -223,16 +225,16 @@
 
 /// The script with each call failing in each way, alone and five in a row, and a crash at every operation of it. How many
 /// lives, and how many crashes.
-pub fn fail_everywhere(promise: Promise, every: usize, bytes: bool) -> (u64, u64) {
+pub fn fail_everywhere(promise: Durability, every: usize, bytes: bool) -> (u64, u64) {
     let calm = SimDisk::default();
-    assert_eq!(play(&calm, keeping(promise, 100)), [0u64; 0], "a calm disk fails no batch");
+    assert_eq!(play(&calm, journal_options(promise, 100)), [0u64; 0], "a calm disk fails no batch");
     let (mut lives, mut points) = (0, 0);
     for call in (0..calm.calls()).step_by(every) {
         for trouble in [DiskFault::NoSpace, DiskFault::Io, DiskFault::ShortWrite, DiskFault::ReadOnly] {
             for long in [1, 5] {
                 let disk = SimDisk::default();
                 disk.fail(call..call + long, trouble);
-                let failed = play(&disk, keeping(promise, 100));
+                let failed = play(&disk, journal_options(promise, 100));
                 assert!(trouble != DiskFault::ShortWrite || failed.is_empty(), "a short write is no failure");
                 let late = disk.calls() > call + long + 4;
                 assert!(!late || !failed.contains(&(BATCHES - 1)), "call {call}, {trouble:?}: not healed");
