--- a/crates/membership/examples/cold_fleet.rs
+++ b/crates/membership/examples/cold_fleet.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use magpietally_membership::sim::{Faults, Fleet};
-use magpietally_membership::{divisor, Settings as RoomSettings};
+use magpietally_membership::{divisor, Settings as MembershipSettings};
 use magpietally_policy::*;
 
 const SERVERS: u64 = 4;
@@ -157,7 +157,7 @@
 
 fn main() {
     let n: usize = std::env::args().nth(1).and_then(|a| a.parse().ok()).unwrap_or(50);
-    let room = RoomSettings { fleet_size: n as u32, ..RoomSettings::default() };
+    let room = MembershipSettings { fleet_size: n as u32, ..MembershipSettings::default() };
     let mut fleet = Fleet::new(n, &room, Faults::default(), SEED);
     let seen = |fleet: &mut Fleet| -> Vec<usize> {
         (0..n).map(|i| fleet.view(i).map_or(1, |v| divisor(&v.counts()) as usize)).collect()
--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -71,11 +71,11 @@
 fn false_deaths(n: usize, settings: &Settings, loss: f64) -> f64 {
     let mut fleet = Fleet::new(n, settings, Faults::default(), SEED ^ (loss * 1000.0) as u64);
     converge(&mut fleet, n);
-    let before: u64 = (0..n).filter_map(|i| fleet.room(i)).map(|r| r.stats().declared_dead).sum();
+    let before: u64 = (0..n).filter_map(|i| fleet.membership(i)).map(|r| r.stats().declared_dead).sum();
     fleet.set_faults(Faults { loss, ..Faults::default() });
     let span = if n >= 500 { Duration::from_secs(300) } else { Duration::from_secs(1800) };
     fleet.run(span);
-    let after: u64 = (0..n).filter_map(|i| fleet.room(i)).map(|r| r.stats().declared_dead).sum();
+    let after: u64 = (0..n).filter_map(|i| fleet.membership(i)).map(|r| r.stats().declared_dead).sum();
     (after - before) as f64 / n as f64 / (span.as_secs_f64() / 3600.0)
 }
 
--- a/crates/membership/src/answer.rs
+++ b/crates/membership/src/answer.rs
@@ -6,7 +6,7 @@
 
 use crate::codec::{get_id, id_len, put_id, KIND_PART, KIND_VIEW};
 use crate::id::NodeId;
-use crate::room::Stats;
+use crate::protocol::Stats;
 use crate::shares::divisor;
 use crate::view::View;
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,14 +2,14 @@
 //! the sans-I/O crate `foca`, behind a codec of our own; a view with a version; shares of budgets meant for the fleet.
 //!
 //! Nothing here does I/O or reads a clock: a carrier (UDP in the program, the emulated site in virtual time) hands a
-//! [`Room`] its datagrams and the time, and sends what it gives back. `docs/design/membership.md` says what was weighed.
+//! [`Membership`] its datagrams and the time, and sends what it gives back. `docs/design/membership.md` says what was weighed.
 //!
 //! ```
 //! use std::time::Duration;
-//! use magpietally_membership::{Liveness, Name, NodeId, Room, Settings};
+//! use magpietally_membership::{Liveness, Name, NodeId, Membership, Settings};
 //!
 //! let id = |port| NodeId { addr: format!("127.0.0.1:{port}").parse().unwrap(), name: Name::new(&format!("n{port}")).unwrap(), generation: 1 };
-//! let (mut a, mut b) = (Room::new(id(1), &Settings::default(), 1), Room::new(id(2), &Settings::default(), 2));
+//! let (mut a, mut b) = (Membership::new(id(1), &Settings::default(), 1), Membership::new(id(2), &Settings::default(), 2));
 //! a.join(Duration::ZERO, &[id(2).addr]);
 //! for ms in 0..3000 {
 //!     let now = Duration::from_millis(ms);
@@ -25,7 +25,7 @@
 mod answer;
 mod codec;
 mod id;
-mod room;
+mod protocol;
 mod shares;
 pub mod sim;
 mod view;
@@ -38,7 +38,7 @@
 };
 pub use id::NodeId;
 pub use magpietally_transport::{Name, NameError, NAME_MAX_BYTES};
-pub use room::{Room, Settings, Stats, LEFT_MAX, OUTBOX_MAX, TIMERS_MAX};
+pub use protocol::{Membership, Settings, Stats, LEFT_MAX, OUTBOX_MAX, TIMERS_MAX};
 pub use shares::{divisor, share};
 pub use view::{Counts, Entry, Liveness, View};
 pub use watch::{TELLS_MAX, WATCH_MAX};
--- a/crates/membership/src/room.rs
+++ b/crates/membership/src/protocol.rs
@@ -95,7 +95,7 @@
 }
 
 /// One node's membership.
-pub struct Room {
+pub struct Membership {
     foca: Foca<NodeId, Wire, Pcg64, NoCustomBroadcast>,
     out: Out,
     watch: Watch,
@@ -146,7 +146,7 @@
     stats: Stats,
 }
 
-impl Room {
+impl Membership {
     /// A room for `me`, not yet in touch with anybody; `seed` draws whom to probe.
     pub fn new(me: NodeId, settings: &Settings, seed: u64) -> Self {
         let mut config = Config::new_lan(settings.size());
@@ -316,7 +316,7 @@
         }
     }
 
-    /// When [`Room::tick`] has something to do next.
+    /// When [`Membership::tick`] has something to do next.
     pub fn next_due(&self) -> Option<Duration> {
         if self.leaving {
             return None;
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -14,12 +14,12 @@
 
 use crate::codec::DATAGRAM_MAX;
 use crate::id::NodeId;
-use crate::room::{Room, Settings};
+use crate::protocol::{Membership, Settings};
 use crate::view::{Liveness, View};
 
 /// A room whose peers are addresses, on a network whose nodes are names.
 struct Named {
-    room: Room,
+    room: Membership,
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
 }
 
@@ -145,7 +145,7 @@
             let mut id = id(i, &peer);
             id.generation = id.generation.saturating_add(by);
             let seed = seed ^ ((i as u64) << 20) ^ u64::from(id.generation);
-            let mut room = Room::new(id, settings, seed);
+            let mut room = Membership::new(id, settings, seed);
             room.join(now.boot, seeds);
             Named { room, names: Rc::clone(names) }
         });
@@ -171,7 +171,7 @@
     }
 
     /// The stats of node `i`, if it runs.
-    pub fn room(&self, i: usize) -> Option<&Room> {
+    pub fn membership(&self, i: usize) -> Option<&Membership> {
         self.world.room(i).map(|named| &named.room)
     }
 
@@ -202,7 +202,7 @@
     /// neither alive nor suspect.
     pub fn all_see(&mut self, who: &[usize], liveness: Liveness, others: &[usize]) -> bool {
         for &i in who {
-            if self.world.is_paused(i) || self.room(i).is_none() {
+            if self.world.is_paused(i) || self.membership(i).is_none() {
                 continue;
             }
             for &j in who {
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use crate::id::NodeId;
-use crate::room::Settings;
+use crate::protocol::Settings;
 
 /// Suspicions watched at once. More than a fleet of this size can suspect together is not planned for; what does not
 /// fit waits until another ends, and is watched from then.
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -52,7 +52,10 @@
     f.pause(5, false);
     let all: Vec<usize> = (0..8).collect();
     assert!(f.run_until(30 * S, |f| f.all_see(&all, Liveness::Alive, &[])).is_some(), "it did not come back");
-    assert!(f.room(5).is_some_and(|r| r.stats().rejoined >= 1), "it came back without a new incarnation");
+    assert!(
+        f.membership(5).is_some_and(|r| r.stats().rejoined >= 1),
+        "it came back without a new incarnation"
+    );
 }
 
 #[test]
@@ -149,11 +152,11 @@
         f.run(2 * S);
         f.start(5);
         let took = f.run_until(15 * S, |f| {
-            let now_is = f.room(5).is_some_and(|r| r.me().generation > 36_000);
+            let now_is = f.membership(5).is_some_and(|r| r.me().generation > 36_000);
             now_is && f.all_see(&all, Liveness::Alive, &[])
         });
         let took = took.expect("the others still hold to the earlier life");
-        let rejoined = f.room(5).map_or(0, |r| r.stats().rejoined);
+        let rejoined = f.membership(5).map_or(0, |r| r.stats().rejoined);
         assert!(rejoined < 40, "rejoined {rejoined} times in {took:?}");
     }
 }
--- a/crates/membership/tests/merge.rs
+++ b/crates/membership/tests/merge.rs
@@ -10,7 +10,7 @@
 
 use bytes::BufMut;
 use foca::{Codec, Header, Member, Message, State};
-use magpietally_membership::{Name, NodeId, Room, Settings, Wire};
+use magpietally_membership::{Membership, Name, NodeId, Settings, Wire};
 use proptest::prelude::*;
 
 fn node(i: u8, generation: u32) -> NodeId {
@@ -46,7 +46,7 @@
 
 /// The view of a room that took `datagrams` in this order, all at one instant.
 fn view_after(me: &NodeId, datagrams: &[Vec<u8>]) -> Vec<(String, u32, Option<u16>, String)> {
-    let mut room = Room::new(me.clone(), &Settings::default(), 7);
+    let mut room = Membership::new(me.clone(), &Settings::default(), 7);
     for d in datagrams {
         room.on_datagram(Duration::from_secs(1), d);
     }
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -9,7 +9,7 @@
 use bytes::BufMut;
 use foca::{Codec, Header, Member, Message, State};
 use magpietally_membership::sim::{Faults, Fleet};
-use magpietally_membership::{Liveness, Name, NodeId, Room, Settings, Wire};
+use magpietally_membership::{Liveness, Membership, Name, NodeId, Settings, Wire};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -124,7 +124,7 @@
     }
 
     fn rejoined(&self) -> u64 {
-        (0..self.paused.len()).filter_map(|i| self.fleet.room(i)).map(|r| r.stats().rejoined).sum()
+        (0..self.paused.len()).filter_map(|i| self.fleet.membership(i)).map(|r| r.stats().rejoined).sum()
     }
 }
 
@@ -224,8 +224,11 @@
         w.fleet.heal();
         w.run(30 * S).expect("within the bound");
         w.settle(60 * S).expect("all agree");
-        declared +=
-            stopped.iter().filter_map(|&i| w.fleet.room(i)).map(|r| r.stats().declared_dead).sum::<u64>();
+        declared += stopped
+            .iter()
+            .filter_map(|&i| w.fleet.membership(i))
+            .map(|r| r.stats().declared_dead)
+            .sum::<u64>();
     }
     assert!(suspected > 50, "only {suspected} suspicions in 50 runs: the scenario lost what it is for");
     declared
@@ -245,8 +248,8 @@
         generation: 1,
     };
     let (teller, suspect, third) = (id(1), id(2), id(3));
-    let mut holder = Room::new(teller.clone(), &Settings::default(), 1);
-    let mut suspected = Room::new(suspect.clone(), &Settings::default(), 2);
+    let mut holder = Membership::new(teller.clone(), &Settings::default(), 1);
+    let mut suspected = Membership::new(suspect.clone(), &Settings::default(), 2);
     // The third says that it suspects the second; the holder has only heard of it.
     let mut gossip = vec![0x53];
     let header = Header { src: third, src_incarnation: 0, dst: teller, message: Message::Gossip };
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on UDP: the carrier that runs a node's [`Room`] on a socket of its own, and `magpietally members`, which
+//! Membership on UDP: the carrier that runs a node's [`Membership`] on a socket of its own, and `magpietally members`, which
 //! asks a node for its view. Off unless `node --membership FILE` names a file like `deploy/membership.toml`.
 
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use magpietally_membership::{
-    decode, encode_query, read_part, view_part, Datagram, Name, NodeId, Room, Settings, ANSWER_MAX,
+    decode, encode_query, read_part, view_part, Datagram, Membership, Name, NodeId, Settings, ANSWER_MAX,
     DATAGRAM_MAX,
 };
 use magpietally_os_error::{classify, retry, Call, Class};
@@ -111,7 +111,7 @@
     let me = NodeId { addr: options.advertise.unwrap_or(bound), name, generation: generation() };
     tracing::info!(target: "membership", "membership listens at {bound} as {me}");
     let seed = u64::from(me.generation) ^ u64::from(bound.port()) << 32;
-    let mut room = Room::new(me, &options.settings, seed);
+    let mut room = Membership::new(me, &options.settings, seed);
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
     let seeds = options.seeds;
@@ -144,7 +144,7 @@
 /// Carries the room's datagrams until it is told to stop, or the node may not go on.
 fn carry(
     socket: &UdpSocket,
-    room: &mut Room,
+    room: &mut Membership,
     seeds: &[SocketAddrV4],
     stop: &AtomicBool,
 ) -> Result<(), String> {
@@ -211,7 +211,7 @@
     }
 }
 
-fn send(socket: &UdpSocket, room: &mut Room) {
+fn send(socket: &UdpSocket, room: &mut Membership) {
     while let Some((to, bytes)) = room.take_outgoing() {
         // A datagram that can't go is a loss, which the protocol is built for.
         let _ = retry::interrupted(|| socket.send_to(&bytes, to));
