--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,8 +28,8 @@
 mod protocol;
 mod shares;
 pub mod sim;
+mod suspicion;
 mod view;
-mod watch;
 
 pub use answer::{read_part, view_part, ANSWER_MAX};
 pub use codec::{
@@ -40,5 +40,5 @@
 pub use magpietally_transport::{Name, NameError, NAME_MAX_BYTES};
 pub use protocol::{Membership, Settings, Stats, LEFT_MAX, OUTBOX_MAX, TIMERS_MAX};
 pub use shares::{divisor, share};
+pub use suspicion::{SUSPICION_NOTICES_MAX, TRACKED_SUSPICIONS_MAX};
 pub use view::{Counts, Entry, Liveness, View};
-pub use watch::{TELLS_MAX, WATCH_MAX};
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -14,8 +14,8 @@
 
 use crate::codec::{self, Datagram, Wire, DATAGRAM_MAX, KIND_SWIM};
 use crate::id::NodeId;
+use crate::suspicion::SuspicionTracker;
 use crate::view::{Entry, Liveness, View};
-use crate::watch::Watch;
 
 /// Datagrams waiting for the carrier at most; past that the newest are dropped and counted (SWIM repairs a loss).
 pub const OUTBOX_MAX: usize = 4096;
@@ -33,7 +33,7 @@
     /// How long a direct probe waits for its ack before others are asked to probe.
     pub probe_rtt: Duration,
     /// How long a suspicion lasts at least before the node is declared dead.
-    pub suspect_for: Duration,
+    pub suspicion_min: Duration,
     /// How long the dead and those who left are remembered.
     pub forget_after: Duration,
     /// How often the seeds that are not members are announced to again: a fleet cut in two heals by this.
@@ -43,10 +43,10 @@
 }
 
 impl Settings {
-    /// How long a suspicion lasts at the node whose probe failed: `suspect_for`, or longer in a large fleet, where a
+    /// How long a suspicion lasts at the node whose probe failed: `suspicion_min`, or longer in a large fleet, where a
     /// refutation has further to go.
     pub(crate) fn suspicion(&self) -> Duration {
-        self.suspect_for.max(Config::new_lan(self.size()).suspect_to_down_after)
+        self.suspicion_min.max(Config::new_lan(self.size()).suspect_to_down_after)
     }
 
     fn size(&self) -> NonZeroU32 {
@@ -59,7 +59,7 @@
         Self {
             probe_period: Duration::from_secs(1),
             probe_rtt: Duration::from_millis(400),
-            suspect_for: Duration::from_secs(6),
+            suspicion_min: Duration::from_secs(6),
             forget_after: Duration::from_secs(120),
             reannounce: Duration::from_secs(5),
             fleet_size: 16,
@@ -91,14 +91,14 @@
     /// How often this node took another for dead.
     pub declared_dead: u64,
     /// How often this node told another directly that it holds it for suspect.
-    pub suspects_told: u64,
+    pub suspects_notified: u64,
 }
 
 /// One node's membership.
 pub struct Membership {
     foca: Foca<NodeId, Wire, Pcg64, NoCustomBroadcast>,
     out: Out,
-    watch: Watch,
+    watch: SuspicionTracker,
     seeds: Vec<SocketAddrV4>,
     next_announce: Duration,
     reannounce: Duration,
@@ -168,7 +168,7 @@
         let mut room = Self {
             foca: Foca::new(me, config, Pcg64::seed_from_u64(seed), Wire),
             out: Out::default(),
-            watch: Watch::new(settings),
+            watch: SuspicionTracker::new(settings),
             seeds: Vec::new(),
             next_announce: Duration::ZERO,
             reannounce: settings.reannounce,
@@ -293,7 +293,7 @@
             // later incarnation, clears it here in one round trip. Should the probe's number be that of our own probe of
             // it, its answer counts for that probe, rightly.
             self.send_swim(&id, Message::Ping(0), &[Member::new(id.clone(), incarnation, State::Suspect)]);
-            self.out.stats.suspects_told += 1;
+            self.out.stats.suspects_notified += 1;
         }
         for (id, incarnation) in due.dead {
             let mut fx = Effects::new(&mut self.out, now);
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/suspicion.rs
@@ -17,9 +17,9 @@
 
 /// Suspicions watched at once. More than a fleet of this size can suspect together is not planned for; what does not
 /// fit waits until another ends, and is watched from then.
-pub const WATCH_MAX: usize = 4096;
+pub const TRACKED_SUSPICIONS_MAX: usize = 4096;
 /// Suspects told in one look, so that a side of a cut that suspects the whole other side sends no burst.
-pub const TELLS_MAX: usize = 32;
+pub const SUSPICION_NOTICES_MAX: usize = 32;
 /// Looks in a probe period: fine enough that a look's wait does not show in the bound, coarse enough to cost nothing.
 const LOOKS_A_PERIOD: u32 = 4;
 /// The watch's limit is this many probe periods past the time after which the prober declares a death: one for its
@@ -34,7 +34,7 @@
 
 impl Settings {
     /// How long a view holds an identity for suspect under one incarnation at most, in time in which its node ran.
-    pub fn suspicion_most(&self) -> Duration {
+    pub fn suspicion_max(&self) -> Duration {
         self.suspicion() + self.probe_period * (PERIODS_AFTER_PROBER + PERIODS_FOR_LOOKS)
     }
 }
@@ -55,7 +55,7 @@
 }
 
 /// The watch of one room.
-pub(crate) struct Watch {
+pub(crate) struct SuspicionTracker {
     every: Duration,
     tell_after: Duration,
     tell_again: Duration,
@@ -67,7 +67,7 @@
     held: BTreeMap<(NodeId, u16), Held>,
 }
 
-impl Watch {
+impl SuspicionTracker {
     pub(crate) fn new(settings: &Settings) -> Self {
         let suspicion = settings.suspicion();
         Self {
@@ -97,7 +97,7 @@
         self.last_tick.map(|_| self.next_look)
     }
 
-    /// Whether a look is due at `now`; if so, [`Watch::look`] is to follow.
+    /// Whether a look is due at `now`; if so, [`SuspicionTracker::look`] is to follow.
     pub(crate) fn is_due(&mut self, now: Duration) -> bool {
         if now < self.next_look {
             return false;
@@ -109,7 +109,7 @@
     /// The view holds `suspects` now: who is to be told, and whose time is over.
     pub(crate) fn look(&mut self, suspects: impl Iterator<Item = (NodeId, u16)>) -> Due {
         let mut before = std::mem::take(&mut self.held);
-        for key in suspects.take(WATCH_MAX) {
+        for key in suspects.take(TRACKED_SUSPICIONS_MAX) {
             let held =
                 before.remove(&key).unwrap_or(Held { since: self.ran, tell_at: self.ran + self.tell_after });
             self.held.insert(key, held);
@@ -118,7 +118,7 @@
         for (key, held) in &mut self.held {
             if self.ran - held.since >= self.limit {
                 due.dead.push(key.clone());
-            } else if held.tell_at <= self.ran && due.tell.len() < TELLS_MAX {
+            } else if held.tell_at <= self.ran && due.tell.len() < SUSPICION_NOTICES_MAX {
                 held.tell_at = self.ran + self.tell_again;
                 due.tell.push(key.clone());
             }
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -27,7 +27,7 @@
 
 impl Suspicions {
     fn new(settings: &Settings) -> Self {
-        Self { most: settings.suspicion_most(), held: BTreeMap::new(), longest: Duration::ZERO }
+        Self { most: settings.suspicion_max(), held: BTreeMap::new(), longest: Duration::ZERO }
     }
 
     /// `holder` ran for [`LOOK`] and holds `suspects` now; an error names the suspicion that outlived the bound.
@@ -260,7 +260,7 @@
     holder.on_datagram(S, &gossip);
     // All that the holder says is lost, until it tells the suspected directly.
     let mut now = S;
-    while holder.stats().suspects_told == 0 {
+    while holder.stats().suspects_notified == 0 {
         assert_eq!(holder.view().liveness_of("n2"), Some(Liveness::Suspect));
         assert!(now < 5 * S, "not told within 4 s");
         while holder.take_outgoing().is_some() {}
@@ -282,7 +282,7 @@
 #[test]
 fn the_check_names_a_suspicion_that_outlives_the_bound() {
     let settings = Settings::default();
-    let looks = (settings.suspicion_most().as_millis() / LOOK.as_millis()) as usize;
+    let looks = (settings.suspicion_max().as_millis() / LOOK.as_millis()) as usize;
     let f = Fleet::new(2, &settings, Faults::default(), 1);
     let (holder, suspect) = (f.id(0), f.id(1));
     // Two suspicions with a refutation between them are two.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -85,7 +85,7 @@
     };
     settings.probe_period = millis("probe_period_ms", parsed.probe_period_ms, 100, settings.probe_period)?;
     settings.probe_rtt = settings.probe_rtt.min(settings.probe_period / 2);
-    settings.suspect_for = millis("suspect_for_ms", parsed.suspect_for_ms, 500, settings.suspect_for)?;
+    settings.suspicion_min = millis("suspect_for_ms", parsed.suspect_for_ms, 500, settings.suspicion_min)?;
     Ok(Options { listen, advertise, seeds, settings })
 }
 
