--- a/crates/membership/examples/cold_fleet.rs
+++ b/crates/membership/examples/cold_fleet.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use magpietally_membership::sim::{Faults, Fleet};
-use magpietally_membership::{divisor, Settings as MembershipSettings};
+use magpietally_membership::{budget_divisor, Settings as MembershipSettings};
 use magpietally_policy::*;
 
 const SERVERS: u64 = 4;
@@ -160,7 +160,7 @@
     let room = MembershipSettings { fleet_size: n as u32, ..MembershipSettings::default() };
     let mut fleet = Fleet::new(n, &room, Faults::default(), SEED);
     let seen = |fleet: &mut Fleet| -> Vec<usize> {
-        (0..n).map(|i| fleet.view(i).map_or(1, |v| divisor(&v.counts()) as usize)).collect()
+        (0..n).map(|i| fleet.view(i).map_or(1, |v| budget_divisor(&v.counts()) as usize)).collect()
     };
     fleet.run(Duration::from_millis(100));
     let early = seen(&mut fleet);
--- a/crates/membership/src/shares.rs
+++ b/crates/membership/src/budget.rs
@@ -11,7 +11,7 @@
 /// that are known, dead ones included: a node in a minority cannot tell whether the others died or are cut off from it,
 /// and two halves of a cut fleet that each took the whole would push twice what a server bears. Who left on purpose
 /// is not counted in either.
-pub fn divisor(counts: &Counts) -> u32 {
+pub fn budget_divisor(counts: &Counts) -> u32 {
     let active = counts.active().max(1);
     let known = counts.known().max(active);
     if 2 * active > known {
@@ -22,8 +22,8 @@
 }
 
 /// This node's part of `total`, never below `floor` (so that a node alone still serves) nor above `total`.
-pub fn share(total: f64, counts: &Counts, floor: f64) -> f64 {
-    let part = total / f64::from(divisor(counts));
+pub fn budget_share(total: f64, counts: &Counts, floor: f64) -> f64 {
+    let part = total / f64::from(budget_divisor(counts));
     part.max(floor).min(total)
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -22,16 +22,16 @@
 //! assert_eq!(a.view().counts().alive, 2);
 //! ```
 
-mod answer;
+mod budget;
 mod codec;
 mod id;
 mod protocol;
-mod shares;
 pub mod sim;
 mod suspicion;
 mod view;
+mod view_text;
 
-pub use answer::{read_part, view_part, ANSWER_MAX};
+pub use budget::{budget_divisor, budget_share};
 pub use codec::{
     decode, encode_leave, encode_query, Datagram, DecodeError, Wire, WireError, DATAGRAM_MAX, KIND_PART,
     KIND_QUERY, KIND_VIEW,
@@ -39,6 +39,6 @@
 pub use id::NodeId;
 pub use magpietally_transport::{Name, NameError, NAME_MAX_BYTES};
 pub use protocol::{Membership, Settings, Stats, LEFT_MAX, OUTBOX_MAX, TIMERS_MAX};
-pub use shares::{divisor, share};
 pub use suspicion::{SUSPICION_NOTICES_MAX, TRACKED_SUSPICIONS_MAX};
 pub use view::{Counts, Entry, Liveness, View};
+pub use view_text::{decode_view_part, encode_view_part, VIEW_PART_MAX_BYTES};
--- a/crates/membership/src/answer.rs
+++ b/crates/membership/src/view_text.rs
@@ -4,19 +4,19 @@
 
 use std::fmt::Write as _;
 
+use crate::budget::budget_divisor;
 use crate::codec::{get_id, id_len, put_id, KIND_PART, KIND_VIEW};
 use crate::id::NodeId;
 use crate::protocol::Stats;
-use crate::shares::divisor;
 use crate::view::View;
 
 /// The largest part, in bytes: what one datagram can be.
-pub const ANSWER_MAX: usize = 65_507;
+pub const VIEW_PART_MAX_BYTES: usize = 65_507;
 /// Kept free for what stands around the nodes, in bytes: a kind, an identity of the longest name, the line of counts.
 const AROUND: usize = 512;
 
-/// The view from behind `after` on, or all of it: the datagram to answer with, [`ANSWER_MAX`] bytes at the most.
-pub fn view_part(view: &View, stats: &Stats, after: Option<&NodeId>) -> Vec<u8> {
+/// The view from behind `after` on, or all of it: the datagram to answer with, [`VIEW_PART_MAX_BYTES`] bytes at the most.
+pub fn encode_view_part(view: &View, stats: &Stats, after: Option<&NodeId>) -> Vec<u8> {
     let entries = view.entries();
     let mut text = String::new();
     let from = after.map_or(0, |id| entries.partition_point(|e| e.id <= *id));
@@ -31,7 +31,7 @@
             c.suspect,
             c.dead,
             c.left,
-            divisor(&c)
+            budget_divisor(&c)
         );
     }
     let mut last = None;
@@ -42,7 +42,7 @@
             "{} {} generation {} incarnation {} {}",
             e.id.name, e.id.addr, e.id.generation, e.incarnation, e.liveness
         );
-        if let Some(last) = last.filter(|_| text.len() + AROUND > ANSWER_MAX) {
+        if let Some(last) = last.filter(|_| text.len() + AROUND > VIEW_PART_MAX_BYTES) {
             text.truncate(before);
             let mut part = Vec::with_capacity(1 + id_len(last) + text.len());
             part.push(KIND_PART);
@@ -67,7 +67,7 @@
 }
 
 /// Reads a part: the identity behind which to go on, where there is more, and the text. `None` where it is no part.
-pub fn read_part(bytes: &[u8]) -> Option<(Option<NodeId>, &[u8])> {
+pub fn decode_view_part(bytes: &[u8]) -> Option<(Option<NodeId>, &[u8])> {
     let (&kind, mut rest) = bytes.split_first()?;
     match kind {
         KIND_VIEW => Some((None, rest)),
--- a/crates/membership/src/answer/tests.rs
+++ b/crates/membership/src/view_text/tests.rs
@@ -23,9 +23,9 @@
 fn asked(view: &mut View, mut between: impl FnMut(&mut View)) -> (String, usize) {
     let (mut all, mut after, mut parts) = (String::new(), None, 0);
     loop {
-        let part = view_part(view, &Stats::default(), after.as_ref());
-        assert!(part.len() <= ANSWER_MAX, "{} bytes", part.len());
-        let (next, text) = read_part(&part).expect("a part");
+        let part = encode_view_part(view, &Stats::default(), after.as_ref());
+        assert!(part.len() <= VIEW_PART_MAX_BYTES, "{} bytes", part.len());
+        let (next, text) = decode_view_part(&part).expect("a part");
         all += std::str::from_utf8(text).expect("text");
         parts += 1;
         assert!(parts < 100 && (next.is_none() || next > after), "it goes on behind the last");
@@ -72,6 +72,6 @@
 #[test]
 fn what_is_no_part_is_no_part() {
     for bytes in [&b""[..], b"Q", b"P", b"P\x7f\0\0\x01", b"S1"] {
-        assert_eq!(read_part(bytes), None, "{bytes:?}");
+        assert_eq!(decode_view_part(bytes), None, "{bytes:?}");
     }
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -70,7 +70,7 @@
     // Each half is no majority of all it knows.
     for i in [0, 7] {
         let counts = f.view(i).map(|v| v.counts()).expect("a running node");
-        assert_eq!(magpietally_membership::divisor(&counts), 10, "node {i} took a half for the fleet");
+        assert_eq!(magpietally_membership::budget_divisor(&counts), 10, "node {i} took a half for the fleet");
     }
     f.heal();
     let all: Vec<usize> = (0..10).collect();
@@ -135,7 +135,7 @@
     let took = f.run_until(2 * S, |f| f.count_seeing(1, Liveness::Left) == rest.len());
     assert!(took.is_some(), "a leave took more than 2 s to be seen by all");
     let counts = f.view(0).map(|v| v.counts()).expect("running");
-    assert_eq!(magpietally_membership::divisor(&counts), 5);
+    assert_eq!(magpietally_membership::budget_divisor(&counts), 5);
 }
 
 /// A node's wall clock was an hour ahead (tenths of a second are counted) and is set right before it starts again: its generation
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use magpietally_membership::{
-    decode, encode_query, read_part, view_part, Datagram, Membership, Name, NodeId, Settings, ANSWER_MAX,
-    DATAGRAM_MAX,
+    decode, decode_view_part, encode_query, encode_view_part, Datagram, Membership, Name, NodeId, Settings,
+    DATAGRAM_MAX, VIEW_PART_MAX_BYTES,
 };
 use magpietally_os_error::{classify, retry, Call, Class};
 use serde::Deserialize;
@@ -172,7 +172,7 @@
                 Ok(Datagram::Query(after)) => {
                     let stats = room.stats().clone();
                     // Lost, as a datagram may be; whoever asked asks again.
-                    let part = view_part(room.view(), &stats, after.as_ref());
+                    let part = encode_view_part(room.view(), &stats, after.as_ref());
                     let _ = retry::interrupted(|| socket.send_to(&part, from));
                 }
                 _ => room.on_datagram(start.elapsed(), &buf[..n]),
@@ -230,7 +230,7 @@
     let socket = retry::at_start(Call::Create, "members", || UdpSocket::bind(local))
         .map_err(|e| Failure::Failed(format!("members: a socket: {e}")))?;
     socket.set_read_timeout(Some(ANSWER_WITHIN)).map_err(failed)?;
-    let mut buf = vec![0; ANSWER_MAX];
+    let mut buf = vec![0; VIEW_PART_MAX_BYTES];
     let mut after: Option<NodeId> = None;
     for _ in 0..PARTS_MOST {
         let query = encode_query(after.as_ref());
@@ -254,7 +254,7 @@
     let deadline = Instant::now() + ANSWER_WITHIN;
     while Instant::now() < deadline {
         match retry::interrupted(|| socket.recv_from(buf)) {
-            Ok((n, from)) if from == at => match read_part(&buf[..n]) {
+            Ok((n, from)) if from == at => match decode_view_part(&buf[..n]) {
                 // One that does not go on is an earlier part again.
                 Some((next, text)) if next.is_none() || next > after => {
                     print!("{}", String::from_utf8_lossy(text));
