--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -13,7 +13,7 @@
 use magpietally_transport::{Name, NAME_MAX_BYTES};
 
 /// The largest datagram a node sends or takes, in bytes: within one Ethernet frame, so no datagram is fragmented.
-pub const DATAGRAM_MAX: usize = 1400;
+pub const DATAGRAM_MAX_BYTES: usize = 1400;
 
 /// A datagram of the SWIM protocol, for `foca`.
 pub const KIND_SWIM: u8 = 0x53;
@@ -24,7 +24,7 @@
 /// The answer to [`KIND_QUERY`]: the view's last or only part as text follows. Only `magpietally members` reads it.
 pub const KIND_VIEW: u8 = 0x56;
 /// The same where there is more: the identity at which this part ends, then the part.
-pub const KIND_PART: u8 = 0x50;
+pub const KIND_VIEW_PART: u8 = 0x50;
 
 /// What a datagram is.
 #[derive(Debug, PartialEq, Eq)]
@@ -42,16 +42,16 @@
 pub enum DecodeError {
     /// Nothing at all.
     Empty,
-    /// Larger than [`DATAGRAM_MAX`].
+    /// Larger than [`DATAGRAM_MAX_BYTES`].
     TooLarge,
     /// A first byte that is no kind of ours.
-    Kind,
+    UnknownKind,
     /// It ended inside a field.
-    Short,
+    Truncated,
     /// Bytes after the last field.
-    Trailing,
+    TrailingBytes,
     /// A field out of its range: a message, a state or a name.
-    Field,
+    InvalidField,
 }
 
 impl fmt::Display for DecodeError {
@@ -59,10 +59,10 @@
         f.write_str(match self {
             Self::Empty => "an empty datagram",
             Self::TooLarge => "a datagram larger than 1400 bytes",
-            Self::Kind => "a datagram of no known kind",
-            Self::Short => "a datagram that ends inside a field",
-            Self::Trailing => "bytes after a datagram's last field",
-            Self::Field => "a field out of its range",
+            Self::UnknownKind => "a datagram of no known kind",
+            Self::Truncated => "a datagram that ends inside a field",
+            Self::TrailingBytes => "bytes after a datagram's last field",
+            Self::InvalidField => "a field out of its range",
         })
     }
 }
@@ -71,19 +71,19 @@
 
 /// The room left in the datagram did not hold the field; `foca` then stops adding updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Full;
+pub struct BufferFull;
 
-impl fmt::Display for Full {
+impl fmt::Display for BufferFull {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("no room left in the datagram")
     }
 }
 
-impl std::error::Error for Full {}
+impl std::error::Error for BufferFull {}
 
 /// What a datagram is, without taking more than its kind's fields.
 pub fn decode(bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
-    if bytes.len() > DATAGRAM_MAX {
+    if bytes.len() > DATAGRAM_MAX_BYTES {
         return Err(DecodeError::TooLarge);
     }
     let (&kind, rest) = bytes.split_first().ok_or(DecodeError::Empty)?;
@@ -92,14 +92,14 @@
         KIND_LEAVE => Ok(Datagram::Leave(get_only_id(rest)?)),
         KIND_QUERY if rest.is_empty() => Ok(Datagram::Query(None)),
         KIND_QUERY => Ok(Datagram::Query(Some(get_only_id(rest)?))),
-        _ => Err(DecodeError::Kind),
+        _ => Err(DecodeError::UnknownKind),
     }
 }
 
 fn get_only_id(mut buf: &[u8]) -> Result<NodeId, DecodeError> {
     let id = get_id(&mut buf)?;
     if buf.has_remaining() {
-        return Err(DecodeError::Trailing);
+        return Err(DecodeError::TrailingBytes);
     }
     Ok(id)
 }
@@ -124,35 +124,38 @@
 /// A SWIM datagram of our own making, as `foca` reads it: the header, the number of updates, the updates.
 ///
 /// # Errors
-/// It would be larger than [`DATAGRAM_MAX`].
-pub(crate) fn encode_swim(header: &Header<NodeId>, updates: &[Member<NodeId>]) -> Result<Vec<u8>, WireError> {
-    let mut buf = Vec::with_capacity(DATAGRAM_MAX).limit(DATAGRAM_MAX);
+/// It would be larger than [`DATAGRAM_MAX_BYTES`].
+pub(crate) fn encode_swim(
+    header: &Header<NodeId>,
+    updates: &[Member<NodeId>],
+) -> Result<Vec<u8>, CodecError> {
+    let mut buf = Vec::with_capacity(DATAGRAM_MAX_BYTES).limit(DATAGRAM_MAX_BYTES);
     buf.put_u8(KIND_SWIM);
-    Wire.encode_header(header, &mut buf)?;
+    WireCodec.encode_header(header, &mut buf)?;
     if !updates.is_empty() {
-        let count = u16::try_from(updates.len()).map_err(|_| WireError::Full(Full))?;
+        let count = u16::try_from(updates.len()).map_err(|_| CodecError::BufferFull(BufferFull))?;
         if buf.remaining_mut() < 2 {
-            return Err(WireError::Full(Full));
+            return Err(CodecError::BufferFull(BufferFull));
         }
         buf.put_u16(count);
     }
     for m in updates {
-        Wire.encode_member(m, &mut buf)?;
+        WireCodec.encode_member(m, &mut buf)?;
     }
     Ok(buf.into_inner())
 }
 
 /// `foca`'s codec: the header and the updates of a SWIM datagram.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Wire;
+pub struct WireCodec;
 
-impl Codec<NodeId> for Wire {
-    type Error = WireError;
+impl Codec<NodeId> for WireCodec {
+    type Error = CodecError;
 
-    fn encode_header(&mut self, header: &Header<NodeId>, mut buf: impl BufMut) -> Result<(), WireError> {
+    fn encode_header(&mut self, header: &Header<NodeId>, mut buf: impl BufMut) -> Result<(), CodecError> {
         let need = id_len(&header.src) + 2 + id_len(&header.dst) + message_len(&header.message);
         if buf.remaining_mut() < need {
-            return Err(WireError::Full(Full));
+            return Err(CodecError::BufferFull(BufferFull));
         }
         put_id(&mut buf, &header.src);
         buf.put_u16(header.src_incarnation);
@@ -161,7 +164,7 @@
         Ok(())
     }
 
-    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<NodeId>, WireError> {
+    fn decode_header(&mut self, mut buf: impl Buf) -> Result<Header<NodeId>, CodecError> {
         let src = get_id(&mut buf)?;
         let src_incarnation = get_u16(&mut buf)?;
         let dst = get_id(&mut buf)?;
@@ -169,9 +172,9 @@
         Ok(Header { src, src_incarnation, dst, message })
     }
 
-    fn encode_member(&mut self, member: &Member<NodeId>, mut buf: impl BufMut) -> Result<(), WireError> {
+    fn encode_member(&mut self, member: &Member<NodeId>, mut buf: impl BufMut) -> Result<(), CodecError> {
         if buf.remaining_mut() < id_len(member.id()) + 3 {
-            return Err(WireError::Full(Full));
+            return Err(CodecError::BufferFull(BufferFull));
         }
         put_id(&mut buf, member.id());
         buf.put_u16(member.incarnation());
@@ -183,14 +186,14 @@
         Ok(())
     }
 
-    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<NodeId>, WireError> {
+    fn decode_member(&mut self, mut buf: impl Buf) -> Result<Member<NodeId>, CodecError> {
         let id = get_id(&mut buf)?;
         let incarnation = get_u16(&mut buf)?;
         let state = match get_u8(&mut buf)? {
             0 => State::Alive,
             1 => State::Suspect,
             2 => State::Down,
-            _ => return Err(DecodeError::Field.into()),
+            _ => return Err(DecodeError::InvalidField.into()),
         };
         Ok(Member::new(id, incarnation, state))
     }
@@ -198,29 +201,29 @@
 
 /// What the codec says to `foca`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WireError {
+pub enum CodecError {
     /// Reading: see [`DecodeError`].
     Decode(DecodeError),
     /// Writing: no room left.
-    Full(Full),
+    BufferFull(BufferFull),
 }
 
-impl From<DecodeError> for WireError {
+impl From<DecodeError> for CodecError {
     fn from(e: DecodeError) -> Self {
         Self::Decode(e)
     }
 }
 
-impl fmt::Display for WireError {
+impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Decode(e) => e.fmt(f),
-            Self::Full(e) => e.fmt(f),
+            Self::BufferFull(e) => e.fmt(f),
         }
     }
 }
 
-impl std::error::Error for WireError {}
+impl std::error::Error for CodecError {}
 
 pub(crate) fn id_len(id: &NodeId) -> usize {
     4 + 2 + 4 + 1 + id.name.as_str().len()
@@ -243,14 +246,14 @@
     let generation = get_u32(buf)?;
     let len = usize::from(get_u8(buf)?);
     if len > NAME_MAX_BYTES {
-        return Err(DecodeError::Field);
+        return Err(DecodeError::InvalidField);
     }
     let mut name = [0u8; NAME_MAX_BYTES];
     take(buf, &mut name[..len])?;
-    let name = std::str::from_utf8(&name[..len]).map_err(|_| DecodeError::Field)?;
+    let name = std::str::from_utf8(&name[..len]).map_err(|_| DecodeError::InvalidField)?;
     Ok(NodeId {
         addr: SocketAddrV4::new(Ipv4Addr::from(ip), port),
-        name: Name::new_or_empty(name).map_err(|_| DecodeError::Field)?,
+        name: Name::new_or_empty(name).map_err(|_| DecodeError::InvalidField)?,
         generation,
     })
 }
@@ -309,13 +312,13 @@
         8 => Message::Gossip,
         9 => Message::Broadcast,
         10 => Message::TurnUndead,
-        _ => return Err(DecodeError::Field),
+        _ => return Err(DecodeError::InvalidField),
     })
 }
 
 fn take(buf: &mut impl Buf, out: &mut [u8]) -> Result<(), DecodeError> {
     if buf.remaining() < out.len() {
-        return Err(DecodeError::Short);
+        return Err(DecodeError::Truncated);
     }
     buf.copy_to_slice(out);
     Ok(())
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -33,8 +33,8 @@
 
 pub use budget::{budget_divisor, budget_share};
 pub use codec::{
-    decode, encode_leave, encode_query, Datagram, DecodeError, Wire, WireError, DATAGRAM_MAX, KIND_PART,
-    KIND_QUERY, KIND_VIEW,
+    decode, encode_leave, encode_query, CodecError, Datagram, DecodeError, WireCodec, DATAGRAM_MAX_BYTES,
+    KIND_QUERY, KIND_VIEW, KIND_VIEW_PART,
 };
 pub use id::NodeId;
 pub use magpietally_transport::{Name, NameError, NAME_MAX_BYTES};
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-use crate::codec::{self, Datagram, Wire, DATAGRAM_MAX, KIND_SWIM};
+use crate::codec::{self, Datagram, WireCodec, DATAGRAM_MAX_BYTES, KIND_SWIM};
 use crate::id::NodeId;
 use crate::suspicion::SuspicionTracker;
 use crate::view::{Entry, Liveness, View};
@@ -96,7 +96,7 @@
 
 /// One node's membership.
 pub struct Membership {
-    foca: Foca<NodeId, Wire, Pcg64, NoCustomBroadcast>,
+    foca: Foca<NodeId, WireCodec, Pcg64, NoCustomBroadcast>,
     out: Out,
     watch: SuspicionTracker,
     seeds: Vec<SocketAddrV4>,
@@ -155,7 +155,7 @@
         config.suspect_to_down_after = settings.suspicion();
         config.remove_down_after = Some(settings.forget_after);
         // One byte of each datagram is its kind.
-        config.max_packet_size = NonZeroUsize::new(DATAGRAM_MAX - 1).unwrap_or(NonZeroUsize::MIN);
+        config.max_packet_size = NonZeroUsize::new(DATAGRAM_MAX_BYTES - 1).unwrap_or(NonZeroUsize::MIN);
         // The dead are asked now and then whether they are back: a node that was only cut off returns so.
         config.periodic_announce_to_down_members = Some(PeriodicParams {
             frequency: settings.reannounce,
@@ -166,7 +166,7 @@
         config.periodic_announce =
             Some(PeriodicParams { frequency: settings.reannounce * 2, num_members: NonZeroUsize::MIN });
         let mut room = Self {
-            foca: Foca::new(me, config, Pcg64::seed_from_u64(seed), Wire),
+            foca: Foca::new(me, config, Pcg64::seed_from_u64(seed), WireCodec),
             out: Out::default(),
             watch: SuspicionTracker::new(settings),
             seeds: Vec::new(),
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -12,7 +12,7 @@
 use magpietally_simnet::{Clocks, Limits, World};
 use magpietally_transport::{Kind, Name, Now, Outgoing, Peer};
 
-use crate::codec::DATAGRAM_MAX;
+use crate::codec::DATAGRAM_MAX_BYTES;
 use crate::id::NodeId;
 use crate::protocol::{Membership, Settings};
 use crate::view::{Liveness, View};
@@ -59,7 +59,7 @@
     /// `n` nodes named `n0`…, each joining through node 0, on a network with `faults`. At most
     /// [`magpietally_simnet::NODES_MAX`]; what is over is not there.
     pub fn new(n: usize, settings: &Settings, faults: Faults, seed: u64) -> Self {
-        let limits = Limits { datagram: DATAGRAM_MAX, ..Limits::default() };
+        let limits = Limits { datagram: DATAGRAM_MAX_BYTES, ..Limits::default() };
         let mut world = World::new(seed, faults, limits, 0);
         let names: BTreeMap<SocketAddrV4, Name> = (0..n)
             .map(|i| (addr(i), name(i)))
--- a/crates/membership/src/view_text.rs
+++ b/crates/membership/src/view_text.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 use crate::budget::budget_divisor;
-use crate::codec::{get_id, id_len, put_id, KIND_PART, KIND_VIEW};
+use crate::codec::{get_id, id_len, put_id, KIND_VIEW, KIND_VIEW_PART};
 use crate::id::NodeId;
 use crate::protocol::Stats;
 use crate::view::View;
@@ -45,7 +45,7 @@
         if let Some(last) = last.filter(|_| text.len() + AROUND > VIEW_PART_MAX_BYTES) {
             text.truncate(before);
             let mut part = Vec::with_capacity(1 + id_len(last) + text.len());
-            part.push(KIND_PART);
+            part.push(KIND_VIEW_PART);
             put_id(&mut part, last);
             part.extend_from_slice(text.as_bytes());
             return part;
@@ -71,7 +71,7 @@
     let (&kind, mut rest) = bytes.split_first()?;
     match kind {
         KIND_VIEW => Some((None, rest)),
-        KIND_PART => {
+        KIND_VIEW_PART => {
             let id = get_id(&mut rest).ok()?;
             Some((Some(id), rest))
         }
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -4,7 +4,7 @@
 
 use bytes::BufMut;
 use foca::{Codec, Header, Member, Message, State};
-use magpietally_membership::{decode, encode_leave, Datagram, Name, NodeId, Wire};
+use magpietally_membership::{decode, encode_leave, Datagram, Name, NodeId, WireCodec};
 use proptest::prelude::*;
 
 fn id() -> impl Strategy<Value = NodeId> {
@@ -49,19 +49,19 @@
     ) {
         let header = Header { src, src_incarnation, dst, message };
         let mut bytes = Vec::new();
-        Wire.encode_header(&header, &mut bytes).expect("a Vec has room");
+        WireCodec.encode_header(&header, &mut bytes).expect("a Vec has room");
         let header_len = bytes.len();
         for m in &members {
-            Wire.encode_member(m, &mut bytes).expect("a Vec has room");
+            WireCodec.encode_member(m, &mut bytes).expect("a Vec has room");
         }
         let mut rest = &bytes[..];
-        prop_assert_eq!(Wire.decode_header(&mut rest).expect("its own header"), header.clone());
+        prop_assert_eq!(WireCodec.decode_header(&mut rest).expect("its own header"), header.clone());
         for m in &members {
-            prop_assert_eq!(&Wire.decode_member(&mut rest).expect("its own member"), m);
+            prop_assert_eq!(&WireCodec.decode_member(&mut rest).expect("its own member"), m);
         }
         prop_assert!(rest.is_empty());
         for cut in 0..header_len {
-            prop_assert!(Wire.decode_header(&bytes[..cut]).is_err(), "a header cut at {} was taken", cut);
+            prop_assert!(WireCodec.decode_header(&bytes[..cut]).is_err(), "a header cut at {} was taken", cut);
         }
     }
 
@@ -70,14 +70,14 @@
         let mut buf = [0u8; 80];
         let mut limited = (&mut buf[..]).limit(room);
         let fits = room >= 14 + m.id().name.as_str().len();
-        prop_assert_eq!(Wire.encode_member(&m, &mut limited).is_ok(), fits);
+        prop_assert_eq!(WireCodec.encode_member(&m, &mut limited).is_ok(), fits);
     }
 
     #[test]
     fn any_bytes_are_refused_or_read_but_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
         let _ = decode(&bytes);
-        let _ = Wire.decode_header(&bytes[..]);
-        let _ = Wire.decode_member(&bytes[..]);
+        let _ = WireCodec.decode_header(&bytes[..]);
+        let _ = WireCodec.decode_member(&bytes[..]);
     }
 
     #[test]
--- a/crates/membership/tests/merge.rs
+++ b/crates/membership/tests/merge.rs
@@ -10,7 +10,7 @@
 
 use bytes::BufMut;
 use foca::{Codec, Header, Member, Message, State};
-use magpietally_membership::{Membership, Name, NodeId, Settings, Wire};
+use magpietally_membership::{Membership, Name, NodeId, Settings, WireCodec};
 use proptest::prelude::*;
 
 fn node(i: u8, generation: u32) -> NodeId {
@@ -25,10 +25,10 @@
 fn datagram(src: &NodeId, dst: &NodeId, updates: &[Member<NodeId>]) -> Vec<u8> {
     let mut bytes = vec![0x53];
     let header = Header { src: src.clone(), src_incarnation: 0, dst: dst.clone(), message: Message::Gossip };
-    Wire.encode_header(&header, &mut bytes).expect("a Vec has room");
+    WireCodec.encode_header(&header, &mut bytes).expect("a Vec has room");
     bytes.put_u16(updates.len() as u16);
     for m in updates {
-        Wire.encode_member(m, &mut bytes).expect("a Vec has room");
+        WireCodec.encode_member(m, &mut bytes).expect("a Vec has room");
     }
     bytes
 }
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -9,7 +9,7 @@
 use bytes::BufMut;
 use foca::{Codec, Header, Member, Message, State};
 use magpietally_membership::sim::{Faults, Fleet};
-use magpietally_membership::{Liveness, Membership, Name, NodeId, Settings, Wire};
+use magpietally_membership::{Liveness, Membership, Name, NodeId, Settings, WireCodec};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -253,9 +253,10 @@
     // The third says that it suspects the second; the holder has only heard of it.
     let mut gossip = vec![0x53];
     let header = Header { src: third, src_incarnation: 0, dst: teller, message: Message::Gossip };
-    Wire.encode_header(&header, &mut gossip).expect("a Vec has room");
+    WireCodec.encode_header(&header, &mut gossip).expect("a Vec has room");
     gossip.put_u16(1);
-    Wire.encode_member(&Member::new(suspect.clone(), 0, State::Suspect), &mut gossip)
+    WireCodec
+        .encode_member(&Member::new(suspect.clone(), 0, State::Suspect), &mut gossip)
         .expect("a Vec has room");
     holder.on_datagram(S, &gossip);
     // All that the holder says is lost, until it tells the suspected directly.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -9,7 +9,7 @@
 
 use magpietally_membership::{
     decode, decode_view_part, encode_query, encode_view_part, Datagram, Membership, Name, NodeId, Settings,
-    DATAGRAM_MAX, VIEW_PART_MAX_BYTES,
+    DATAGRAM_MAX_BYTES, VIEW_PART_MAX_BYTES,
 };
 use magpietally_os_error::{classify, retry, Call, Class};
 use serde::Deserialize;
@@ -150,7 +150,7 @@
 ) -> Result<(), String> {
     let start = Instant::now();
     // One byte more than may come, so that what is longer is seen to be.
-    let mut buf = [0; DATAGRAM_MAX + 1];
+    let mut buf = [0; DATAGRAM_MAX_BYTES + 1];
     room.join(start.elapsed(), seeds);
     let mut told_version = 0;
     loop {
