--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -38,7 +38,7 @@
 };
 pub use id::NodeId;
 pub use magpietally_transport::{Name, NameError, NAME_MAX_BYTES};
-pub use protocol::{Membership, Settings, Stats, LEFT_MAX, OUTBOX_MAX, TIMERS_MAX};
+pub use protocol::{Membership, Settings, Stats, LEAVE_NOTICES_MAX, OUTBOX_MAX, TIMERS_MAX};
 pub use suspicion::{SUSPICION_NOTICES_MAX, TRACKED_SUSPICIONS_MAX};
 pub use view::{Counts, Entry, Liveness, View};
 pub use view_text::{decode_view_part, encode_view_part, VIEW_PART_MAX_BYTES};
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -23,7 +23,7 @@
 /// fleet of a few thousand; one over it is dropped and counted.
 pub const TIMERS_MAX: usize = 16_384;
 /// Leave notices remembered at most; they are forgotten with the member they name.
-pub const LEFT_MAX: usize = 4096;
+pub const LEAVE_NOTICES_MAX: usize = 4096;
 
 /// How the protocol is paced. The defaults are the bounds of `docs/design/membership.md`.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,7 +37,7 @@
     /// How long the dead and those who left are remembered.
     pub forget_after: Duration,
     /// How often the seeds that are not members are announced to again: a fleet cut in two heals by this.
-    pub reannounce: Duration,
+    pub reannounce_interval: Duration,
     /// About how many nodes the fleet has: it sets how often an update is passed on and how long suspicion lasts.
     pub fleet_size: u32,
 }
@@ -61,7 +61,7 @@
             probe_rtt: Duration::from_millis(400),
             suspicion_min: Duration::from_secs(6),
             forget_after: Duration::from_secs(120),
-            reannounce: Duration::from_secs(5),
+            reannounce_interval: Duration::from_secs(5),
             fleet_size: 16,
         }
     }
@@ -81,11 +81,11 @@
     /// Datagrams that could not be read (bent, short, long, of no known kind).
     pub malformed: u64,
     /// Datagrams that were read but refused by the protocol (from ourselves, for another identity, out of turn).
-    pub refused: u64,
+    pub rejected: u64,
     /// Datagrams dropped as the outbox was full.
-    pub outbox_full: u64,
+    pub outbox_dropped: u64,
     /// Timers dropped as the table was full.
-    pub timers_full: u64,
+    pub timers_dropped: u64,
     /// How often this node was declared dead and rejoined under a renewed identity.
     pub rejoined: u64,
     /// How often this node took another for dead.
@@ -101,7 +101,7 @@
     watch: SuspicionTracker,
     seeds: Vec<SocketAddrV4>,
     next_announce: Duration,
-    reannounce: Duration,
+    reannounce_interval: Duration,
     left: BTreeSet<NodeId>,
     leaving: bool,
     view: View,
@@ -158,20 +158,22 @@
         config.max_packet_size = NonZeroUsize::new(DATAGRAM_MAX_BYTES - 1).unwrap_or(NonZeroUsize::MIN);
         // The dead are asked now and then whether they are back: a node that was only cut off returns so.
         config.periodic_announce_to_down_members = Some(PeriodicParams {
-            frequency: settings.reannounce,
+            frequency: settings.reannounce_interval,
             num_members: NonZeroUsize::new(2).unwrap_or(NonZeroUsize::MIN),
         });
         // A join is told by updates that are passed on a few times only, and in a large fleet a few nodes miss it;
         // a feed of random members now and then fills such gaps before probes would.
-        config.periodic_announce =
-            Some(PeriodicParams { frequency: settings.reannounce * 2, num_members: NonZeroUsize::MIN });
+        config.periodic_announce = Some(PeriodicParams {
+            frequency: settings.reannounce_interval * 2,
+            num_members: NonZeroUsize::MIN,
+        });
         let mut room = Self {
             foca: Foca::new(me, config, Pcg64::seed_from_u64(seed), WireCodec),
             out: Out::default(),
             watch: SuspicionTracker::new(settings),
             seeds: Vec::new(),
             next_announce: Duration::ZERO,
-            reannounce: settings.reannounce,
+            reannounce_interval: settings.reannounce_interval,
             left: BTreeSet::new(),
             leaving: false,
             view: View::default(),
@@ -183,13 +185,13 @@
     }
 
     /// Who this node is now (its generation grows when it rejoins after being declared dead).
-    pub fn me(&self) -> &NodeId {
+    pub fn local_id(&self) -> &NodeId {
         self.foca.identity()
     }
 
-    /// Asks to join the fleet through `seeds`; they are asked again each `reannounce` while they are not members.
+    /// Asks to join the fleet through `seeds`; they are asked again each `reannounce_interval` while they are not members.
     pub fn join(&mut self, now: Duration, seeds: &[SocketAddrV4]) {
-        let me = self.me().addr;
+        let me = self.local_id().addr;
         self.seeds = seeds.iter().copied().filter(|s| *s != me).collect();
         self.seeds.sort_unstable();
         self.seeds.dedup();
@@ -206,7 +208,7 @@
             // The carrier answers it; a room has nothing to add.
             Ok(Datagram::Query(_)) => {}
             Ok(Datagram::Leave(id)) => {
-                if self.left.len() < LEFT_MAX {
+                if self.left.len() < LEAVE_NOTICES_MAX {
                     self.left.insert(id);
                 }
                 self.stale = true;
@@ -227,7 +229,7 @@
                     Err(foca::Error::Decode(_) | foca::Error::DataTooBig | foca::Error::MalformedPacket) => {
                         self.out.stats.malformed += 1
                     }
-                    Err(_) => self.out.stats.refused += 1,
+                    Err(_) => self.out.stats.rejected += 1,
                 }
                 self.stale = true;
             }
@@ -240,7 +242,7 @@
         if step == 0 {
             return;
         }
-        let me = self.me().clone();
+        let me = self.local_id().clone();
         let later = NodeId { generation: me.generation.saturating_add(step), ..me };
         let mut fx = Effects::new(&mut self.out, now);
         // An error says that this is the identity already.
@@ -269,7 +271,7 @@
             self.look_after_suspects(now);
         }
         if !self.seeds.is_empty() && now >= self.next_announce {
-            self.next_announce = now + self.reannounce;
+            self.next_announce = now + self.reannounce_interval;
             let members: BTreeSet<SocketAddrV4> = self.foca.iter_members().map(|m| m.id().addr).collect();
             for seed in self.seeds.clone() {
                 if !members.contains(&seed) {
@@ -310,7 +312,7 @@
     /// Sends a message of `foca`'s that it does not send by itself, with `updates`.
     fn send_swim(&mut self, to: &NodeId, message: Message<NodeId>, updates: &[Member<NodeId>]) {
         // Our incarnation is `foca`'s secret; the least there is says no more than that we are there.
-        let header = Header { src: self.me().clone(), src_incarnation: 0, dst: to.clone(), message };
+        let header = Header { src: self.local_id().clone(), src_incarnation: 0, dst: to.clone(), message };
         if let Ok(bytes) = codec::encode_swim(&header, updates) {
             push(&mut self.out.outbox, &mut self.out.stats, to.addr, bytes);
         }
@@ -332,7 +334,7 @@
         if self.leaving {
             return;
         }
-        let notice = codec::encode_leave(self.me());
+        let notice = codec::encode_leave(self.local_id());
         let peers: Vec<SocketAddrV4> = self.foca.iter_members().map(|m| m.id().addr).collect();
         for peer in peers {
             push(&mut self.out.outbox, &mut self.out.stats, peer, notice.clone());
@@ -340,8 +342,8 @@
         let mut fx = Effects::new(&mut self.out, now);
         let _ = self.foca.leave_cluster(&mut fx);
         self.leaving = true;
-        let me = self.me().clone();
-        if self.left.len() < LEFT_MAX {
+        let me = self.local_id().clone();
+        if self.left.len() < LEAVE_NOTICES_MAX {
             self.left.insert(me);
         }
         self.stale = true;
@@ -414,7 +416,7 @@
 
 fn push(outbox: &mut VecDeque<(SocketAddrV4, Vec<u8>)>, stats: &mut Stats, to: SocketAddrV4, bytes: Vec<u8>) {
     if outbox.len() >= OUTBOX_MAX {
-        stats.outbox_full += 1;
+        stats.outbox_dropped += 1;
         return;
     }
     stats.sent += 1;
@@ -453,7 +455,7 @@
 
     fn submit_after(&mut self, event: Timer<NodeId>, after: Duration) {
         if self.out.timers.len() >= TIMERS_MAX {
-            self.out.stats.timers_full += 1;
+            self.out.stats.timers_dropped += 1;
             return;
         }
         self.out.next_timer += 1;
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -152,7 +152,7 @@
     }
 
     /// Node `i` stops running (SIGSTOP) or runs again (SIGCONT); what came meanwhile waits in its socket.
-    pub fn pause(&mut self, i: usize, paused: bool) {
+    pub fn set_paused(&mut self, i: usize, paused: bool) {
         if paused {
             self.world.pause(i);
         } else {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -24,7 +24,7 @@
     }
 
     /// The word the view is printed with.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
             Self::Suspect => "suspect",
@@ -36,7 +36,7 @@
 
 impl fmt::Display for Liveness {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
@@ -123,7 +123,7 @@
 
     /// Another active node under `me`'s name at another address that started before `me` (or, started in the same
     /// second, has the lower address): `me` must stop, as two nodes may not share a name.
-    pub fn name_taken_from(&self, me: &NodeId) -> Option<&NodeId> {
+    pub fn name_conflict(&self, me: &NodeId) -> Option<&NodeId> {
         self.entries
             .iter()
             .filter(|e| e.liveness.is_active() && e.id.name == me.name && e.id.addr != me.addr)
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -32,8 +32,8 @@
     v.replace(vec![entry(1, "a", 10, Liveness::Alive), entry(2, "a", 20, Liveness::Alive)]);
     let first = v.entries()[0].id.clone();
     let second = v.entries()[1].id.clone();
-    assert_eq!(v.name_taken_from(&second), Some(&first));
-    assert_eq!(v.name_taken_from(&first), None);
+    assert_eq!(v.name_conflict(&second), Some(&first));
+    assert_eq!(v.name_conflict(&first), None);
     v.replace(vec![entry(1, "a", 10, Liveness::Dead), entry(2, "a", 20, Liveness::Alive)]);
-    assert_eq!(v.name_taken_from(&second), None, "a dead node holds no name");
+    assert_eq!(v.name_conflict(&second), None, "a dead node holds no name");
 }
--- a/crates/membership/src/view_text.rs
+++ b/crates/membership/src/view_text.rs
@@ -60,7 +60,7 @@
         stats.sent,
         stats.sent_bytes,
         stats.malformed,
-        stats.refused,
+        stats.rejected,
         stats.rejoined
     );
     [&[KIND_VIEW], text.as_bytes()].concat()
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -29,12 +29,12 @@
 #[test]
 fn a_node_paused_for_five_seconds_is_never_declared_dead() {
     let mut f = fleet(10, 2);
-    f.pause(4, true);
+    f.set_paused(4, true);
     for _ in 0..500 {
         f.run(Duration::from_millis(10));
         assert_eq!(f.count_seeing(4, Liveness::Dead), 0, "declared dead while paused at {:?}", f.now());
     }
-    f.pause(4, false);
+    f.set_paused(4, false);
     let all: Vec<usize> = (0..10).collect();
     for _ in 0..1000 {
         f.run(Duration::from_millis(10));
@@ -46,10 +46,10 @@
 #[test]
 fn a_node_paused_for_long_is_declared_dead_and_comes_back_as_a_new_incarnation() {
     let mut f = fleet(8, 3);
-    f.pause(5, true);
+    f.set_paused(5, true);
     let rest: Vec<usize> = (0..8).filter(|&i| i != 5).collect();
     assert!(f.run_until(30 * S, |f| f.count_seeing(5, Liveness::Dead) == rest.len()).is_some());
-    f.pause(5, false);
+    f.set_paused(5, false);
     let all: Vec<usize> = (0..8).collect();
     assert!(f.run_until(30 * S, |f| f.all_see(&all, Liveness::Alive, &[])).is_some(), "it did not come back");
     assert!(
@@ -152,7 +152,7 @@
         f.run(2 * S);
         f.start(5);
         let took = f.run_until(15 * S, |f| {
-            let now_is = f.membership(5).is_some_and(|r| r.me().generation > 36_000);
+            let now_is = f.membership(5).is_some_and(|r| r.local_id().generation > 36_000);
             now_is && f.all_see(&all, Liveness::Alive, &[])
         });
         let took = took.expect("the others still hold to the earlier life");
--- a/crates/membership/tests/same_run.rs
+++ b/crates/membership/tests/same_run.rs
@@ -11,9 +11,9 @@
         let mut f = Fleet::new(8, &Settings::default(), Faults { loss: 0.1, ..Faults::default() }, seed);
         f.run(Duration::from_secs(10));
         f.kill(3);
-        f.pause(4, true);
+        f.set_paused(4, true);
         f.run(Duration::from_secs(15));
-        f.pause(4, false);
+        f.set_paused(4, false);
         f.start(3);
         f.run(Duration::from_secs(15));
         (f.trace(), f.sent_bytes())
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -89,9 +89,9 @@
         Ok(())
     }
 
-    fn pause(&mut self, i: usize, paused: bool) {
+    fn set_paused(&mut self, i: usize, paused: bool) {
         self.paused[i] = paused;
-        self.fleet.pause(i, paused);
+        self.fleet.set_paused(i, paused);
     }
 
     fn kill(&mut self, i: usize) {
@@ -111,7 +111,7 @@
         self.fleet.heal();
         self.fleet.set_faults(Faults::default());
         for &i in &all {
-            self.pause(i, false);
+            self.set_paused(i, false);
             if self.killed[i] {
                 self.start(i);
             }
@@ -183,7 +183,7 @@
                     let (near, far): (Vec<usize>, Vec<usize>) = (0..N).partition(|_| rng.random_bool(0.5));
                     w.fleet.partition(&near, &far);
                 }
-                2 => w.pause(a, true),
+                2 => w.set_paused(a, true),
                 3 => w.kill(a),
                 4 => w.fleet.set_faults(Faults {
                     loss: rng.random_range(0.0..0.4),
@@ -201,7 +201,7 @@
                     w.start(i);
                 }
                 if w.paused[i] && rng.random_bool(0.6) {
-                    w.pause(i, false);
+                    w.set_paused(i, false);
                 }
             }
         }
@@ -220,7 +220,7 @@
         w.fleet.partition(&[0], &[1, 2, 3, 4]);
         w.run(5 * S).expect("within the bound");
         suspected += w.fleet.view(0).map_or(0, |v| v.counts().suspect);
-        stopped.iter().for_each(|&i| w.pause(i, true));
+        stopped.iter().for_each(|&i| w.set_paused(i, true));
         w.fleet.heal();
         w.run(30 * S).expect("within the bound");
         w.settle(60 * S).expect("all agree");
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -181,14 +181,14 @@
         }
         room.tick(start.elapsed());
         send(socket, room);
-        let me = room.me().clone();
+        let me = room.local_id().clone();
         let view = room.view();
         if view.version() != told_version {
             told_version = view.version();
             let c = view.counts();
             tracing::info!(target: "membership", "view {}: {} alive, {} suspect, {} dead, {} left", view.version(), c.alive, c.suspect, c.dead, c.left);
         }
-        if let Some(first) = view.name_taken_from(&me) {
+        if let Some(first) = view.name_conflict(&me) {
             // Two nodes may not share a name; the one that started first keeps it. What this one has taken it still answers.
             let (name, at) = (&me.name, first.addr);
             let words =
