--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -12,14 +12,14 @@
 use magpietally_simnet::{Clocks, Limits, World};
 use magpietally_transport::{Kind, Name, Now, Outgoing, Peer};
 
-use crate::codec::DATAGRAM_MAX;
+use crate::codec::DATAGRAM_MAX_BYTES;
 use crate::id::NodeId;
-use crate::room::{Room, Settings};
+use crate::protocol::{Membership, Settings};
 use crate::view::{Liveness, View};
 
 /// A room whose peers are addresses, on a network whose nodes are names.
 struct Named {
-    room: Room,
+    room: Membership,
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
 }
 
@@ -59,7 +59,7 @@
     /// `n` nodes named `n0`…, each joining through node 0, on a network with `faults`. At most
     /// [`magpietally_simnet::NODES_MAX`]; what is over is not there.
     pub fn new(n: usize, settings: &Settings, faults: Faults, seed: u64) -> Self {
-        let limits = Limits { datagram: DATAGRAM_MAX, ..Limits::default() };
+        let limits = Limits { datagram: DATAGRAM_MAX_BYTES, ..Limits::default() };
         let mut world = World::new(seed, faults, limits, 0);
         let names: BTreeMap<SocketAddrV4, Name> = (0..n)
             .map(|i| (addr(i), name(i)))
@@ -145,14 +145,14 @@
             let mut id = id(i, &peer);
             id.generation = id.generation.saturating_add(by);
             let seed = seed ^ ((i as u64) << 20) ^ u64::from(id.generation);
-            let mut room = Room::new(id, settings, seed);
+            let mut room = Membership::new(id, settings, seed);
             room.join(now.boot, seeds);
             Named { room, names: Rc::clone(names) }
         });
     }
 
     /// Node `i` stops running (SIGSTOP) or runs again (SIGCONT); what came meanwhile waits in its socket.
-    pub fn pause(&mut self, i: usize, paused: bool) {
+    pub fn set_paused(&mut self, i: usize, paused: bool) {
         if paused {
             self.world.pause(i);
         } else {
@@ -171,7 +171,7 @@
     }
 
     /// The stats of node `i`, if it runs.
-    pub fn room(&self, i: usize) -> Option<&Room> {
+    pub fn membership(&self, i: usize) -> Option<&Membership> {
         self.world.room(i).map(|named| &named.room)
     }
 
@@ -202,7 +202,7 @@
     /// neither alive nor suspect.
     pub fn all_see(&mut self, who: &[usize], liveness: Liveness, others: &[usize]) -> bool {
         for &i in who {
-            if self.world.is_paused(i) || self.room(i).is_none() {
+            if self.world.is_paused(i) || self.membership(i).is_none() {
                 continue;
             }
             for &j in who {
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -9,7 +9,7 @@
 use bytes::BufMut;
 use foca::{Codec, Header, Member, Message, State};
 use magpietally_membership::sim::{Faults, Fleet};
-use magpietally_membership::{Liveness, Name, NodeId, Room, Settings, Wire};
+use magpietally_membership::{Liveness, Membership, Name, NodeId, Settings, WireCodec};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -27,7 +27,7 @@
 
 impl Suspicions {
     fn new(settings: &Settings) -> Self {
-        Self { most: settings.suspicion_most(), held: BTreeMap::new(), longest: Duration::ZERO }
+        Self { most: settings.suspicion_max(), held: BTreeMap::new(), longest: Duration::ZERO }
     }
 
     /// `holder` ran for [`LOOK`] and holds `suspects` now; an error names the suspicion that outlived the bound.
@@ -89,9 +89,9 @@
         Ok(())
     }
 
-    fn pause(&mut self, i: usize, paused: bool) {
+    fn set_paused(&mut self, i: usize, paused: bool) {
         self.paused[i] = paused;
-        self.fleet.pause(i, paused);
+        self.fleet.set_paused(i, paused);
     }
 
     fn kill(&mut self, i: usize) {
@@ -111,7 +111,7 @@
         self.fleet.heal();
         self.fleet.set_faults(Faults::default());
         for &i in &all {
-            self.pause(i, false);
+            self.set_paused(i, false);
             if self.killed[i] {
                 self.start(i);
             }
@@ -124,7 +124,7 @@
     }
 
     fn rejoined(&self) -> u64 {
-        (0..self.paused.len()).filter_map(|i| self.fleet.room(i)).map(|r| r.stats().rejoined).sum()
+        (0..self.paused.len()).filter_map(|i| self.fleet.membership(i)).map(|r| r.stats().rejoined).sum()
     }
 }
 
@@ -183,7 +183,7 @@
                     let (near, far): (Vec<usize>, Vec<usize>) = (0..N).partition(|_| rng.random_bool(0.5));
                     w.fleet.partition(&near, &far);
                 }
-                2 => w.pause(a, true),
+                2 => w.set_paused(a, true),
                 3 => w.kill(a),
                 4 => w.fleet.set_faults(Faults {
                     loss: rng.random_range(0.0..0.4),
@@ -201,7 +201,7 @@
                     w.start(i);
                 }
                 if w.paused[i] && rng.random_bool(0.6) {
-                    w.pause(i, false);
+                    w.set_paused(i, false);
                 }
             }
         }
@@ -220,12 +220,15 @@
         w.fleet.partition(&[0], &[1, 2, 3, 4]);
         w.run(5 * S).expect("within the bound");
         suspected += w.fleet.view(0).map_or(0, |v| v.counts().suspect);
-        stopped.iter().for_each(|&i| w.pause(i, true));
+        stopped.iter().for_each(|&i| w.set_paused(i, true));
         w.fleet.heal();
         w.run(30 * S).expect("within the bound");
         w.settle(60 * S).expect("all agree");
-        declared +=
-            stopped.iter().filter_map(|&i| w.fleet.room(i)).map(|r| r.stats().declared_dead).sum::<u64>();
+        declared += stopped
+            .iter()
+            .filter_map(|&i| w.fleet.membership(i))
+            .map(|r| r.stats().declared_dead)
+            .sum::<u64>();
     }
     assert!(suspected > 50, "only {suspected} suspicions in 50 runs: the scenario lost what it is for");
     declared
@@ -245,19 +248,20 @@
         generation: 1,
     };
     let (teller, suspect, third) = (id(1), id(2), id(3));
-    let mut holder = Room::new(teller.clone(), &Settings::default(), 1);
-    let mut suspected = Room::new(suspect.clone(), &Settings::default(), 2);
+    let mut holder = Membership::new(teller.clone(), &Settings::default(), 1);
+    let mut suspected = Membership::new(suspect.clone(), &Settings::default(), 2);
     // The third says that it suspects the second; the holder has only heard of it.
     let mut gossip = vec![0x53];
     let header = Header { src: third, src_incarnation: 0, dst: teller, message: Message::Gossip };
-    Wire.encode_header(&header, &mut gossip).expect("a Vec has room");
+    WireCodec.encode_header(&header, &mut gossip).expect("a Vec has room");
     gossip.put_u16(1);
-    Wire.encode_member(&Member::new(suspect.clone(), 0, State::Suspect), &mut gossip)
+    WireCodec
+        .encode_member(&Member::new(suspect.clone(), 0, State::Suspect), &mut gossip)
         .expect("a Vec has room");
     holder.on_datagram(S, &gossip);
     // All that the holder says is lost, until it tells the suspected directly.
     let mut now = S;
-    while holder.stats().suspects_told == 0 {
+    while holder.stats().suspects_notified == 0 {
         assert_eq!(holder.view().liveness_of("n2"), Some(Liveness::Suspect));
         assert!(now < 5 * S, "not told within 4 s");
         while holder.take_outgoing().is_some() {}
@@ -279,7 +283,7 @@
 #[test]
 fn the_check_names_a_suspicion_that_outlives_the_bound() {
     let settings = Settings::default();
-    let looks = (settings.suspicion_most().as_millis() / LOOK.as_millis()) as usize;
+    let looks = (settings.suspicion_max().as_millis() / LOOK.as_millis()) as usize;
     let f = Fleet::new(2, &settings, Faults::default(), 1);
     let (holder, suspect) = (f.id(0), f.id(1));
     // Two suspicions with a refutation between them are two.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on UDP: the carrier that runs a node's [`Room`] on a socket of its own, and `magpietally members`, which
+//! Membership on UDP: the carrier that runs a node's [`Membership`] on a socket of its own, and `magpietally members`, which
 //! asks a node for its view. Off unless `node --membership FILE` names a file like `deploy/membership.toml`.
 
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use magpietally_membership::{
-    decode, encode_query, read_part, view_part, Datagram, Name, NodeId, Room, Settings, ANSWER_MAX,
-    DATAGRAM_MAX,
+    decode, decode_view_part, encode_query, encode_view_part, Datagram, Membership, Name, NodeId, Settings,
+    DATAGRAM_MAX_BYTES, VIEW_PART_MAX_BYTES,
 };
 use magpietally_os_error::{classify, retry, Call, Class};
 use serde::Deserialize;
@@ -85,7 +85,7 @@
     };
     settings.probe_period = millis("probe_period_ms", parsed.probe_period_ms, 100, settings.probe_period)?;
     settings.probe_rtt = settings.probe_rtt.min(settings.probe_period / 2);
-    settings.suspect_for = millis("suspect_for_ms", parsed.suspect_for_ms, 500, settings.suspect_for)?;
+    settings.suspicion_min = millis("suspect_for_ms", parsed.suspect_for_ms, 500, settings.suspicion_min)?;
     Ok(Options { listen, advertise, seeds, settings })
 }
 
@@ -111,7 +111,7 @@
     let me = NodeId { addr: options.advertise.unwrap_or(bound), name, generation: generation() };
     tracing::info!(target: "membership", "membership listens at {bound} as {me}");
     let seed = u64::from(me.generation) ^ u64::from(bound.port()) << 32;
-    let mut room = Room::new(me, &options.settings, seed);
+    let mut room = Membership::new(me, &options.settings, seed);
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
     let seeds = options.seeds;
@@ -144,13 +144,13 @@
 /// Carries the room's datagrams until it is told to stop, or the node may not go on.
 fn carry(
     socket: &UdpSocket,
-    room: &mut Room,
+    room: &mut Membership,
     seeds: &[SocketAddrV4],
     stop: &AtomicBool,
 ) -> Result<(), String> {
     let start = Instant::now();
     // One byte more than may come, so that what is longer is seen to be.
-    let mut buf = [0; DATAGRAM_MAX + 1];
+    let mut buf = [0; DATAGRAM_MAX_BYTES + 1];
     room.join(start.elapsed(), seeds);
     let mut told_version = 0;
     loop {
@@ -172,7 +172,7 @@
                 Ok(Datagram::Query(after)) => {
                     let stats = room.stats().clone();
                     // Lost, as a datagram may be; whoever asked asks again.
-                    let part = view_part(room.view(), &stats, after.as_ref());
+                    let part = encode_view_part(room.view(), &stats, after.as_ref());
                     let _ = retry::interrupted(|| socket.send_to(&part, from));
                 }
                 _ => room.on_datagram(start.elapsed(), &buf[..n]),
@@ -181,14 +181,14 @@
         }
         room.tick(start.elapsed());
         send(socket, room);
-        let me = room.me().clone();
+        let me = room.local_id().clone();
         let view = room.view();
         if view.version() != told_version {
             told_version = view.version();
             let c = view.counts();
             tracing::info!(target: "membership", "view {}: {} alive, {} suspect, {} dead, {} left", view.version(), c.alive, c.suspect, c.dead, c.left);
         }
-        if let Some(first) = view.name_taken_from(&me) {
+        if let Some(first) = view.name_conflict(&me) {
             // Two nodes may not share a name; the one that started first keeps it. What this one has taken it still answers.
             let (name, at) = (&me.name, first.addr);
             let words =
@@ -211,7 +211,7 @@
     }
 }
 
-fn send(socket: &UdpSocket, room: &mut Room) {
+fn send(socket: &UdpSocket, room: &mut Membership) {
     while let Some((to, bytes)) = room.take_outgoing() {
         // A datagram that can't go is a loss, which the protocol is built for.
         let _ = retry::interrupted(|| socket.send_to(&bytes, to));
@@ -230,7 +230,7 @@
     let socket = retry::at_start(Call::Create, "members", || UdpSocket::bind(local))
         .map_err(|e| Failure::Failed(format!("members: a socket: {e}")))?;
     socket.set_read_timeout(Some(ANSWER_WITHIN)).map_err(failed)?;
-    let mut buf = vec![0; ANSWER_MAX];
+    let mut buf = vec![0; VIEW_PART_MAX_BYTES];
     let mut after: Option<NodeId> = None;
     for _ in 0..PARTS_MOST {
         let query = encode_query(after.as_ref());
@@ -254,7 +254,7 @@
     let deadline = Instant::now() + ANSWER_WITHIN;
     while Instant::now() < deadline {
         match retry::interrupted(|| socket.recv_from(buf)) {
-            Ok((n, from)) if from == at => match read_part(&buf[..n]) {
+            Ok((n, from)) if from == at => match decode_view_part(&buf[..n]) {
                 // One that does not go on is an earlier part again.
                 Some((next, text)) if next.is_none() || next > after => {
                     print!("{}", String::from_utf8_lossy(text));
