--- a/crates/quota/src/check.rs
+++ b/crates/quota/src/check.rs
@@ -1,11 +1,12 @@
-//! Checks all nodes' records on one clock against what was promised.
+//! Checks the records of all nodes, taken on one clock, against the guarantees of the quotas.
 //!
-//! Every window. Let `A[s,t]` be what was admitted from `s` to `t`. That `A[s,t] <= rate x (t-s) + burst` holds for every
-//! `s` is the same as that one bucket for the whole fleet, full at the beginning, never runs dry: its level after an
-//! admission at `t` is the least, over all `s <= t`, of `burst + rate x (t-s) - A[s,t]` (a bucket forgets exactly those
-//! `s` before it was last full). So one pass over the records in order holds all pairs of moments: O(n log n) for the
-//! sorting. A limit that changes changes the bucket: a lower burst cuts its level, a higher adds nothing to it, which is
-//! the least over `s` again, each `s` with the burst of its own moment.
+//! Rate limits. Let `A[s,t]` be the tokens admitted from `s` to `t`. `A[s,t] <= rate x (t-s) + burst` holds
+//! for every `s` exactly if a single token bucket for the whole fleet, full at the start, never goes below
+//! zero: its level after an admission at `t` is the minimum over all `s <= t` of `burst + rate x (t-s) -
+//! A[s,t]` (the bucket forgets exactly those `s` that lie before it was last full). One pass over the records
+//! in order therefore checks all pairs of times, in O(n log n) because of the sorting. A change of limits
+//! changes the bucket: a lower burst cuts its level and a higher one adds nothing. The level is again the
+//! minimum over `s`, each `s` with the burst in effect at that time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,136 +16,139 @@
 
 use crate::policy::{Policy, TenantQuota};
 
-/// Observation is recorded.
+/// A recorded event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// A policy took hold, everywhere at this moment.
+    /// A policy took effect, at all nodes at this time.
     Policy(Policy),
-    /// A session began.
+    /// A session started.
     Started,
-    /// The log took a report of a session, whose parts it had ended.
+    /// The log accepted a report of a session whose shares it had ended.
     Renewed,
-    /// The log ended a session's parts by demand, or its reserve too.
+    /// The log ended the demand shares of a session, or its reserve share too.
     Ended {
-        /// The reserve too.
+        /// Whether the reserve share ended too.
         all: bool,
     },
-    /// A request was admitted, and paid for.
+    /// A request was admitted and its cost taken.
     Admitted {
-        /// Whose.
+        /// Tenant of the request.
         tenant: String,
-        /// Of which class.
+        /// Class of the request.
         class: String,
-        /// Tokens.
+        /// Cost in tokens.
         cost: u64,
-        /// Out of the part kept for its class.
+        /// Whether the cost was taken from the pool reserved for the class.
         kept: bool,
-        /// Counted for this day.
+        /// The day whose count it was taken from, in days since 1970.
         day: Option<u32>,
-        /// The node's rate by what it says, in thousandths of a token a second.
+        /// The node's rate as it reports it, in thousandths of a token per second.
         rate: u64,
     },
     /// A request was refused.
     Refused {
-        /// Whose.
+        /// Tenant of the request.
         tenant: String,
-        /// Of which class.
+        /// Class of the request.
         class: String,
-        /// When to come again.
+        /// The returned retry delay.
         retry_after: Duration,
-        /// Told as sure, not as an estimate.
+        /// Whether the delay is definite, not an estimate.
         sure: bool,
-        /// The node's rate, in thousandths of a token a second.
+        /// The node's rate, in thousandths of a token per second.
         rate: u64,
-        /// Changes when its bucket was made smaller.
+        /// Changes when the node's bucket is reduced.
         lowered: u32,
     },
-    /// Observation the log says was counted of a day.
+    /// A daily count as the log has it.
     Counted {
-        /// Whose.
+        /// Tenant of the count.
         tenant: String,
-        /// Of which class.
+        /// Class of the count.
         class: String,
-        /// The day.
+        /// The day, in days since 1970.
         day: u32,
-        /// How many.
+        /// Tokens counted.
         count: u64,
     },
 }
 
-/// One record.
+/// A record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the checker's clock.
+    /// Time of the event by the checker's clock.
     pub at: Duration,
-    /// Which node.
+    /// The node.
     pub node: u32,
-    /// Which of its sessions.
+    /// The node's session.
     pub session: u64,
-    /// Observation.
+    /// The event.
     pub what: Observation,
 }
 
-/// Observation was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// More than rate x time + burst was admitted in a window that ends at `at`.
     WindowExceeded {
-        /// Whose.
+        /// The tenant.
         tenant: String,
-        /// The window's end.
+        /// End of the window.
         at: Duration,
-        /// By how many tokens, rounded up.
+        /// Excess in tokens, rounded up.
         by: u64,
     },
-    /// The same of one part: of a class's kept part, or of the common part (empty class), which then took of a kept one.
+    /// The same for one pool: that of a class, or the common pool (empty class), which then used tokens
+    /// reserved for a class.
     PoolExceeded {
-        /// Whose.
+        /// The tenant.
         tenant: String,
-        /// Of which class.
+        /// The class, empty for the common pool.
         class: String,
-        /// The window's end.
+        /// End of the window.
         at: Duration,
     },
-    /// More of a class than its day allows.
+    /// More requests of a class were admitted than its daily limit allows.
     DailyLimitExceeded {
-        /// Whose.
+        /// The tenant.
         tenant: String,
-        /// Of which class.
+        /// The class.
         class: String,
-        /// The day.
+        /// The day, in days since 1970.
         day: u32,
     },
-    /// The day's count is less than was admitted.
+    /// The daily count is less than the number of admitted requests.
     DailyCountTooLow {
-        /// Whose.
+        /// The tenant.
         tenant: String,
-        /// Of which class.
+        /// The class.
         class: String,
-        /// The day.
+        /// The day, in days since 1970.
         day: u32,
     },
-    /// A session served with more than its reserve after the log had ended its parts.
+    /// A session served with more than its reserve share after the log had ended its shares.
     ServedAfterLease {
-        /// Which node.
+        /// The node.
         node: u32,
-        /// When.
+        /// Time of the request.
         at: Duration,
     },
-    /// A session spent more than the whole quota mints from its start on: it did not begin empty.
+    /// A session spent more than the whole quota yields from the session's start on, so its bucket did not
+    /// start empty.
     NotEmptyAtStart {
-        /// Which node.
+        /// The node.
         node: u32,
-        /// Which session.
+        /// The session.
         session: u64,
-        /// Whose tokens.
+        /// The tenant whose tokens were spent.
         tenant: String,
     },
-    /// A request that came when it was told to was refused though the node neither spent nor lost anything meanwhile.
+    /// A request that was repeated after its definite retry delay was refused, although the node had neither
+    /// spent tokens nor lost any share in between.
     RetryAfterBroken {
-        /// Which node.
+        /// The node.
         node: u32,
-        /// When it came again.
+        /// Time of the repeated request.
         at: Duration,
     },
 }
@@ -153,132 +157,149 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::WindowExceeded { tenant, at, by } => {
-                write!(f, "{tenant}: {by} tokens over in a window up to {at:?}")
+                write!(f, "{tenant}: {by} tokens too many in a window that ends at {at:?}")
             }
             Self::PoolExceeded { tenant, class, at } => {
-                write!(f, "{tenant}: the part of {class:?} is over at {at:?}")
+                write!(f, "{tenant}: the pool of class {class:?} is exceeded at {at:?}")
             }
             Self::DailyLimitExceeded { tenant, class, day } => {
-                write!(f, "{tenant}: too many {class} on day {day}")
+                write!(f, "{tenant}: too many requests of class {class} on day {day}")
             }
             Self::DailyCountTooLow { tenant, class, day } => {
-                write!(f, "{tenant}: more {class} admitted on day {day} than counted")
+                write!(f, "{tenant}: more requests of class {class} admitted on day {day} than counted")
             }
             Self::ServedAfterLease { node, at } => {
-                write!(f, "node {node} served at {at:?}, after its lease was ended")
+                write!(f, "node {node} served at {at:?}, after its lease had ended")
             }
             Self::NotEmptyAtStart { node, session, tenant } => {
                 write!(
                     f,
-                    "node {node}, session {session}, spent more of {tenant} than was minted since its start"
+                    "node {node}, session {session}, spent more tokens of {tenant} than accrued since its start"
                 )
             }
             Self::RetryAfterBroken { node, at } => {
-                write!(f, "node {node} refused at {at:?} what it had told to come")
+                write!(f, "node {node} refused at {at:?} what it old_rate definite_delays to come")
             }
         }
     }
 }
 
-/// Billionths of a token in a token.
-const TOKEN: i128 = 1_000_000_000;
+/// Billionths of a token in one token.
+const NANO_PER_TOKEN: i128 = 1_000_000_000;
 
-/// One bucket for the whole fleet.
+/// A token bucket for the whole fleet.
 #[derive(Clone, Copy)]
-struct Bucket {
+struct FleetBucket {
     level: i128,
     rate: u64,
     burst: i128,
     at: Duration,
 }
 
-impl Bucket {
+impl FleetBucket {
     fn new(at: Duration, rate: u64, burst: u64) -> Self {
-        let burst = i128::from(burst) * TOKEN;
+        let burst = i128::from(burst) * NANO_PER_TOKEN;
         Self { level: burst, rate, burst, at }
     }
 
-    fn to(&mut self, at: Duration) {
-        let passed = at.saturating_sub(self.at).as_nanos() as i128;
-        self.level = self.burst.min(self.level + passed * i128::from(self.rate) / 1_000 + 1);
+    fn advance(&mut self, at: Duration) {
+        let elapsed = at.saturating_sub(self.at).as_nanos() as i128;
+        self.level = self.burst.min(self.level + elapsed * i128::from(self.rate) / 1_000 + 1);
         self.at = at;
     }
 
-    fn limits(&mut self, at: Duration, rate: u64, burst: u64) {
-        self.to(at);
+    fn set_limits(&mut self, at: Duration, rate: u64, burst: u64) {
+        self.advance(at);
         self.rate = rate;
-        self.burst = i128::from(burst) * TOKEN;
+        self.burst = i128::from(burst) * NANO_PER_TOKEN;
         self.level = self.level.min(self.burst);
     }
 
-    /// Takes `cost`; by how much it is over, if it is. It goes on from empty, so that one overrun is told once.
+    /// Takes `cost` tokens and returns the excess, if any. The level continues from zero after an excess, so
+    /// that each is reported once.
     fn take(&mut self, at: Duration, cost: u64) -> Option<u64> {
-        self.to(at);
-        self.level -= i128::from(cost) * TOKEN;
+        self.advance(at);
+        self.level -= i128::from(cost) * NANO_PER_TOKEN;
         if self.level >= 0 {
             return None;
         }
-        let over = -std::mem::take(&mut self.level);
-        u64::try_from((over + TOKEN - 1) / TOKEN).ok()
+        let excess = -std::mem::take(&mut self.level);
+        u64::try_from((excess + NANO_PER_TOKEN - 1) / NANO_PER_TOKEN).ok()
     }
 }
 
-/// The parts of a tenant: (class or empty, rate, burst).
-fn parts(t: &TenantQuota) -> Vec<(String, u64, u64)> {
-    let (mut rate, mut burst, mut parts) = (t.rate_milli, t.burst, Vec::new());
+/// The pools of a tenant: (class, or empty for the common pool; rate; burst).
+fn pool_limits(t: &TenantQuota) -> Vec<(String, u64, u64)> {
+    let (mut rate, mut burst, mut limits) = (t.rate_milli, t.burst, Vec::new());
     for k in &t.kept {
         rate = rate.saturating_sub(k.rate_milli);
         burst = burst.saturating_sub(k.burst);
-        parts.push((k.class.clone(), k.rate_milli, k.burst));
+        limits.push((k.class.clone(), k.rate_milli, k.burst));
     }
-    parts.push((String::new(), rate, burst));
-    parts
+    limits.push((String::new(), rate, burst));
+    limits
 }
 
-/// Where a refusal stood: who, whose, of which class.
-type Place = (u32, u64, String, String);
+/// Identifies repeated refusals: (node, session, tenant, class).
+type RefusalKey = (u32, u64, String, String);
 
 #[derive(Default)]
 struct Checker {
     policy: Policy,
-    fleet: BTreeMap<String, Bucket>,
-    parts: BTreeMap<(String, String), Bucket>,
-    days: BTreeMap<(String, String, u32), (u64, u64)>,
+    tenant_buckets: BTreeMap<String, FleetBucket>,
+    pool_buckets: BTreeMap<(String, String), FleetBucket>,
+    daily_counts: BTreeMap<(String, String, u32), (u64, u64)>,
     started: BTreeMap<(u32, u64), Duration>,
     ended: BTreeMap<(u32, u64), bool>,
     spent: BTreeMap<(u32, u64, String), u64>,
-    told: BTreeMap<Place, (Duration, u64, u32)>,
+    definite_delays: BTreeMap<RefusalKey, (Duration, u64, u32)>,
     violations: Vec<Violation>,
 }
 
 impl Checker {
-    fn policy(&mut self, at: Duration, policy: &Policy) {
+    fn set_policy(&mut self, at: Duration, policy: &Policy) {
         for t in &policy.tenants {
-            let fresh = Bucket::new(at, t.rate_milli, t.burst);
-            self.fleet.entry(t.name.clone()).or_insert(fresh).limits(at, t.rate_milli, t.burst);
-            for (class, rate, burst) in parts(t) {
-                let fresh = Bucket::new(at, rate, burst);
-                self.parts.entry((t.name.clone(), class)).or_insert(fresh).limits(at, rate, burst);
+            let new_bucket = FleetBucket::new(at, t.rate_milli, t.burst);
+            self.tenant_buckets.entry(t.name.clone()).or_insert(new_bucket).set_limits(
+                at,
+                t.rate_milli,
+                t.burst,
+            );
+            for (class, rate, burst) in pool_limits(t) {
+                let new_bucket = FleetBucket::new(at, rate, burst);
+                self.pool_buckets
+                    .entry((t.name.clone(), class))
+                    .or_insert(new_bucket)
+                    .set_limits(at, rate, burst);
             }
         }
         self.policy = policy.clone();
     }
 
-    fn admitted(&mut self, r: &Record, tenant: &str, class: &str, cost: u64, kept: bool, day: Option<u32>) {
-        let (at, name) = (r.at, tenant.to_owned());
-        if let Some(by) = self.fleet.get_mut(tenant).and_then(|b| b.take(at, cost)) {
+    fn check_admitted(
+        &mut self,
+        record: &Record,
+        tenant: &str,
+        class: &str,
+        cost: u64,
+        kept: bool,
+        day: Option<u32>,
+    ) {
+        let (at, name) = (record.at, tenant.to_owned());
+        if let Some(by) = self.tenant_buckets.get_mut(tenant).and_then(|b| b.take(at, cost)) {
             self.violations.push(Violation::WindowExceeded { tenant: name.clone(), at, by });
         }
-        let part = if kept { class.to_owned() } else { String::new() };
-        let over = self.parts.get_mut(&(name.clone(), part.clone())).and_then(|b| b.take(at, cost));
+        let pool = if kept { class.to_owned() } else { String::new() };
+        let over = self.pool_buckets.get_mut(&(name.clone(), pool.clone())).and_then(|b| b.take(at, cost));
         if over.is_some() {
-            self.violations.push(Violation::PoolExceeded { tenant: name.clone(), class: part, at });
+            self.violations.push(Violation::PoolExceeded { tenant: name.clone(), class: pool, at });
         }
         let Some(t) = self.policy.tenants.iter().find(|t| t.name == tenant) else { return };
         if let (Some(day), Some((_, limit))) = (day, t.per_day.iter().find(|d| d.0 == class)) {
-            let (n, most) = self.days.entry((name.clone(), class.to_owned(), day)).or_default();
-            (*n, *most) = (*n + 1, (*most).max(*limit));
-            if *n == *most + 1 {
+            let (admitted, limit_max) =
+                self.daily_counts.entry((name.clone(), class.to_owned(), day)).or_default();
+            (*admitted, *limit_max) = (*admitted + 1, (*limit_max).max(*limit));
+            if *admitted == *limit_max + 1 {
                 self.violations.push(Violation::DailyLimitExceeded {
                     tenant: name.clone(),
                     class: class.to_owned(),
@@ -286,63 +307,71 @@
                 });
             }
         }
-        let who = (r.node, r.session);
-        if let Some(began) = self.started.get(&who) {
-            let spent = self.spent.entry((r.node, r.session, name.clone())).or_default();
+        let session = (record.node, record.session);
+        if let Some(started_at) = self.started.get(&session) {
+            let spent = self.spent.entry((record.node, record.session, name.clone())).or_default();
             *spent += cost;
-            let minted = u128::from(t.rate_milli) * (at - *began).as_nanos() / 1_000;
-            // A higher rate may have held before: only what no policy allowed since is told, by one that never changed.
-            if u128::from(*spent) * TOKEN as u128 > minted && self.policy.version <= 1 {
-                let violation = Violation::NotEmptyAtStart { node: r.node, session: r.session, tenant: name };
+            let minted = u128::from(t.rate_milli) * (at - *started_at).as_nanos() / 1_000;
+            // A higher rate may have applied before, so this is reported only while the policy has never
+            // changed.
+            if u128::from(*spent) * NANO_PER_TOKEN as u128 > minted && self.policy.version <= 1 {
+                let violation =
+                    Violation::NotEmptyAtStart { node: record.node, session: record.session, tenant: name };
                 if !self.violations.contains(&violation) {
                     self.violations.push(violation);
                 }
             }
         }
-        self.told.retain(|p, _| (p.0, p.1) != who || p.2 != tenant);
+        self.definite_delays.retain(|p, _| (p.0, p.1) != session || p.2 != tenant);
     }
 
-    fn record(&mut self, r: &Record) {
-        let who = (r.node, r.session);
-        match &r.what {
-            Observation::Policy(p) => self.policy(r.at, p),
+    fn check_record(&mut self, record: &Record) {
+        let session = (record.node, record.session);
+        match &record.what {
+            Observation::Policy(p) => self.set_policy(record.at, p),
             Observation::Started => {
-                self.started.insert(who, r.at);
+                self.started.insert(session, record.at);
             }
             Observation::Ended { all } => {
-                self.ended.insert(who, *all);
+                self.ended.insert(session, *all);
             }
             Observation::Renewed => {
-                self.ended.remove(&who);
+                self.ended.remove(&session);
             }
             Observation::Admitted { tenant, class, cost, kept, day, rate } => {
-                self.admitted(r, tenant, class, *cost, *kept, *day);
-                let whole =
+                self.check_admitted(record, tenant, class, *cost, *kept, *day);
+                let tenant_rate =
                     self.policy.tenants.iter().find(|t| t.name == *tenant).map_or(0, |t| t.rate_milli);
-                let reserve = whole * crate::RATE_RESERVE_PPM / u64::from(crate::WHOLE_PPM);
-                if self.ended.get(&who).is_some_and(|all| *all || *rate > reserve) {
-                    self.violations.push(Violation::ServedAfterLease { node: r.node, at: r.at });
+                let reserve = tenant_rate * crate::RATE_RESERVE_PPM / u64::from(crate::WHOLE_PPM);
+                if self.ended.get(&session).is_some_and(|all| *all || *rate > reserve) {
+                    self.violations.push(Violation::ServedAfterLease { node: record.node, at: record.at });
                 }
             }
             Observation::Refused { tenant, class, retry_after, sure, rate, lowered } => {
-                let place = (r.node, r.session, tenant.clone(), class.clone());
-                let kept = self.told.get(&place);
-                if *sure && kept.is_some_and(|(due, had, low)| r.at >= *due && rate >= had && lowered == low)
+                let key = (record.node, record.session, tenant.clone(), class.clone());
+                let pending = self.definite_delays.get(&key);
+                if *sure
+                    && pending.is_some_and(|(due, old_rate, old_lowered)| {
+                        record.at >= *due && rate >= old_rate && lowered == old_lowered
+                    })
+                {
+                    self.violations.push(Violation::RetryAfterBroken { node: record.node, at: record.at });
+                    self.definite_delays.remove(&key);
+                } else if pending
+                    .is_some_and(|(_, old_rate, old_lowered)| rate < old_rate || lowered != old_lowered)
                 {
-                    self.violations.push(Violation::RetryAfterBroken { node: r.node, at: r.at });
-                    self.told.remove(&place);
-                } else if kept.is_some_and(|(_, had, low)| rate < had || lowered != low) {
-                    self.told.remove(&place);
+                    self.definite_delays.remove(&key);
                 }
-                if *sure && !self.told.contains_key(&place) {
-                    // The node counts by its own clock, which may be slow; and whoever carries records rounds.
-                    let due = r.at + retry_after.mul_f64(1.0 + magpietally_consensus::DRIFT);
-                    self.told.insert(place, (due + Duration::from_millis(1), *rate, *lowered));
+                if *sure && !self.definite_delays.contains_key(&key) {
+                    // The node counts by its own clock, which may run slow, and the transport of the records
+                    // rounds times.
+                    let due = record.at + retry_after.mul_f64(1.0 + magpietally_consensus::DRIFT);
+                    self.definite_delays.insert(key, (due + Duration::from_millis(1), *rate, *lowered));
                 }
             }
             Observation::Counted { tenant, class, day, count } => {
                 let key = (tenant.clone(), class.clone(), *day);
-                if self.days.get(&key).is_some_and(|(n, _)| n > count) {
+                if self.daily_counts.get(&key).is_some_and(|(n, _)| n > count) {
                     self.violations.push(Violation::DailyCountTooLow {
                         tenant: key.0,
                         class: key.1,
@@ -354,13 +383,14 @@
     }
 }
 
-/// Observation is broken in `records`, which may come in any order; those of one moment count in the order given.
+/// Returns the violations in `records`, which may be in any order; records with equal times count in the
+/// order given.
 pub fn check(records: &[Record]) -> Vec<Violation> {
     let mut order: Vec<&Record> = records.iter().collect();
     order.sort_by_key(|r| r.at);
     let mut checker = Checker::default();
-    for r in order {
-        checker.record(r);
+    for record in order {
+        checker.check_record(record);
     }
     checker.violations
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,21 +1,23 @@
-//! Quotas a tenant over all nodes: leases that the log grants, spent without a message.
+//! Tenant quotas over all nodes: token shares leased from a replicated log and spent without any message.
 //!
-//! The log's state divides every pool of tokens (a tenant's common part, each part kept for a class) into **parts of a
-//! million**, one number a node; a node's bucket has that part of the rate and of the burst under the policy the node
-//! has now. The parts never add up to more than the whole, a part begins with an empty bucket, and a bucket is only ever
-//! filled by time: so all nodes together stay within rate x time + burst in every window. RefusalReason, and what was ruled out:
+//! The replicated state divides every token pool (a tenant's common pool, or a pool reserved for one class)
+//! into **shares in parts per million**, one per node. A node's token bucket gets that fraction of the rate
+//! and of the burst of the policy in effect at the node. The shares of a pool never sum to more than the
+//! whole, a new share starts with an empty bucket, and only time fills a bucket. All nodes together therefore
+//! stay within rate x time + burst in every window. The reasons and the rejected alternatives are in
 //! `docs/design/quota.md`.
 //!
-//! Central types: [`Quota`] (one node's room: [`Quota::spend`] is the one call on a request's path), [`Policy`] (what
-//! the operators want), [`check`] (what must hold, over all nodes' records).
+//! Main types: [`Quota`] (the state machine of one node; [`Quota::spend`] is its only call on the request
+//! path), [`Policy`] (the quotas that operators configure) and [`check`] (the properties that must hold over
+//! the records of all nodes).
 
 mod bucket;
 pub mod check;
 mod division;
-mod entry;
+mod node;
 mod policy;
-mod quota;
-mod repeat;
+mod proposal;
+mod recent_keys;
 pub mod sim;
 mod state;
 mod window;
@@ -24,8 +26,8 @@
 mod properties;
 
 pub use division::{Share, BURST_RESERVE_PPM, RATE_RESERVE_PPM, WHOLE_PPM};
-pub use entry::{DailyCountReport, PoolReport, ProposalBody, Report};
+pub use node::{LeaseSettings, Quota, RefusalReason};
+pub use node::{SpendDecision, SpendResult};
 pub use policy::{ClassQuota, Policy, PolicyError, TenantQuota, CLASSES_MAX, TENANTS_MAX, TOKENS_MAX};
-pub use quota::{LeaseSettings, Quota, RefusalReason};
-pub use quota::{SpendDecision, SpendResult};
+pub use proposal::{DailyCountReport, PoolReport, ProposalBody, Report};
 pub use state::State;
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -1,70 +1,72 @@
-//! What the operators want: tenants' quotas, checked.
+//! Tenant quotas as operators configure them, and their validation.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Tenants with a quota at most: with four pools each that is what one node walks through a few times a second.
+/// Maximum number of tenants with a quota. With four pools each, a node walks through all of them a few times
+/// per second.
 pub const TENANTS_MAX: usize = 1024;
-/// Classes at most that a tenant's quota names, in any of its lists: they are searched one by one on a request's path.
+/// Maximum number of classes in any list of a tenant's quota. The lists are searched linearly on the request
+/// path.
 pub const CLASSES_MAX: usize = 16;
-/// The largest rate or burst, in tokens: a bucket counts in billionths of a token in 64 bits.
+/// The largest rate or burst in tokens: a bucket counts billionths of a token in 64 bits.
 pub const TOKENS_MAX: u64 = 1_000_000_000;
 
-/// A part of a tenant's quota that only one class can use.
+/// The part of a tenant's quota that is reserved for one class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassQuota {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Of the tenant's rate, in thousandths of a token a second.
+    /// The part of the tenant's rate, in thousandths of a token per second.
     pub rate_milli: u64,
-    /// Of the tenant's burst, in tokens.
+    /// The part of the tenant's burst, in tokens.
     pub burst: u64,
 }
 
-/// One tenant's quota over the whole fleet.
+/// The quota of one tenant over the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantQuota {
-    /// Whose.
+    /// Name of the tenant.
     pub name: String,
-    /// Thousandths of a token a second.
+    /// Rate in thousandths of a token per second.
     pub rate_milli: u64,
-    /// Tokens that may be spent at once.
+    /// Burst in tokens.
     pub burst: u64,
-    /// What a request of a class costs, in tokens; of any other class one.
+    /// Cost in tokens of a request, by class; 1 for any class not listed.
     pub costs: Vec<(String, u64)>,
-    /// Parts kept for classes: taken from the rate and burst above, not added to them.
+    /// Parts reserved for classes. They are taken out of the rate and burst above, not added to them.
     pub kept: Vec<ClassQuota>,
-    /// Requests of a class a day.
+    /// Daily limit of requests, by class.
     pub per_day: Vec<(String, u64)>,
 }
 
-/// All tenants' quotas, under a version of the fleet's policy.
+/// The quotas of all tenants, as of one version of the fleet's policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Policy {
-    /// The policy's version.
+    /// Version of the policy.
     pub version: u64,
-    /// Who has a quota; everybody else is not limited.
+    /// The tenants with a quota; all others are unlimited.
     pub tenants: Vec<TenantQuota>,
 }
 
-/// Why a policy was refused.
+/// Reason why a policy is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PolicyError {
-    /// More than [`TENANTS_MAX`].
+    /// There are more than [`TENANTS_MAX`] tenants.
     TooManyTenants(usize),
-    /// A tenant's list names more than [`CLASSES_MAX`] classes.
+    /// A list of the tenant names more than [`CLASSES_MAX`] classes.
     TooManyClasses(String),
-    /// A tenant, or a class in one of its lists, stands there twice.
+    /// A tenant, or a class in one of a tenant's lists, occurs twice.
     Duplicate(String),
-    /// A rate, burst, cost or count that is zero or above [`TOKENS_MAX`].
+    /// A rate, burst, cost or count is zero or above [`TOKENS_MAX`].
     OutOfRange(String),
-    /// The kept parts leave the common part without rate or burst.
+    /// The class quotas leave the common pool without rate or burst.
     NothingLeftForCommonPool(String),
-    /// A class costs more than the burst that it may draw on: it could never be admitted.
+    /// A class costs more than the burst of the pool it may use, so it could never be admitted.
     CostAboveBurst(String, String),
-    /// Two pools have the same number; one of the names has to change.
+    /// Two pools have the same id; one of the names has to change.
     PoolIdCollision(String),
 }
 
@@ -75,21 +77,21 @@
                 write!(f, "{n} tenants with a quota, at most {TENANTS_MAX} are allowed")
             }
             Self::TooManyClasses(t) => write!(f, "tenant {t}: a list names more than {CLASSES_MAX} classes"),
-            Self::Duplicate(t) => write!(f, "{t} stands there twice"),
+            Self::Duplicate(t) => write!(f, "{t} is listed twice"),
             Self::OutOfRange(t) => {
                 write!(
                     f,
-                    "tenant {t}: rates, bursts, costs and counts are above 0 and at most {TOKENS_MAX} tokens"
+                    "tenant {t}: rates, bursts, costs and counts must be above 0 and at most {TOKENS_MAX} tokens"
                 )
             }
             Self::NothingLeftForCommonPool(t) => {
-                write!(f, "tenant {t}: the kept parts leave nothing for the other classes")
+                write!(f, "tenant {t}: the quotas kept for classes leave nothing for the other classes")
             }
             Self::CostAboveBurst(t, c) => {
-                write!(f, "tenant {t}: a {c} costs more than the burst it may draw on")
+                write!(f, "tenant {t}: a request of class {c} costs more than the burst it can use")
             }
             Self::PoolIdCollision(t) => {
-                write!(f, "tenant {t}: a pool's number is taken by another's; change the name")
+                write!(f, "tenant {t}: the id of a pool is already taken by another pool; change the name")
             }
         }
     }
@@ -97,59 +99,60 @@
 
 impl std::error::Error for PolicyError {}
 
-/// A pool's number: what the log calls it. Two pools with one number would share one division, which wastes but is never
-/// over; a policy with such is refused all the same.
-pub(crate) fn number(tenant: &str, class: &str, kind: &str) -> u32 {
-    let mut h = crc32fast::Hasher::new();
+/// Id of a pool or daily count in the log. Two pools with the same id would share one division: that wastes
+/// tokens but never exceeds a limit. A policy with such pools is rejected nevertheless.
+pub(crate) fn pool_id(tenant: &str, class: &str, kind: &str) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
     for part in [tenant, class, kind] {
-        h.update(part.as_bytes());
-        h.update(&[0]);
+        hasher.update(part.as_bytes());
+        hasher.update(&[0]);
     }
-    h.finalize()
+    hasher.finalize()
 }
 
-/// One pool as a node uses it.
+/// A pool as a node uses it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Pool {
+pub(crate) struct CompiledPool {
     pub id: u32,
     pub rate_milli: u64,
     pub burst: u64,
-    /// The dearest request that may draw on it, in tokens: a smaller cap serves nobody.
-    pub dearest: u64,
+    /// Cost in tokens of the most expensive request that may use the pool. A bucket with a smaller cap serves
+    /// no such request.
+    pub max_cost: u64,
 }
 
-/// What one class of one tenant draws on.
+/// The pools and the count that a class of a tenant uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Class {
+pub(crate) struct CompiledClass {
     pub name: String,
     pub cost: u64,
-    /// Place of its kept pool.
-    pub kept: Option<usize>,
-    /// Place of its day's count.
-    pub day: Option<usize>,
+    /// Index of the pool reserved for the class.
+    pub class_pool: Option<usize>,
+    /// Index of its daily count.
+    pub daily_count: Option<usize>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Rules {
-    /// Place of the common pool.
-    pub common: usize,
-    pub classes: Vec<Class>,
-    /// Places of the tenant's day counts.
-    pub days: Vec<usize>,
+pub(crate) struct CompiledTenant {
+    /// Index of the common pool.
+    pub common_pool: usize,
+    pub classes: Vec<CompiledClass>,
+    /// Indices of the tenant's daily counts.
+    pub daily_counts: Vec<usize>,
 }
 
-/// A policy made ready for requests.
+/// A validated policy, prepared for lookups on the request path.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Compiled {
+pub(crate) struct CompiledPolicy {
     pub version: u64,
-    pub tenants: Vec<Rules>,
+    pub tenants: Vec<CompiledTenant>,
     pub by_name: HashMap<String, usize>,
-    pub pools: Vec<Pool>,
-    /// (number, limit) of each day's count.
-    pub days: Vec<(u32, u64)>,
+    pub pools: Vec<CompiledPool>,
+    /// (id, limit) of each daily count.
+    pub daily_limits: Vec<(u32, u64)>,
 }
 
-fn once<'a>(tenant: &str, names: impl Iterator<Item = &'a String>) -> Result<(), PolicyError> {
+fn check_unique<'a>(tenant: &str, names: impl Iterator<Item = &'a String>) -> Result<(), PolicyError> {
     let mut seen = std::collections::BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
@@ -165,16 +168,16 @@
 impl TenantQuota {
     fn check(&self) -> Result<(), PolicyError> {
         let t = || self.name.clone();
-        once(&self.name, self.costs.iter().map(|c| &c.0))?;
-        once(&self.name, self.kept.iter().map(|k| &k.class))?;
-        once(&self.name, self.per_day.iter().map(|d| &d.0))?;
+        check_unique(&self.name, self.costs.iter().map(|c| &c.0))?;
+        check_unique(&self.name, self.kept.iter().map(|k| &k.class))?;
+        check_unique(&self.name, self.per_day.iter().map(|d| &d.0))?;
         let counts = self.costs.iter().chain(&self.per_day).map(|c| c.1);
         let kept = self.kept.iter().flat_map(|k| [k.burst, k.rate_milli.div_ceil(1000)]);
         let all = counts.chain(kept).chain([self.burst, self.rate_milli.div_ceil(1000)]);
         if all.into_iter().any(|n| n == 0 || n > TOKENS_MAX) {
             return Err(PolicyError::OutOfRange(t()));
         }
-        let (rate, burst) = self.common();
+        let (rate, burst) = self.common_limits();
         if rate == 0 || burst == 0 {
             return Err(PolicyError::NothingLeftForCommonPool(t()));
         }
@@ -186,21 +189,21 @@
         Ok(())
     }
 
-    /// Rate and burst of the common part.
-    fn common(&self) -> (u64, u64) {
+    /// Rate and burst of the common pool.
+    fn common_limits(&self) -> (u64, u64) {
         self.kept.iter().fold((self.rate_milli, self.burst), |(r, b), k| {
             (r.saturating_sub(k.rate_milli), b.saturating_sub(k.burst))
         })
     }
 
-    /// What a request of `class` costs, in tokens.
+    /// Returns the cost in tokens of a request of `class`.
     pub fn cost(&self, class: &str) -> u64 {
         self.costs.iter().find(|c| c.0 == class).map_or(1, |c| c.1)
     }
 }
 
 impl Policy {
-    /// Whether it can be used.
+    /// Validates the policy.
     ///
     /// # Errors
     /// See [`PolicyError`].
@@ -208,50 +211,64 @@
         self.compile().map(|_| ())
     }
 
-    pub(crate) fn compile(&self) -> Result<Compiled, PolicyError> {
+    pub(crate) fn compile(&self) -> Result<CompiledPolicy, PolicyError> {
         if self.tenants.len() > TENANTS_MAX {
             return Err(PolicyError::TooManyTenants(self.tenants.len()));
         }
-        let mut c = Compiled { version: self.version, ..Compiled::default() };
-        let mut numbers = BTreeMap::new();
+        let mut compiled = CompiledPolicy { version: self.version, ..CompiledPolicy::default() };
+        let mut pool_ids = BTreeMap::new();
         for t in &self.tenants {
             t.check()?;
-            let mut number = |class: &str, kind: &str| {
-                let id = number(&t.name, class, kind);
-                let taken = numbers.insert(id, ()).is_some();
+            let mut new_pool_id = |class: &str, kind: &str| {
+                let id = pool_id(&t.name, class, kind);
+                let taken = pool_ids.insert(id, ()).is_some();
                 if taken {
                     Err(PolicyError::PoolIdCollision(t.name.clone()))
                 } else {
                     Ok(id)
                 }
             };
-            if c.by_name.insert(t.name.clone(), c.tenants.len()).is_some() {
+            if compiled.by_name.insert(t.name.clone(), compiled.tenants.len()).is_some() {
                 return Err(PolicyError::Duplicate(format!("tenant {}", t.name)));
             }
-            let (rate_milli, burst) = t.common();
-            let common = c.pools.len();
-            let dearest = t.costs.iter().map(|x| x.1).max().unwrap_or(1).max(1);
-            c.pools.push(Pool { id: number("", "common")?, rate_milli, burst, dearest });
-            let mut classes: BTreeMap<&str, Class> = BTreeMap::new();
-            let fresh =
-                |name: &str| Class { name: name.to_owned(), cost: t.cost(name), kept: None, day: None };
+            let (rate_milli, burst) = t.common_limits();
+            let common_pool = compiled.pools.len();
+            let max_cost = t.costs.iter().map(|x| x.1).max().unwrap_or(1).max(1);
+            compiled.pools.push(CompiledPool { id: new_pool_id("", "common")?, rate_milli, burst, max_cost });
+            let mut classes: BTreeMap<&str, CompiledClass> = BTreeMap::new();
+            let new_class = |name: &str| CompiledClass {
+                name: name.to_owned(),
+                cost: t.cost(name),
+                class_pool: None,
+                daily_count: None,
+            };
             for (name, _) in &t.costs {
-                classes.insert(name, fresh(name));
+                classes.insert(name, new_class(name));
             }
             for k in &t.kept {
-                let class = classes.entry(&k.class).or_insert_with(|| fresh(&k.class));
-                class.kept = Some(c.pools.len());
-                let (rate_milli, burst, dearest) = (k.rate_milli, k.burst, class.cost);
-                c.pools.push(Pool { id: number(&k.class, "kept")?, rate_milli, burst, dearest });
+                let class = classes.entry(&k.class).or_insert_with(|| new_class(&k.class));
+                class.class_pool = Some(compiled.pools.len());
+                let (rate_milli, burst, max_cost) = (k.rate_milli, k.burst, class.cost);
+                compiled.pools.push(CompiledPool {
+                    id: new_pool_id(&k.class, "kept")?,
+                    rate_milli,
+                    burst,
+                    max_cost,
+                });
             }
-            let mut days = Vec::new();
+            let mut daily_counts = Vec::new();
             for (name, limit) in &t.per_day {
-                classes.entry(name).or_insert_with(|| fresh(name)).day = Some(c.days.len());
-                days.push(c.days.len());
-                c.days.push((number(name, "day")?, *limit));
+                classes.entry(name).or_insert_with(|| new_class(name)).daily_count =
+                    Some(compiled.daily_limits.len());
+                daily_counts.push(compiled.daily_limits.len());
+                compiled.daily_limits.push((new_pool_id(name, "day")?, *limit));
             }
-            c.tenants.push(Rules { common, classes: classes.into_values().collect(), days });
+            compiled.tenants.push(CompiledTenant {
+                common_pool,
+                classes: classes.into_values().collect(),
+                daily_counts,
+            });
         }
-        Ok(c)
+        Ok(compiled)
     }
 }
--- a/crates/quota/src/entry.rs
+++ b/crates/quota/src/proposal.rs
@@ -1,58 +1,60 @@
-//! What this room's proposals say.
+//! The proposals that the quota subsystem sends to the log.
 
 use serde::{Deserialize, Serialize};
 
-/// Pools that one report tells of, at most; what does not fit goes with the next. At 16 bytes each it fits a proposal.
+/// Maximum number of pools in one report; the rest go into the next. At 16 bytes each a report fits a
+/// proposal.
 pub const ITEMS_MAX: usize = 1024;
-/// Day counts that one report tells of, at most.
+/// Maximum number of daily counts in one report.
 pub const DAYS_MAX: usize = 512;
-/// Leases that one proposal ends, at most.
+/// Maximum number of leases that one proposal ends.
 pub const ENDS_MAX: usize = 256;
 
-/// One pool in a report.
+/// A pool in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolReport {
-    /// The pool's number.
+    /// The pool's id.
     pub pool: u32,
-    /// Demand, in parts of a million of the pool's rate.
+    /// Demand in parts per million of the pool's rate.
     pub demand: u32,
-    /// The smallest part that serves anybody.
+    /// The smallest share that serves any request, in parts per million.
     pub min_share: u32,
-    /// The sender spends under at most this part since it asked, and until it sees this decided or displaced.
+    /// The sender uses at most this share from its proposal on, until it sees this report decided or
+    /// superseded.
     pub share_limit: u32,
 }
 
-/// One day's count in a report.
+/// A daily count in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DailyCountReport {
-    /// The count's number.
+    /// The count's id.
     pub pool: u32,
     /// Days since 1970, as the sender knows them.
     pub day: u32,
-    /// How many more it wants.
+    /// Number of further tokens requested.
     pub requested: u32,
-    /// How many it gives back: taken out of its own hands before it proposed this.
+    /// Number of tokens returned. The sender removed them from its own before it proposed the report.
     pub returned: u32,
-    /// The day's limit under the sender's policy.
+    /// The daily limit under the sender's policy.
     pub limit: u64,
 }
 
-/// A node's report: renews its lease, tells its demand, gives back.
+/// A node's report: renews its leases, states its demand and returns shares.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The sender's number for it, growing within its session.
+    /// The sender's number for the report, increasing within its session.
     pub seq: u32,
-    /// The policy's version that the sender has.
+    /// The version of the sender's policy.
     pub policy_version: u64,
-    /// How long its parts by demand last from its asking, in milliseconds.
+    /// Term of its demand shares from the time of the proposal, in milliseconds.
     pub term_ms: u32,
-    /// How long what is set aside for it lasts, in milliseconds.
+    /// Term of its reserve share, in milliseconds.
     pub reserve_ms: u32,
-    /// It spends under at most this part of the reserve from now on.
+    /// The sender uses at most this part of the reserve from now on, in parts per million.
     pub reserve_limit: u32,
-    /// Pools that changed.
+    /// The pools that changed.
     pub items: Vec<PoolReport>,
-    /// Day counts.
+    /// The daily counts.
     pub days: Vec<DailyCountReport>,
 }
 
@@ -61,13 +63,14 @@
 pub enum ProposalBody {
     /// A node's report.
     Report(Report),
-    /// Leases that have ended for their holders: (holder's number, the grant's index, the reserve too).
+    /// Leases that have expired at their holders: (session id of the holder, log index of the grant, whether
+    /// the reserve lease ends too).
     EndLeases(Vec<(u32, u64, bool)>),
 }
 
 impl ProposalBody {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Plain values of bounded lists: postcard has nothing to refuse.
+        // Cannot fail: the values are plain data in bounded lists.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -1,4 +1,5 @@
-//! A fleet of quota rooms on the modelled log in virtual time, with demand, faults and records. For tests and measurements.
+//! A simulated fleet of quota nodes on the modelled log in virtual time, with demand, faults and records, for
+//! tests and measurements.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,65 +11,66 @@
 use rand_pcg::Pcg64;
 
 use crate::check::{Observation, Record};
-use crate::entry::ProposalBody;
+use crate::proposal::ProposalBody;
 use crate::{LeaseSettings, Policy, Quota, RefusalReason, SpendDecision, State};
 
-/// Observation one node is asked for.
+/// The demand at one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// Which node.
+    /// The node.
     pub node: usize,
-    /// Whose.
+    /// Tenant of the requests.
     pub tenant: String,
-    /// Of which class.
+    /// Class of the requests.
     pub class: String,
-    /// Requests a second, at random moments.
+    /// Requests per second, at random times.
     pub rate_per_s: f64,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Sim {
     /// The log and its nodes.
     pub model: Model<Quota>,
-    /// Observation is asked for from now on.
+    /// The demand from now on.
     pub demand: Vec<Demand>,
-    /// All that happened, by the true time.
+    /// All events, by the true time.
     pub records: Vec<Record>,
-    /// Whether refusals are recorded and hands weighed too; off where only speed is wanted.
+    /// Whether refusals are recorded and the held shares summed; off where only speed matters.
     pub record_refusals: bool,
-    /// The largest sums of parts seen after any entry.
+    /// The largest sums of shares (demand, reserve) in the log after any entry.
     pub max_share_sums: (u64, u64),
-    /// The largest sums that the running nodes had in their hands at any moment.
+    /// The largest sums of shares (demand, reserve) held by the running nodes at any time.
     pub max_held_sums: (u64, u64),
     settings: LeaseSettings,
     policy: Policy,
     sessions: Vec<u64>,
-    /// Nodes that were stopped when the policy changed: they learn it before they serve.
-    behind: BTreeSet<usize>,
-    /// Sessions whose parts the log has ended.
+    /// Nodes that were stopped when the policy changed; they receive it before they serve.
+    outdated: BTreeSet<usize>,
+    /// Sessions whose shares the log has ended.
     ended: BTreeSet<Peer>,
     log: State,
-    read: usize,
+    log_position: usize,
     rng: Pcg64,
-    plant: fn(&mut Quota),
+    inject: fn(&mut Quota),
 }
 
-fn make(
+fn new_quota(
     settings: LeaseSettings,
     policy: &Policy,
-    plant: fn(&mut Quota),
+    inject: fn(&mut Quota),
 ) -> impl FnOnce(Peer, Now) -> Quota + '_ {
     move |me, now| {
         let mut q = Quota::new(me, settings, now);
-        plant(&mut q);
-        // A policy that the caller has had checked.
-        q.set_policy(now, policy).unwrap_or_else(|e| panic!("a policy for a run: {e}"));
+        inject(&mut q);
+        // The caller passes valid policies only.
+        q.set_policy(now, policy).unwrap_or_else(|e| panic!("invalid policy: {e}"));
         q
     }
 }
 
 impl Sim {
-    /// `nodes` nodes under one policy, with clocks that differ as far as they may.
+    /// Creates a fleet of `nodes` nodes under one policy. Their clocks differ as far as the drift bound
+    /// allows.
     pub fn new(seed: u64, nodes: usize, policy: &Policy, settings: LeaseSettings) -> Self {
         Self::with_injected_fault(seed, nodes, policy, settings, |_| {})
     }
@@ -78,21 +80,21 @@
         nodes: usize,
         policy: &Policy,
         settings: LeaseSettings,
-        plant: fn(&mut Quota),
+        inject: fn(&mut Quota),
     ) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x9e37);
         let mut model = Model::new(seed, Faults::default(), 1_800_000_000_000);
-        let mut records = vec![at(Duration::ZERO, 0, 0, Observation::Policy(policy.clone()))];
+        let mut records = vec![record(Duration::ZERO, 0, 0, Observation::Policy(policy.clone()))];
         for i in 0..nodes {
             let clocks = Clocks {
                 boot_at_zero: Duration::from_secs(rng.random_range(1..100_000)),
                 rate: 1.0 + DRIFT * rng.random_range(-0.499..0.499),
                 wall_ahead_ms: rng.random_range(-600_000..600_000),
             };
-            // A name of digits and one letter.
+            // Cannot fail: one letter and digits are a valid name.
             let name = Name::new(&format!("n{i}")).unwrap_or_default();
-            model.add(name, clocks, make(settings, policy, plant));
-            records.push(at(Duration::ZERO, i, 1, Observation::Started));
+            model.add(name, clocks, new_quota(settings, policy, inject));
+            records.push(record(Duration::ZERO, i, 1, Observation::Started));
         }
         Self {
             model,
@@ -104,16 +106,16 @@
             settings,
             policy: policy.clone(),
             sessions: vec![1; nodes],
-            behind: BTreeSet::new(),
+            outdated: BTreeSet::new(),
             ended: BTreeSet::new(),
             log: State::default(),
-            read: 0,
+            log_position: 0,
             rng,
-            plant,
+            inject,
         }
     }
 
-    /// Demand of one class, evenly over some nodes, in place of all before.
+    /// Adds demand of one class, spread evenly over `nodes`.
     pub fn add_demand(&mut self, nodes: std::ops::Range<usize>, tenant: &str, class: &str, rate_per_s: f64) {
         let each = rate_per_s / nodes.len().max(1) as f64;
         self.demand.extend(nodes.map(|node| Demand {
@@ -124,20 +126,20 @@
         }));
     }
 
-    /// Runs for `d`.
+    /// Runs the fleet for `d`.
     pub fn run(&mut self, d: Duration) {
         let end = self.model.now() + d;
         while self.model.now() < end {
             self.model.run(Duration::from_millis(1), |_| {});
             self.read_log();
-            self.serve();
+            self.send_requests();
             if self.record_refusals {
-                self.weigh();
+                self.sum_held_shares();
             }
         }
     }
 
-    fn weigh(&mut self) {
+    fn sum_held_shares(&mut self) {
         let mut sums = (0, 0);
         for i in 0..self.model.len() {
             if let Some((q, now)) = self.model.machine(i) {
@@ -150,24 +152,24 @@
 
     fn read_log(&mut self) {
         let now = self.model.now();
-        while let Some(d) = self.model.log().get(self.read) {
-            let before = self.log.clone_if_end(d);
-            let changed = self.log.apply(now, d);
-            if let Some((peer, _)) = changed.report.filter(|(p, _)| self.ended.remove(p)) {
-                self.records.push(at(now, number(&peer), peer.session.0, Observation::Renewed));
+        while let Some(d) = self.model.log().get(self.log_position) {
+            let before = self.log.clone_if_leases_end(d);
+            let changes = self.log.apply(now, d);
+            if let Some((peer, _)) = changes.report.filter(|(p, _)| self.ended.remove(p)) {
+                self.records.push(record(now, node_number(&peer), peer.session.0, Observation::Renewed));
             }
             if let (Some(before), Some(ProposalBody::EndLeases(ends))) =
                 (before, ProposalBody::decode(&d.proposal.body))
             {
-                for (sid, _, all) in ends {
-                    let gone = all && self.log.peer(sid).is_none();
-                    let lost = before.holds(sid) && !self.log.holds(sid);
-                    if let Some(peer) = before.peer(sid).filter(|_| gone || lost) {
-                        self.records.push(at(
+                for (session_id, _, all) in ends {
+                    let removed = all && self.log.peer(session_id).is_none();
+                    let lost = before.has_claims(session_id) && !self.log.has_claims(session_id);
+                    if let Some(peer) = before.peer(session_id).filter(|_| removed || lost) {
+                        self.records.push(record(
                             now,
-                            number(peer),
+                            node_number(peer),
                             peer.session.0,
-                            Observation::Ended { all: gone },
+                            Observation::Ended { all: removed },
                         ));
                         self.ended.insert(peer.clone());
                     }
@@ -175,27 +177,27 @@
             }
             let sums = self.log.share_sums();
             self.max_share_sums = (self.max_share_sums.0.max(sums.0), self.max_share_sums.1.max(sums.1));
-            self.read += 1;
+            self.log_position += 1;
         }
     }
 
-    fn serve(&mut self) {
+    fn send_requests(&mut self) {
         let now = self.model.now();
         for i in 0..self.demand.len() {
             let Demand { node, rate_per_s, .. } = self.demand[i];
-            let mut due = rate_per_s / 1000.0;
-            while due > 0.0 {
-                if self.rng.random_bool(due.min(1.0)) {
-                    self.one(now, node, i);
+            let mut expected = rate_per_s / 1000.0;
+            while expected > 0.0 {
+                if self.rng.random_bool(expected.min(1.0)) {
+                    self.send_request(now, node, i);
                 }
-                due -= 1.0;
+                expected -= 1.0;
             }
         }
     }
 
-    fn one(&mut self, now: Duration, node: usize, demand: usize) {
+    fn send_request(&mut self, now: Duration, node: usize, demand: usize) {
         let Some((q, local)) = self.model.machine(node) else { return };
-        if self.behind.remove(&node) {
+        if self.outdated.remove(&node) {
             let _ = q.set_policy(local, &self.policy);
         }
         let Demand { tenant, class, .. } = self.demand[demand].clone();
@@ -213,53 +215,53 @@
             }
             _ => return,
         };
-        self.records.push(at(now, node, self.sessions[node], what));
+        self.records.push(record(now, node, self.sessions[node], what));
     }
 
-    /// A policy takes hold everywhere at this moment; who does not run learns it before it serves.
+    /// Applies a policy at all running nodes now; stopped nodes receive it before they serve.
     pub fn set_policy(&mut self, policy: &Policy) {
         self.policy = policy.clone();
-        self.records.push(at(self.model.now(), 0, 0, Observation::Policy(policy.clone())));
+        self.records.push(record(self.model.now(), 0, 0, Observation::Policy(policy.clone())));
         for i in 0..self.model.len() {
             match self.model.machine(i) {
                 Some((q, now)) => {
                     let _ = q.set_policy(now, policy);
                 }
                 None => {
-                    self.behind.insert(i);
+                    self.outdated.insert(i);
                 }
             }
         }
     }
 
-    /// Node `i` is killed.
+    /// Kills node `i`.
     pub fn kill(&mut self, i: usize) {
         self.model.kill(i);
     }
 
-    /// Node `i` starts again, with an empty hand.
+    /// Starts node `i` again, without any share.
     pub fn start(&mut self, i: usize) {
         self.sessions[i] += 1;
-        self.behind.remove(&i);
-        self.model.start(i, make(self.settings, &self.policy, self.plant));
-        self.records.push(at(self.model.now(), i, self.sessions[i], Observation::Started));
+        self.outdated.remove(&i);
+        self.model.start(i, new_quota(self.settings, &self.policy, self.inject));
+        self.records.push(record(self.model.now(), i, self.sessions[i], Observation::Started));
     }
 
-    /// Observation was admitted from `from` on, in tokens.
+    /// Returns the tokens admitted from `from` on.
     pub fn admitted_tokens(&self, from: Duration) -> u64 {
         let cost = |r: &Record| if let Observation::Admitted { cost, .. } = r.what { cost } else { 0 };
         self.records.iter().filter(|r| r.at >= from).map(cost).sum()
     }
 
-    /// Records what the log says of a day's count.
+    /// Records a daily count as the log has it.
     pub fn record_daily_count(&mut self, tenant: &str, class: &str) {
         let day = self.log.log_clock().0;
-        let count = self.log.granted(crate::policy::number(tenant, class, "day"));
+        let count = self.log.granted_today(crate::policy::pool_id(tenant, class, "day"));
         let (tenant, class) = (tenant.to_owned(), class.to_owned());
-        self.records.push(at(self.model.now(), 0, 0, Observation::Counted { tenant, class, day, count }));
+        self.records.push(record(self.model.now(), 0, 0, Observation::Counted { tenant, class, day, count }));
     }
 
-    /// One random fault, or the end of one.
+    /// Injects or ends one random fault.
     pub fn inject_random_fault(&mut self) {
         let n = self.model.len();
         let i = self.rng.random_range(0..n);
@@ -283,19 +285,19 @@
                 self.model.set_wall_ahead(i, ahead);
             }
             _ => {
-                let lost = self.rng.random_range(0.0..0.4);
-                let slow = Duration::from_millis(self.rng.random_range(1..1500));
+                let loss = self.rng.random_range(0.0..0.4);
+                let max_delay = Duration::from_millis(self.rng.random_range(1..1500));
                 self.model.set_faults(Faults {
-                    loss: lost,
+                    loss,
                     duplicate: 0.3,
-                    max_decide_delay: slow,
-                    max_learn_delay: slow,
+                    max_decide_delay: max_delay,
+                    max_learn_delay: max_delay,
                 });
             }
         }
     }
 
-    /// All faults end: everybody runs, the first node leads.
+    /// Ends all faults: every node runs, and the first one leads.
     pub fn end_all_faults(&mut self) {
         for i in 0..self.model.len() {
             self.model.set_isolated(i, false);
@@ -311,17 +313,17 @@
 }
 
 impl State {
-    fn clone_if_end(&self, d: &magpietally_consensus::DecidedEntry) -> Option<State> {
+    fn clone_if_leases_end(&self, d: &magpietally_consensus::DecidedEntry) -> Option<State> {
         matches!(ProposalBody::decode(&d.proposal.body), Some(ProposalBody::EndLeases(_)))
             .then(|| self.clone())
     }
 }
 
-/// A node's number, from the name that it was given here.
-fn number(peer: &Peer) -> usize {
+/// A node's number, taken from its simulated name.
+fn node_number(peer: &Peer) -> usize {
     peer.name.as_str().get(1..).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn at(at: Duration, node: usize, session: u64, what: Observation) -> Record {
+fn record(at: Duration, node: usize, session: u64, what: Observation) -> Record {
     Record { at, node: node as u32, session: Session(session).0, what }
 }
