--- a/crates/quota/examples/measure.rs
+++ b/crates/quota/examples/measure.rs
@@ -1,7 +1,8 @@
-//! Observation a quota costs and how much of it is used: `cargo run --release -p magpietally-quota --example measure`.
+//! Measures the cost and the utilization of quotas: `cargo run --release -p magpietally-quota --example
+//! measure`.
 //!
-//! Sizes as arguments; without any 10, 100 and 500. One table: use and bytes in virtual time, nanoseconds by this
-//! machine's clock.
+//! Takes fleet sizes as arguments; the default is 10, 100 and 500. The first table shows utilization and
+//! bytes in virtual time, the second nanoseconds by this machine's clock.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -13,17 +14,17 @@
 
 const S: Duration = Duration::from_secs(1);
 const TENANTS: usize = 16;
-/// Tokens a second and a tenant, each node; demand is three times the quota.
+/// Quota of each tenant in tokens per second, per node of the fleet.
 const PER_NODE: u64 = 20;
 
-fn name(t: usize) -> String {
+fn tenant_name(t: usize) -> String {
     format!("club-{t}")
 }
 
 fn policy(tenants: usize, nodes: usize, share: u64) -> Policy {
     let rate = PER_NODE * nodes as u64;
     let tenant = |t| TenantQuota {
-        name: name(t),
+        name: tenant_name(t),
         rate_milli: rate * 1000 / share,
         burst: (2 * rate / share).max(1),
         ..TenantQuota::default()
@@ -31,55 +32,56 @@
     Policy { version: 1, tenants: (0..tenants).map(tenant).collect() }
 }
 
-/// Demand three times the quota: every tenant's falls on a third of the nodes (hot there), all of it.
-fn demand(sim: &mut Sim, nodes: usize, tenants: usize, spread: bool) {
+/// Adds three times the quota as demand. It is spread over all nodes, or each tenant's demand falls on a
+/// third of them.
+fn set_demand(sim: &mut Sim, nodes: usize, tenants: usize, spread: bool) {
     sim.demand.clear();
     let rate = 3.0 * (PER_NODE * nodes as u64) as f64;
     for t in 0..tenants {
         if spread {
-            sim.add_demand(0..nodes, &name(t), "lookup", rate);
+            sim.add_demand(0..nodes, &tenant_name(t), "lookup", rate);
         } else {
             let third = (nodes / 3).max(1);
             let from = (t * third) % nodes;
-            sim.add_demand(from..(from + third).min(nodes), &name(t), "lookup", rate);
+            sim.add_demand(from..(from + third).min(nodes), &tenant_name(t), "lookup", rate);
         }
     }
 }
 
-/// One bucket a node and no log: what an equal split (`share` = nodes) or each node alone (1) admits, as a share of
-/// the quota. By count: each node is asked for `asked` a second and has `has`.
-fn unshared(nodes: usize, spread: bool, share: f64) -> f64 {
+/// The part of the quota that is admitted with one bucket per node and no log: with an equal split (`share` =
+/// number of nodes) or with the whole quota at each node (1). Computed, not simulated.
+fn unshared_utilization(nodes: usize, spread: bool, share: f64) -> f64 {
     let quota = (PER_NODE * nodes as u64) as f64;
     let busy = if spread { nodes } else { (nodes / 3).max(1) } as f64;
     busy * (3.0 * quota / busy).min(quota / share) / quota
 }
 
-struct Fleet {
-    used: f64,
-    moved: f64,
-    sent: f64,
-    learnt: f64,
-    entries: f64,
-    over: usize,
+struct FleetResult {
+    utilization: f64,
+    utilization_after_move: f64,
+    proposed_bytes: f64,
+    learned_bytes: f64,
+    entries_per_s: f64,
+    windows_exceeded: usize,
 }
 
-fn fleet(nodes: usize, tenants: usize, spread: bool) -> Fleet {
+fn measure_fleet(nodes: usize, tenants: usize, spread: bool) -> FleetResult {
     let mut sim = Sim::new(1, nodes, &policy(tenants, nodes, 1), LeaseSettings::default());
     sim.record_refusals = false;
-    demand(&mut sim, nodes, tenants, spread);
+    set_demand(&mut sim, nodes, tenants, spread);
     sim.run(8 * S);
     let (from, first) = (sim.model.now(), sim.model.log().len());
     let secs = 10;
     sim.run(secs * S);
     let quota = (PER_NODE * nodes as u64 * tenants as u64) as f64;
-    let used = sim.admitted_tokens(from) as f64 / quota / f64::from(secs);
+    let utilization = sim.admitted_tokens(from) as f64 / quota / f64::from(secs);
     let log = &sim.model.log()[first..];
     let size = |p: &Proposal| postcard::to_stdvec(p).map_or(0, |b| b.len());
-    let sent: usize = log.iter().map(|d| size(&d.proposal)).sum();
-    let learnt: usize = log.iter().map(|d| postcard::to_stdvec(d).map_or(0, |b| b.len())).sum();
+    let proposed_bytes: usize = log.iter().map(|d| size(&d.proposal)).sum();
+    let learned_bytes: usize = log.iter().map(|d| postcard::to_stdvec(d).map_or(0, |b| b.len())).sum();
     assert!(log.iter().all(|d| d.proposal.topic == Topic::Quota));
-    let entries = log.len() as f64 / f64::from(secs);
-    // All demand moves by one node along.
+    let entries_per_s = log.len() as f64 / f64::from(secs);
+    // All demand moves to other nodes, half the fleet away.
     if !spread {
         for d in &mut sim.demand {
             d.node = (d.node + nodes / 2) % nodes;
@@ -88,15 +90,24 @@
     sim.run(2 * S);
     let from = sim.model.now();
     sim.run(2 * S);
-    let moved = sim.admitted_tokens(from) as f64 / quota / 2.0;
-    let over = check(&sim.records).iter().filter(|f| matches!(f, Violation::WindowExceeded { .. })).count();
+    let utilization_after_move = sim.admitted_tokens(from) as f64 / quota / 2.0;
+    let windows_exceeded =
+        check(&sim.records).iter().filter(|f| matches!(f, Violation::WindowExceeded { .. })).count();
     assert!(sim.records.iter().any(|r| matches!(r.what, Observation::Admitted { .. })));
     let each = f64::from(secs) * nodes as f64;
-    Fleet { used, moved, sent: sent as f64 / each, learnt: learnt as f64 / f64::from(secs), entries, over }
+    FleetResult {
+        utilization,
+        utilization_after_move,
+        proposed_bytes: proposed_bytes as f64 / each,
+        learned_bytes: learned_bytes as f64 / f64::from(secs),
+        entries_per_s,
+        windows_exceeded,
+    }
 }
 
-/// Nanoseconds a decision: one of `tenants` tenants after the other, half admitted or so.
-fn nanos(tenants: usize, key: bool) -> (f64, f64) {
+/// Nanoseconds per decision, and the fraction of requests admitted. Requests go to `tenants` tenants in turn;
+/// about half are admitted.
+fn decision_nanos(tenants: usize, key: bool) -> (f64, f64) {
     let mut sim = Sim::new(
         1,
         1,
@@ -105,20 +116,20 @@
     );
     sim.record_refusals = false;
     for t in 0..tenants {
-        sim.add_demand(0..1, &name(t), "lookup", 2.0);
+        sim.add_demand(0..1, &tenant_name(t), "lookup", 2.0);
     }
     sim.run(3 * S);
-    let names: Vec<String> = (0..tenants).map(name).collect();
+    let names: Vec<String> = (0..tenants).map(tenant_name).collect();
     let Some((q, now)) = sim.model.machine(0) else { return (0.0, 0.0) };
     let (rounds, mut admitted, mut at) = (2_000_000u64, 0u64, now.boot);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for n in 0..rounds {
         at += Duration::from_nanos(2_500_000 / tenants as u64);
         let tenant = &names[n as usize % tenants];
         let spent = q.spend(black_box(at), black_box(tenant), "lookup", key.then_some(n));
         admitted += u64::from(spent.decision == SpendDecision::Admitted);
     }
-    (begun.elapsed().as_nanos() as f64 / rounds as f64, admitted as f64 / rounds as f64)
+    (started_at.elapsed().as_nanos() as f64 / rounds as f64, admitted as f64 / rounds as f64)
 }
 
 fn main() {
@@ -127,27 +138,28 @@
     println!("| nodes | demand | used | used 2 s after a move | times over | equal split | each node alone | entries a second | bytes a node proposes a second | bytes a node learns a second |");
     println!("| ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for nodes in sizes {
-        // At 500 every entry is applied by every node in turn: fewer tenants keep a run within minutes.
+        // With 500 nodes, every node applies every entry; fewer tenants keep a run within minutes.
         let tenants = if nodes > 100 { TENANTS / 4 } else { TENANTS };
         for spread in [true, false] {
-            let f = fleet(nodes, tenants, spread);
+            let f = measure_fleet(nodes, tenants, spread);
             let on = if spread { "on all nodes" } else { "on a third" };
-            let moved = if spread { "-".to_owned() } else { format!("{:.1}%", 100.0 * f.moved) };
+            let utilization_after_move =
+                if spread { "-".to_owned() } else { format!("{:.1}%", 100.0 * f.utilization_after_move) };
             println!(
-                "| {nodes} | {tenants} tenants, {on} | {:.1}% | {moved} | {} | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} |",
-                100.0 * f.used,
-                f.over,
-                100.0 * unshared(nodes, spread, nodes as f64),
-                100.0 * unshared(nodes, spread, 1.0),
-                f.entries,
-                f.sent,
-                f.learnt,
+                "| {nodes} | {tenants} tenants, {on} | {:.1}% | {utilization_after_move} | {} | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} |",
+                100.0 * f.utilization,
+                f.windows_exceeded,
+                100.0 * unshared_utilization(nodes, spread, nodes as f64),
+                100.0 * unshared_utilization(nodes, spread, 1.0),
+                f.entries_per_s,
+                f.proposed_bytes,
+                f.learned_bytes,
             );
         }
     }
     println!("\n| decision | nanoseconds | admitted |\n| --- | ---: | ---: |");
     for (tenants, key) in [(1, false), (1024, false), (1024, true)] {
-        let (ns, admitted) = nanos(tenants, key);
+        let (ns, admitted) = decision_nanos(tenants, key);
         let with = if key { ", each with a key" } else { "" };
         println!("| {tenants} tenants{with} | {ns:.0} | {:.0}% |", 100.0 * admitted);
     }
