--- a/crates/quota/src/sim.rs
+++ b/crates/quota/src/sim.rs
@@ -143,8 +143,8 @@
         let mut sums = (0, 0);
         for i in 0..self.model.len() {
             if let Some((q, now)) = self.model.machine(i) {
-                let (main, reserve) = q.held_shares(now.boot);
-                sums = (sums.0 + u64::from(main), sums.1 + u64::from(reserve));
+                let (by_demand, reserve) = q.held_shares(now.boot);
+                sums = (sums.0 + u64::from(by_demand), sums.1 + u64::from(reserve));
             }
         }
         self.max_held_sums = (self.max_held_sums.0.max(sums.0), self.max_held_sums.1.max(sums.1));
@@ -285,10 +285,10 @@
                 self.model.set_wall_ahead(i, ahead);
             }
             _ => {
-                let loss = self.rng.random_range(0.0..0.4);
+                let loss_rate = self.rng.random_range(0.0..0.4);
                 let max_delay = Duration::from_millis(self.rng.random_range(1..1500));
                 self.model.set_faults(Faults {
-                    loss,
+                    loss: loss_rate,
                     duplicate: 0.3,
                     max_decide_delay: max_delay,
                     max_learn_delay: max_delay,
