--- a/crates/policy_change/src/admission.rs
+++ b/crates/policy_change/src/admission.rs
@@ -1,4 +1,4 @@
-//! One request at the gate: under which version it is decided, or that it has to wait a moment, or that it is refused.
+//! Admission of requests: under which version a request is decided, or whether it is queued or rejected.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,58 +9,61 @@
 use crate::settings::InjectedFault;
 use crate::settings::WithoutLease;
 
-/// A node that was not asked anything for so long is taken as having been stopped: three of its own beats. A shorter stop
-/// is not told from a slow moment.
-pub(crate) const STALL: Duration = Duration::from_millis(150);
-/// What a refused client is asked to wait while a lease is missing: about the time a node needs to get one.
+/// A node that was not called for longer than this is treated as having been paused: three of its own tick
+/// intervals. A shorter pause can't be distinguished from ordinary delay.
+pub(crate) const PAUSE_MIN: Duration = Duration::from_millis(150);
+/// `Retry-After` of a rejection while the node holds no lease: about the time a node needs to get one.
 const RETRY_WITHOUT_LEASE: Duration = Duration::from_secs(2);
-/// What a refused client is asked to wait while a version closes: past the usual hold.
+/// `Retry-After` of a rejection while a version closes: longer than a request is usually queued.
 const RETRY_WHILE_CLOSING: Duration = Duration::from_secs(1);
 
-/// The version that one request is decided under, from its arrival to its end. The carrier keeps the parsed document of
-/// that version with it.
+/// The version that one request is decided under, from its arrival to its end. The caller keeps the parsed
+/// document of that version with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Epoch {
-    /// Which version.
+    /// The version.
     pub version: Version,
-    /// When it was given, by the node's boot clock.
+    /// When the request was admitted, on the node's boot clock.
     pub(crate) started_at: Duration,
 }
 
 impl Epoch {
-    /// The epoch that a request was given at `begun`, from a carrier that keeps its parts.
+    /// Restores the epoch of a request that was admitted at `started_at`, for a caller that stores the two
+    /// parts.
     pub fn from_parts(version: Version, started_at: Duration) -> Self {
         Self { version, started_at }
     }
 }
 
-/// A place among the held requests. To be handed back to [`PolicyChange::readmit`] or [`PolicyChange::abandon`].
+/// A slot in the queue of requests. It must be handed back to [`PolicyChange::readmit`] or
+/// [`PolicyChange::abandon`].
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a held request's place is freed by readmit() or abandon()"]
+#[must_use = "a queue slot is freed by readmit() or abandon()"]
 pub struct QueueSlot {
-    /// Until when the request is held at most, by the node's boot clock.
+    /// When the request must leave the queue, on the node's boot clock.
     pub expires_at: Duration,
 }
 
-/// Why a request is refused.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// This node holds no lease: it has just started, is cut off from the log, or was stopped.
+    /// This node holds no lease: it has just started, is cut off from the log, or was paused.
     NoLease,
-    /// Its own check refuses the active document (it joined after the others had accepted it).
+    /// The node's own check rejects the active document (it joined after the others had accepted it).
     InvalidDocument,
-    /// It is leaving.
+    /// The node is leaving.
     Leaving,
-    /// The version closes, and the request can't be held: too many are, or it has too little time, or was held too long.
+    /// The version closes, and the request can't be queued: the queue is full, the request has too little
+    /// time left, or it has been queued for too long.
     Closing,
 }
 
-/// A request that is not decided: 503 with `Retry-After`.
+/// Rejection of a request, answered with 503 and `Retry-After`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Why the request is rejected.
     pub reason: RejectionReason,
-    /// After how long the client may come again; the header takes it rounded up to whole seconds.
+    /// After how long the client may retry; the header carries it rounded up to whole seconds.
     pub retry_after: Duration,
 }
 
@@ -75,38 +78,39 @@
     }
 }
 
-/// What becomes of a request that arrives.
+/// Decision on a request that arrives.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is decided under this version.
+    /// The request is decided under this version.
     Admit(Epoch),
-    /// It is held: to be asked again when the room's [`PolicyChange::reopen_count`] changes, and at the ticket's end.
+    /// The request is queued: the caller calls [`PolicyChange::readmit`] when [`PolicyChange::reopen_count`]
+    /// changes or when the slot expires.
     Queue(QueueSlot),
-    /// It is refused.
+    /// The request is rejected.
     Reject(Rejection),
 }
 
-/// What the gate counted since the start.
+/// Counters of admission since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Requests that were held.
+    /// Requests that were queued.
     pub queued: u64,
-    /// Requests that were refused.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// How often a version closed at this node and opened again (or the next did).
+    /// Closings at this node that have ended, by reopening the version or by activating the next one.
     pub closings: u64,
-    /// The last closing's length.
+    /// Duration of the last closing.
     pub last_closing: Duration,
-    /// The longest closing's length.
+    /// Duration of the longest closing.
     pub longest_closing: Duration,
 }
 
 impl PolicyChange {
-    /// Whether this node may decide a **new** request at `now`, and under which version: one call, no I/O. `now` has to be
-    /// read at this very moment.
+    /// The version under which this node may decide a **new** request at `now`. Does no I/O. The caller has
+    /// to read the clock for `now` immediately before the call.
     ///
     /// # Errors
-    /// Why it may not; [`RejectionReason::Closing`] while a version closes.
+    /// Why the node may not decide; [`RejectionReason::Closing`] while a version closes.
     pub fn admissible_version(&self, now: Duration) -> Result<Version, RejectionReason> {
         if self.leaving {
             return Err(RejectionReason::Leaving);
@@ -127,37 +131,44 @@
         Ok(self.state.active)
     }
 
-    /// A request arrives with so much of its own time left.
-    pub fn admit(&mut self, now: Duration, left: Duration) -> Admission {
+    /// Decides on a request that arrives with `time_left` of its own deadline.
+    pub fn admit(&mut self, now: Duration, time_left: Duration) -> Admission {
         self.detect_pause(now);
-        self.admit_or_queue(now, None, left)
+        self.admit_or_queue(now, None, time_left)
     }
 
-    /// A held request asks again.
-    pub fn readmit(&mut self, now: Duration, ticket: QueueSlot) -> Admission {
+    /// Decides again on a queued request.
+    pub fn readmit(&mut self, now: Duration, slot: QueueSlot) -> Admission {
         self.detect_pause(now);
-        self.held_now = self.held_now.saturating_sub(1);
-        self.admit_or_queue(now, Some(ticket.expires_at), Duration::MAX)
+        self.queued_now = self.queued_now.saturating_sub(1);
+        self.admit_or_queue(now, Some(slot.expires_at), Duration::MAX)
     }
 
-    /// A held request went away.
-    pub fn abandon(&mut self, ticket: QueueSlot) {
-        let QueueSlot { expires_at: _ } = ticket;
-        self.held_now = self.held_now.saturating_sub(1);
+    /// Frees the slot of a queued request that was cancelled.
+    pub fn abandon(&mut self, slot: QueueSlot) {
+        let QueueSlot { expires_at: _ } = slot;
+        self.queued_now = self.queued_now.saturating_sub(1);
     }
 
-    fn admit_or_queue(&mut self, now: Duration, expires_at: Option<Duration>, left: Duration) -> Admission {
+    fn admit_or_queue(
+        &mut self,
+        now: Duration,
+        expires_at: Option<Duration>,
+        time_left: Duration,
+    ) -> Admission {
         let reason = match self.admissible_version(now) {
             Ok(version) => return Admission::Admit(Epoch { version, started_at: now }),
             Err(reason) => reason,
         };
         if reason == RejectionReason::Closing {
-            // Held from its own arrival on, but never past the closing's bound: a change that hangs parks nobody.
+            // Queued from its own arrival on, but never longer than `queue_timeout` after the closing began:
+            // a change that hangs keeps no request waiting.
             let latest = self.closed_at.unwrap_or(now) + self.settings.queue_timeout;
             let expires_at = expires_at.unwrap_or(latest).min(latest);
-            let fits = left >= expires_at.saturating_sub(now).saturating_add(self.settings.min_time_left);
-            if now < expires_at && fits && self.held_now < self.settings.queue_max {
-                self.held_now += 1;
+            let fits =
+                time_left >= expires_at.saturating_sub(now).saturating_add(self.settings.min_time_left);
+            if now < expires_at && fits && self.queued_now < self.settings.queue_max {
+                self.queued_now += 1;
                 self.metrics.queued += 1;
                 return Admission::Queue(QueueSlot { expires_at });
             }
@@ -170,26 +181,29 @@
         Admission::Reject(Rejection { reason, retry_after })
     }
 
-    /// Whether a request that was begun may be decided (again) under its version at `now`: the first choice of a server and
-    /// every retry ask at that very moment. It may, also when a newer version has taken hold since or the lease ran out
-    /// while the node ran (it finishes what it has); it may not when, since the request began, the node was stopped and its
-    /// version was over before, or the stop outlasted its lease or fell into a closing: the next may have taken hold
-    /// meanwhile.
+    /// Checks whether an admitted request may be decided (again) under its version at `now`. Called
+    /// immediately before the first choice of a server and before every retry.
+    ///
+    /// It may be decided even if a newer version has become active since, or if the lease expired while the
+    /// node was running: the node finishes the requests it has. It may not be decided if the node was paused
+    /// since the request was admitted and either the request's version is no longer the active one, or the
+    /// pause outlasted the lease or fell into a closing: the next version may have become active during the
+    /// pause.
     ///
     /// # Errors
-    /// The refusal to answer it with.
+    /// The rejection to answer the request with.
     pub fn check_epoch(&mut self, now: Duration, epoch: &Epoch) -> Result<(), Rejection> {
         self.detect_pause(now);
-        let old = epoch.started_at < self.last_stop && epoch.version != self.state.active;
-        if old || epoch.started_at < self.void_before {
+        let outdated = epoch.started_at < self.last_resumed && epoch.version != self.state.active;
+        if outdated || epoch.started_at < self.valid_from {
             self.metrics.rejected += 1;
             return Err(Rejection { reason: RejectionReason::NoLease, retry_after: RETRY_WITHOUT_LEASE });
         }
         Ok(())
     }
 
-    /// Whether `/ready` says 200: this node holds a lease on the active version, can take its document, and no closing has
-    /// outlasted the hold.
+    /// Returns whether `/ready` answers 200: this node holds a lease on the active version, its check accepts
+    /// the document, and no closing has lasted longer than `queue_timeout`.
     pub fn is_ready(&self, now: Duration) -> bool {
         match self.admissible_version(now) {
             Ok(_) => true,
@@ -200,44 +214,45 @@
         }
     }
 
-    /// Changes whenever held requests should ask again: a version opened.
+    /// A counter that changes whenever a version opens; queued requests should then be readmitted.
     pub fn reopen_count(&self) -> u64 {
         self.metrics.closings
     }
 
-    /// What the gate counted.
+    /// Counters of admission.
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// Requests held at this moment.
+    /// The number of requests queued now.
     pub fn queued(&self) -> usize {
-        self.held_now
+        self.queued_now
     }
 
     pub(crate) fn has_lease(&self, now: Duration) -> bool {
         #[cfg(any(test, feature = "planted"))]
-        if self.settings.injected(InjectedFault::ServesAfterLease) && self.held.is_some() {
+        if self.settings.injected(InjectedFault::ServesAfterLease) && self.held_lease.is_some() {
             return true;
         }
         let holds = match self.settings.without_lease {
-            WithoutLease::Stop => self.held.is_some_and(|h| h.is_valid(now)),
-            // Granted once in this session, and not ended by the log since.
-            WithoutLease::Serve => self.held.is_some(),
+            WithoutLease::Stop => self.held_lease.is_some_and(|h| h.is_valid(now)),
+            // Granted in this session and not ended by the log since.
+            WithoutLease::Serve => self.held_lease.is_some(),
         };
         holds && self.state.members.contains_key(&self.me)
     }
 
-    /// Every call that may come first after a stop passes here before it does anything else.
+    /// Detects that the node was paused. Every call that may be the first after a pause calls this before
+    /// anything else.
     pub(crate) fn detect_pause(&mut self, now: Duration) {
-        let gap = now.saturating_sub(self.last_seen);
-        self.last_seen = self.last_seen.max(now);
-        if gap <= STALL {
+        let gap = now.saturating_sub(self.last_called);
+        self.last_called = self.last_called.max(now);
+        if gap <= PAUSE_MIN {
             return;
         }
-        self.last_stop = now;
+        self.last_resumed = now;
         if self.closed_at.is_some() || !self.has_lease(now) {
-            self.void_before = now;
+            self.valid_from = now;
         }
     }
 }
--- a/crates/policy_change/src/lib.rs
+++ b/crates/policy_change/src/lib.rs
@@ -1,16 +1,20 @@
-//! A change of policy takes hold everywhere or nowhere: versions, leases on a version, a barrier.
+//! All-or-nothing change of the policy document over a fleet: versions, leases on a version, and a barrier.
 //!
-//! Every node that may decide requests holds a lease in the log ([`Entry::Join`], [`Entry::Renew`]): it is a **counted
-//! member**. A change is proposed against the version it was made from; every member checks it and answers; when all have
-//! accepted, the old version **closes**: each node that learns so stops deciding under it at once, holds new requests for
-//! a bounded moment, and says so in the log; when all have said so, or their leases have run out and were ended, the new
-//! version is active at that entry. At no true moment may one node decide under the new version while another may under
-//! an older one. Before that entry the change can be aborted at any step, which leaves the old version active.
+//! Every node that may decide requests holds a lease recorded in the replicated log ([`Entry::Join`],
+//! [`Entry::Renew`]) and is then a **member**. A change is proposed against the version it was made from.
+//! Every member validates the document and answers. Once all have accepted, the old version **closes**: each
+//! node that learns of this stops deciding under it at once, queues new requests for a bounded time, and
+//! confirms in the log that it has stopped. Once all members have confirmed, or their leases have expired and
+//! been ended, that log entry makes the new version active. At no instant may one node decide under the new
+//! version while another may decide under an older one. Before that entry the change can be aborted at any
+//! step, which leaves the old version active.
 //!
-//! The document is opaque here: bytes, and a pure function that passes or refuses them. The room is pure ([`PolicyChange`]
-//! is a [`magpietally_consensus::StateMachine`]): time comes in, proposals go out.
+//! The document is opaque to this crate: bytes, and a pure function that accepts or rejects them. The
+//! protocol does no I/O ([`PolicyChange`] is a [`magpietally_consensus::StateMachine`]): the caller passes
+//! the time in and takes proposals out.
 //!
-//! Central types: [`PolicyChange`], [`State`] (what the log says), [`Admission`] and [`Epoch`] (one request's version).
+//! Central types: [`PolicyChange`], [`State`] (what the log determines), [`Admission`] and [`Epoch`] (the
+//! version one request is decided under).
 
 mod admission;
 pub mod check;
--- a/crates/policy_change/src/model_check.rs
+++ b/crates/policy_change/src/model_check.rs
@@ -99,7 +99,9 @@
             if state.members.contains_key(&peer(i)) && !change.acknowledged.contains(&peer(i)) {
                 out.push(match step {
                     Step::Closing => Entry::Stopped { version },
-                    Step::Voting if rules.refuses == Some(i) => Entry::Reject { version, why: String::new() },
+                    Step::Voting if rules.refuses == Some(i) => {
+                        Entry::Reject { version, reason: String::new() }
+                    }
                     Step::Voting => Entry::Accept { version },
                 });
             }
--- a/crates/policy_change/src/settings.rs
+++ b/crates/policy_change/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators choose.
+//! Settings of the policy change protocol and their validation.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,56 +11,61 @@
 /// What a node does when it can't renew its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutLease {
-    /// Refuses new requests and finishes those it has: a change waits for it at most as long as its lease.
+    /// Rejects new requests and finishes those in progress: a change waits for the node no longer than its
+    /// lease lasts.
     Stop,
-    /// Goes on serving under the version it has: no change takes hold without it until an operator names it as gone.
+    /// Goes on serving under the version it has: no change takes effect without this node until an operator
+    /// evicts it.
     Serve,
 }
 
-/// The room's settings. [`Settings::default`] is what `deploy/fleet.toml` shows.
+/// Settings of one node's [`PolicyChange`](crate::PolicyChange). `deploy/fleet.toml` shows the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How long a lease lasts from its asking on; renewed each third of it. A node that can't reach the log serves this
-    /// long at most, and a change waits this long at most for a dead one.
+    /// How long a lease lasts, counted from the request for it; it is renewed every third of the term. A node
+    /// that can't reach the log serves at most this long, and a change waits about this long for a dead node.
     pub term: Duration,
-    /// What is wanted and not yet seen decided is said again after this long.
+    /// A proposal that has not been seen decided is repeated after this time.
     pub retry_interval: Duration,
-    /// The members' answers to a change are waited for so long, by who leads.
+    /// How long the leader waits for the members' answers to a proposed document.
     pub vote_timeout: Duration,
-    /// The members' word that they stopped is waited for so long, by who leads; then the change is aborted and the old
-    /// version opens again.
+    /// How long the leader waits for the members to confirm that they stopped deciding under the old version;
+    /// then the change is aborted and the old version reopens.
     pub close_timeout: Duration,
-    /// While the old version closes, a new request is held at most so long.
+    /// How long a new request is queued at most while the old version closes.
     pub queue_timeout: Duration,
-    /// Requests held at one moment at most; more are refused at once.
+    /// Maximum number of queued requests; further ones are rejected at once.
     pub queue_max: usize,
-    /// A request is held only when, after the longest hold, it still has this much of its own time left.
+    /// A request is queued only if this much of its own deadline remains after the longest possible wait in
+    /// the queue.
     pub min_time_left: Duration,
-    /// What this node does when it can't renew its lease.
+    /// Behavior when the lease can't be renewed.
     pub without_lease: WithoutLease,
-    /// A fault planted for the tests of the checker.
+    /// A fault injected to test the checker.
     #[cfg(any(test, feature = "planted"))]
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        // Ten seconds: a restart or a short cut passes without a lapse, 500 nodes renew with 150 small entries a second,
-        // and a change with a dead node in the fleet still takes hold well within a minute.
+        // With 10 s the lease survives a restart or a short partition, 500 nodes renew with 150 small entries
+        // a second, and a change with a dead node in the fleet still takes effect well within a minute.
         let term = Duration::from_secs(10);
         Self {
             term,
-            // Some round trips to a voter and back on a wide network.
+            // A few round trips to a voter over a wide-area network.
             retry_interval: Duration::from_millis(250),
-            // A dead member's lease runs out and is ended before the others' patience does.
+            // A dead member's lease expires and is ended before the vote times out.
             vote_timeout: term.mul_f64(1.1) + Duration::from_secs(5),
-            // A node that dies between its answer and its stop costs the fleet this long a refusal at most, not a term.
+            // If a node dies between accepting and confirming its stop, the fleet rejects requests for at
+            // most this long instead of a whole term.
             close_timeout: Duration::from_secs(2),
-            // What a client that waits for a page does not notice as an outage.
+            // A delay that a user waiting for a page does not perceive as an outage.
             queue_timeout: Duration::from_millis(500),
-            // Half a second of 2,000 requests a second, each a connection that is open anyway.
+            // 500 ms of traffic at 2,000 requests a second; each queued request is a connection that is open
+            // anyway.
             queue_max: 1000,
-            // Room for one try at a server that answers as usual.
+            // Enough for one attempt at a server with normal response times.
             min_time_left: Duration::from_millis(500),
             without_lease: WithoutLease::Stop,
             #[cfg(any(test, feature = "planted"))]
@@ -69,16 +74,17 @@
     }
 }
 
-/// A setting that does not fit.
+/// An invalid setting, with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The term is outside [`TERM_RANGE_MS`].
     Term(Duration),
-    /// `again` is zero, or so long that a lease could not be asked for three times in a term.
+    /// `retry_interval` is zero, or above a sixth of `term`: a lease could not be requested three times
+    /// within a term.
     RetryInterval(Duration),
-    /// `vote_for` is not longer than a waiter waits for a lease: every dead member would abort every change.
+    /// `vote_timeout` is not above [`Settings::lease_wait`]: every dead member would abort every change.
     VoteTimeout(Duration),
-    /// `close_for` is shorter than two rounds of `again`: one lost word would abort the change.
+    /// `close_timeout` is below twice `retry_interval`: one lost confirmation would abort the change.
     CloseTimeout(Duration),
 }
 
@@ -89,10 +95,12 @@
                 write!(f, "term is {d:?}, it must be {} to {} ms", TERM_RANGE_MS.start(), TERM_RANGE_MS.end())
             }
             Self::RetryInterval(d) => {
-                write!(f, "again is {d:?}, it must be above 0 and at most a sixth of term")
+                write!(f, "retry_interval is {d:?}, it must be above 0 and at most a sixth of term")
+            }
+            Self::VoteTimeout(d) => write!(f, "vote_timeout is {d:?}, it must be above 1.1 times term"),
+            Self::CloseTimeout(d) => {
+                write!(f, "close_timeout is {d:?}, it must be at least twice retry_interval")
             }
-            Self::VoteTimeout(d) => write!(f, "vote_timeout is {d:?}, it must be above term and a tenth"),
-            Self::CloseTimeout(d) => write!(f, "close_timeout is {d:?}, it must be at least twice again"),
         }
     }
 }
@@ -100,8 +108,8 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Plants a fault by its name, for tests of the checkers with whole processes; false where there is none of this name,
-    /// and always in a build without the feature `planted`, as every build of the program is.
+    /// Injects a fault by name, for tests of the checkers with whole processes. Returns whether there is a
+    /// fault of this name; always false without the feature `planted`, which no build of the program has.
     pub fn inject_named(&mut self, name: &str) -> bool {
         #[cfg(any(test, feature = "planted"))]
         {
@@ -121,10 +129,10 @@
         }
     }
 
-    /// Checks them.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first setting that does not fit.
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if !u32::try_from(self.term.as_millis()).is_ok_and(|ms| TERM_RANGE_MS.contains(&ms)) {
             return Err(SettingsError::Term(self.term));
@@ -141,34 +149,35 @@
         Ok(())
     }
 
-    /// The term as the log has it.
+    /// The term in milliseconds, as entries carry it.
     pub(crate) fn term_ms(&self) -> u32 {
         u32::try_from(self.term.as_millis()).unwrap_or(*TERM_RANGE_MS.end())
     }
 
-    /// How long a waiter waits for a lease of this term to run out, from when it learnt of its grant.
+    /// How long another node waits, from when it learned of a grant, until it treats a lease of this term as
+    /// expired.
     pub fn lease_wait(&self) -> Duration {
         let holder = Peer { name: Name::default(), session: Session::default() };
         Grant { holder, index: Index(0), term_ms: self.term_ms() }.wait()
     }
 
-    /// Whether this fault is planted; never in a build without the tests' feature.
+    /// Returns whether this fault is injected.
     #[cfg(any(test, feature = "planted"))]
-    pub(crate) fn injected(&self, plant: InjectedFault) -> bool {
-        self.injected_fault == Some(plant)
+    pub(crate) fn injected(&self, fault: InjectedFault) -> bool {
+        self.injected_fault == Some(fault)
     }
 }
 
-/// A fault that a node of a test has, for the checker to find.
+/// A fault in a node under test, for the checker to detect.
 #[cfg(any(test, feature = "planted"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Decides on when its lease has run out.
+    /// Goes on deciding after its lease has expired.
     ServesAfterLease,
-    /// Counts its lease from when it learnt of the grant.
+    /// Counts the lease term from when it learned of the grant instead of from its request.
     CountsLeaseFromReply,
-    /// Says that it stopped and decides on.
+    /// Confirms that it stopped deciding under the old version, but goes on.
     SkipsBarrier,
-    /// Decides under a proposal as soon as it has learnt of it.
+    /// Decides under a proposed version as soon as it learns of the proposal.
     ServesProposed,
 }
--- a/crates/policy_change/src/state.rs
+++ b/crates/policy_change/src/state.rs
@@ -1,8 +1,8 @@
-//! What follows from the log's entries alone: the same at every node at the same index.
+//! The replicated state, determined by the log entries alone: the same on every node at the same index.
 //!
-//! A change goes `Voting` (every member checks the document) to `Closing` (every member stops deciding under the old
-//! version) to taken, and may be aborted at any entry before it is taken. Which of the two comes first is the order of the
-//! log, so it is never half.
+//! A change goes from `Voting` (every member validates the document) to `Closing` (every member stops
+//! deciding under the old version) to `Taken`. Any entry before that one may abort it. The order of the log
+//! decides which of the two comes first, so a change never takes effect on only some of the nodes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,59 +12,60 @@
 
 use crate::entry::{Entry, Step, Version};
 
-/// Members at most: four times the largest fleet that is measured. Who asks past it gets no lease and does not serve.
+/// Maximum number of members: four times the largest measured fleet. A node beyond it gets no lease and does
+/// not serve.
 pub const MEMBERS_MAX: usize = 2048;
-/// Ended proposals that are remembered for the operators, the last ones: a busy day of changes.
+/// Number of ended proposals kept for the operators, the latest ones: a busy day of changes.
 pub const HISTORY_MAX: usize = 32;
-/// The terms of a lease that are taken, in milliseconds: below, renewals are all the log does; above, one dead node holds
-/// a change up for minutes.
+/// Lease terms that are accepted. Below the range, renewals would take up the log; above it, one dead node
+/// would delay a change for minutes.
 pub const TERM_RANGE_MS: std::ops::RangeInclusive<u32> = 500..=120_000;
 
-/// A node that holds a lease by the log.
+/// A node that holds a lease according to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its lease.
     pub grant: Grant,
-    /// Its lease is not ended by time (`serve`).
+    /// Whether its lease never expires (`serve`).
     pub serves_without_lease: bool,
-    /// The last ticket of a proposal of its that was decided.
+    /// The ticket of its last decided proposal.
     pub last_ticket: u64,
 }
 
-/// A proposal under way.
+/// A change in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that it founds if it is taken.
+    /// The version it becomes when it takes effect.
     pub version: Version,
-    /// Where it stands.
+    /// The current step.
     pub step: Step,
-    /// Whose it is.
+    /// The node that proposed it.
     pub proposer: Peer,
     /// The proposer's number for it.
     pub ticket: u64,
-    /// What it sets.
+    /// The proposed document.
     pub document: Vec<u8>,
-    /// The members that have done this step; always some of the members.
+    /// The members that have completed the current step; always a subset of the members.
     pub acknowledged: BTreeSet<Peer>,
 }
 
-/// Why a change did not take hold.
+/// Why a change was aborted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AbortReason {
-    /// A member's check refused the document.
+    /// A member's check rejected the document.
     Refused {
-        /// Which member.
+        /// The member.
         by: Peer,
-        /// What it said.
+        /// The reason it gave.
         why: String,
     },
-    /// Members did not do a step in time.
+    /// Members did not complete a step in time.
     Silent {
-        /// Which step.
+        /// The step.
         step: Step,
-        /// The first few of them.
+        /// The first few of these members.
         who: Vec<Peer>,
-        /// How many in all.
+        /// Their total number.
         of: usize,
     },
 }
@@ -72,13 +73,13 @@
 /// How a proposal ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is the policy under this version.
+    /// It became the active policy with this version.
     Taken(Version),
-    /// No node decided anything under it.
+    /// It was aborted under this version; no node decided anything under it.
     Aborted(Version, AbortReason),
-    /// Another was decided first: this one is the active or the one under way.
+    /// Another proposal was decided first.
     Lost {
-        /// The winner's version.
+        /// Version of the winner, which is active or in progress.
         to: Version,
     },
 }
@@ -86,7 +87,7 @@
 /// A proposal that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedProposal {
-    /// Whose it was.
+    /// The node that proposed it.
     pub proposer: Peer,
     /// The proposer's number for it.
     pub ticket: u64,
@@ -94,53 +95,53 @@
     pub outcome: ProposalOutcome,
 }
 
-/// What an entry did to leases, and whether a change ended: what a node has to count by its own clock.
+/// What an entry did to a lease; nodes time leases by their own clocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A lease was granted or renewed by asking number `ask`.
+    /// A lease was granted to the node or renewed; the last field is the number of its request.
     Granted(Peer, Grant, u64),
-    /// This lease is over.
+    /// The node's lease has ended; the index is that of the entry that granted it.
     Ended(Peer, Index),
 }
 
-/// The state of the policy, by the log.
+/// The state of the policy according to the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// The active version.
     pub active: Version,
-    /// Its document; empty for version 0.
+    /// The document of the active version; empty for version 0.
     pub document: Vec<u8>,
-    /// The number of the last proposal.
+    /// The version of the last proposal.
     pub last_version: Version,
-    /// Who holds a lease.
+    /// The nodes that hold a lease.
     pub members: BTreeMap<Peer, Member>,
-    /// What is under way.
+    /// The change in progress.
     pub change: Option<Change>,
-    /// The last ended proposals, oldest first.
+    /// The latest ended proposals, oldest first.
     pub history: VecDeque<EndedProposal>,
 }
 
 impl State {
-    /// Whether nobody may decide under the active version: a change closes it.
+    /// Returns whether the active version is closing, so that no node may begin new decisions under it.
     pub fn is_closing(&self) -> bool {
         self.change.as_ref().is_some_and(|c| c.step == Step::Closing)
     }
 
-    /// Takes an entry of `by` at `index`.
-    pub fn apply(&mut self, index: Index, by: &Peer, entry: Entry) -> Vec<Effect> {
+    /// Applies the entry that `sender` wrote at `index`.
+    pub fn apply(&mut self, index: Index, sender: &Peer, entry: Entry) -> Vec<Effect> {
         let mut effects = Vec::new();
         match entry {
             Entry::Join { request, term_ms, serves_without_lease } => {
-                self.join(index, by, request, term_ms, serves_without_lease, &mut effects);
+                self.join(index, sender, request, term_ms, serves_without_lease, &mut effects);
             }
             Entry::Renew { request } => {
-                if let Some(member) = self.members.get_mut(by) {
+                if let Some(member) = self.members.get_mut(sender) {
                     member.grant.index = index;
-                    effects.push(Effect::Granted(by.clone(), member.grant.clone(), request));
+                    effects.push(Effect::Granted(sender.clone(), member.grant.clone(), request));
                 }
             }
-            Entry::Leave => self.end(by, &mut effects),
-            Entry::Evict { peer } => self.end(&peer, &mut effects),
+            Entry::Leave => self.end_lease(sender, &mut effects),
+            Entry::Evict { peer } => self.end_lease(&peer, &mut effects),
             Entry::Expire { expired } => {
                 for (peer, grant) in expired {
                     if self
@@ -148,87 +149,89 @@
                         .get(&peer)
                         .is_some_and(|m| m.grant.index == grant && !m.serves_without_lease)
                     {
-                        self.end(&peer, &mut effects);
+                        self.end_lease(&peer, &mut effects);
                     }
                 }
             }
-            Entry::Propose { base, ticket, document } => self.propose(by, base, ticket, document),
-            Entry::Accept { version } => self.acknowledge(by, version, Step::Voting),
-            Entry::Stopped { version } => self.acknowledge(by, version, Step::Closing),
-            Entry::Reject { version, why } => {
-                if self.members.contains_key(by) && self.at(version, Step::Voting) {
-                    self.abort(AbortReason::Refused { by: by.clone(), why });
+            Entry::Propose { base, ticket, document } => self.propose(sender, base, ticket, document),
+            Entry::Accept { version } => self.acknowledge(sender, version, Step::Voting),
+            Entry::Stopped { version } => self.acknowledge(sender, version, Step::Closing),
+            Entry::Reject { version, reason } => {
+                if self.members.contains_key(sender) && self.is_at(version, Step::Voting) {
+                    self.abort(AbortReason::Refused { by: sender.clone(), why: reason });
                 }
             }
             Entry::Timeout { version, step } => {
-                if self.at(version, step) {
+                if self.is_at(version, step) {
                     let done = self.change.as_ref().map(|c| &c.acknowledged);
                     let silent = || self.members.keys().filter(|m| done.is_none_or(|d| !d.contains(*m)));
-                    // Enough for an operator to go and look.
+                    // Eight names are enough for an operator to start from.
                     let (who, of) = (silent().take(8).cloned().collect(), silent().count());
                     self.abort(AbortReason::Silent { step, who, of });
                 }
             }
         }
-        self.go_on();
+        self.advance();
         effects
     }
 
-    fn at(&self, version: Version, step: Step) -> bool {
+    fn is_at(&self, version: Version, step: Step) -> bool {
         self.change.as_ref().is_some_and(|c| c.version == version && c.step == step)
     }
 
     fn join(
         &mut self,
         index: Index,
-        by: &Peer,
+        sender: &Peer,
         request: u64,
         term_ms: u32,
         serves_without_lease: bool,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
-        let of_name: Vec<Peer> = self.members.keys().filter(|m| m.name == by.name).cloned().collect();
-        if !TERM_RANGE_MS.contains(&term_ms) || of_name.iter().any(|m| m.session > by.session) {
+        let sessions: Vec<Peer> = self.members.keys().filter(|m| m.name == sender.name).cloned().collect();
+        if !TERM_RANGE_MS.contains(&term_ms) || sessions.iter().any(|m| m.session > sender.session) {
             return;
         }
-        // A later start of a node tells that the earlier one runs no more: the node's store lets only one of them open it.
-        for earlier in of_name.iter().filter(|m| m.session < by.session) {
-            self.end(earlier, out);
+        // A later session of a node proves that the earlier one has ended: a store can be opened by one
+        // process only.
+        for earlier in sessions.iter().filter(|m| m.session < sender.session) {
+            self.end_lease(earlier, effects);
         }
-        if self.members.len() >= MEMBERS_MAX && !self.members.contains_key(by) {
+        if self.members.len() >= MEMBERS_MAX && !self.members.contains_key(sender) {
             return;
         }
-        let grant = Grant { holder: by.clone(), index, term_ms };
-        let last_ticket = self.members.get(by).map_or(0, |m| m.last_ticket);
-        let before = self
+        let grant = Grant { holder: sender.clone(), index, term_ms };
+        let last_ticket = self.members.get(sender).map_or(0, |m| m.last_ticket);
+        let previous = self
             .members
-            .insert(by.clone(), Member { grant: grant.clone(), serves_without_lease, last_ticket });
-        if let Some(change) = self.change.as_mut().filter(|c| c.step == Step::Closing && before.is_none()) {
-            // It learns of its lease after it has learnt of the closing, and so never decides under what closes. A member
-            // that asked twice is no such case: it may decide at this moment and has to say that it stopped.
-            change.acknowledged.insert(by.clone());
+            .insert(sender.clone(), Member { grant: grant.clone(), serves_without_lease, last_ticket });
+        if let Some(change) = self.change.as_mut().filter(|c| c.step == Step::Closing && previous.is_none()) {
+            // A new member learns of its lease after it has learned of the closing, so it never decides under
+            // the closing version. A member that requested its lease twice may be deciding at this moment, so
+            // it has to confirm that it stopped.
+            change.acknowledged.insert(sender.clone());
         }
-        out.push(Effect::Granted(by.clone(), grant, request));
+        effects.push(Effect::Granted(sender.clone(), grant, request));
     }
 
-    fn end(&mut self, peer: &Peer, out: &mut Vec<Effect>) {
+    fn end_lease(&mut self, peer: &Peer, effects: &mut Vec<Effect>) {
         let Some(member) = self.members.remove(peer) else { return };
         if let Some(change) = &mut self.change {
             change.acknowledged.remove(peer);
         }
-        out.push(Effect::Ended(peer.clone(), member.grant.index));
+        effects.push(Effect::Ended(peer.clone(), member.grant.index));
     }
 
-    fn propose(&mut self, by: &Peer, base: Version, ticket: u64, document: Vec<u8>) {
-        let Some(member) = self.members.get_mut(by).filter(|m| ticket > m.last_ticket) else { return };
+    fn propose(&mut self, sender: &Peer, base: Version, ticket: u64, document: Vec<u8>) {
+        let Some(member) = self.members.get_mut(sender).filter(|m| ticket > m.last_ticket) else { return };
         member.last_ticket = ticket;
         let winner = match &self.change {
             Some(change) => Some(change.version),
             None => (base != self.active).then_some(self.active),
         };
         if let Some(to) = winner {
-            self.remember(EndedProposal {
-                proposer: by.clone(),
+            self.record_outcome(EndedProposal {
+                proposer: sender.clone(),
                 ticket,
                 outcome: ProposalOutcome::Lost { to },
             });
@@ -238,37 +241,38 @@
         self.change = Some(Change {
             version: self.last_version,
             step: Step::Voting,
-            proposer: by.clone(),
+            proposer: sender.clone(),
             ticket,
             document,
             acknowledged: BTreeSet::new(),
         });
     }
 
-    fn acknowledge(&mut self, by: &Peer, version: Version, step: Step) {
-        if !self.members.contains_key(by) || !self.at(version, step) {
+    fn acknowledge(&mut self, sender: &Peer, version: Version, step: Step) {
+        if !self.members.contains_key(sender) || !self.is_at(version, step) {
             return;
         }
         if let Some(change) = &mut self.change {
-            change.acknowledged.insert(by.clone());
+            change.acknowledged.insert(sender.clone());
         }
     }
 
-    fn abort(&mut self, why: AbortReason) {
+    fn abort(&mut self, reason: AbortReason) {
         if let Some(change) = self.change.take() {
-            let outcome = ProposalOutcome::Aborted(change.version, why);
-            self.remember(EndedProposal { proposer: change.proposer, ticket: change.ticket, outcome });
+            let outcome = ProposalOutcome::Aborted(change.version, reason);
+            self.record_outcome(EndedProposal { proposer: change.proposer, ticket: change.ticket, outcome });
         }
     }
 
-    /// Takes a change a step further when every member has done the one it is at.
-    fn go_on(&mut self) {
+    /// Moves a change to its next step when every member has completed the current one.
+    fn advance(&mut self) {
         let Some(change) = &mut self.change else { return };
         if change.acknowledged.len() < self.members.len() {
             return;
         }
         match change.step {
-            // With no member at all nobody has looked at the document: it waits for one, or for its time to be up.
+            // Without members no node has validated the document: the change waits for a member or for its
+            // timeout.
             Step::Voting if self.members.is_empty() => {}
             Step::Voting => {
                 change.step = Step::Closing;
@@ -279,7 +283,7 @@
                     self.active = change.version;
                     self.document = change.document;
                     let outcome = ProposalOutcome::Taken(change.version);
-                    self.remember(EndedProposal {
+                    self.record_outcome(EndedProposal {
                         proposer: change.proposer,
                         ticket: change.ticket,
                         outcome,
@@ -289,10 +293,10 @@
         }
     }
 
-    fn remember(&mut self, past: EndedProposal) {
+    fn record_outcome(&mut self, proposal: EndedProposal) {
         if self.history.len() >= HISTORY_MAX {
             self.history.pop_front();
         }
-        self.history.push_back(past);
+        self.history.push_back(proposal);
     }
 }
