--- a/crates/policy_change/src/check.rs
+++ b/crates/policy_change/src/check.rs
@@ -1,67 +1,68 @@
-//! Holds the records of all nodes against what a change of policy promises. Pure; `std` and `serde` alone.
+//! Checks the records of all nodes against the guarantees of a policy change. Does no I/O; depends on `std`
+//! and `serde` only.
 //!
-//! The records carry times of one clock, the checker's. Nodes may be written down in any order; records of one time stay
-//! in the order they are handed over.
+//! The records carry times of a single clock, the checker's. They may be passed in any order; records with
+//! equal times keep the order in which they are passed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What a node did or what befell it.
+/// What a node did or what happened to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// A request came to it; requests are numbered over all nodes.
+    /// A request arrived at the node; requests are numbered over all nodes.
     Arrived {
-        /// Which.
+        /// Number of the request.
         request: u64,
     },
-    /// It decided (chose a server for, again for each retry) a request under a version.
+    /// The node decided a request under a version: it chose a server. Recorded again for each retry.
     Decided {
-        /// Which.
+        /// Number of the request.
         request: u64,
-        /// Under which version.
+        /// The version it was decided under.
         version: u64,
     },
-    /// The answer to a request left it.
+    /// The response to a request left the node.
     Left {
-        /// Which.
+        /// Number of the request.
         request: u64,
-        /// Under which version it was decided.
+        /// The version the request was decided under.
         version: u64,
     },
-    /// It learnt that a proposal is under way.
+    /// The node learned that a proposal is in progress.
     Proposed {
-        /// Which.
+        /// Version of the proposal.
         version: u64,
     },
-    /// As a counted member, its check refused a document.
+    /// The node, as a member, rejected a document.
     Refused {
-        /// Which.
+        /// Version of the proposal.
         version: u64,
     },
-    /// It learnt how a proposal ended.
+    /// The node learned how a proposal ended.
     Ended {
-        /// Which.
+        /// Version of the proposal.
         version: u64,
-        /// Whether it was taken.
+        /// Whether the proposal took effect.
         taken: bool,
     },
-    /// It was killed, stopped or cut off from the log.
+    /// The node was killed, paused or cut off from the log.
     Down {
-        /// Cut off: it ran on, so that what it had begun may be finished.
+        /// Whether the node kept running (it was only cut off), so that it may finish requests it had begun.
         ran: bool,
     },
-    /// It was started, or ran again, or had the log again.
+    /// The node was started, resumed or reconnected to the log.
     Back,
-    /// It said that it is ready, with this version active.
+    /// The node reported itself ready.
     Ready {
-        /// Which.
+        /// Its active version.
         version: u64,
     },
-    /// The run is over and it runs, with this version active.
+    /// The node was running at the end of the test run.
     Final {
-        /// Which.
+        /// Its active version.
         version: u64,
     },
 }
@@ -69,34 +70,39 @@
 /// One record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in nanoseconds of the checker's clock.
+    /// Time in nanoseconds on the checker's clock.
     pub at: u64,
-    /// Which node, by name.
+    /// Name of the node.
     pub node: String,
-    /// What.
+    /// What happened.
     pub what: Event,
 }
 
-/// What was broken.
+/// A guarantee that the checker verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// A document that a counted member refused was decided under; or, after the first decision under a version, a request
-    /// that arrived later was decided under an older one.
+    /// Broken when a request is decided under a document that a member rejected, or when, after the first
+    /// decision under a version, a request that arrived later is decided under an older one.
     AllOrNothing,
-    /// After an answer under a version had left a node, a request that arrived later was decided under an older one.
+    /// Broken when, after a response under a version left a node, a request that arrived later is decided
+    /// under an older version.
     NoGoingBack,
-    /// One request was decided under two versions, or answered under another than it was decided under.
+    /// Broken when one request is decided under two versions, or answered under another than it was decided
+    /// under.
     OneVersionARequest,
-    /// A node that was down when a version was first decided under came back and decided under an older one.
+    /// Broken when a node that was down at the first decision under a version comes back and decides under an
+    /// older one.
     StaleAfterReturn,
-    /// A proposal that is neither taken nor aborted at the end, or not the same at all nodes.
+    /// Broken when a proposal has neither taken effect nor been aborted at the end, or not with the same
+    /// result on all nodes.
     HalfTaken,
-    /// A node said that it was ready with an older version after one had been decided under elsewhere.
+    /// Broken when a node reports itself ready with an older version after a newer one was decided under
+    /// elsewhere.
     ReadyTooEarly,
 }
 
 impl Rule {
-    /// Its name.
+    /// The name of the rule, as reports show it.
     pub fn name(self) -> &'static str {
         match self {
             Self::AllOrNothing => "all-or-nothing",
@@ -109,14 +115,14 @@
     }
 }
 
-/// One breach.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Of which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When, in nanoseconds of the checker's clock.
+    /// Time in nanoseconds on the checker's clock.
     pub at: u64,
-    /// Who did what.
+    /// The node and what it did, for the report.
     pub what: String,
 }
 
@@ -126,12 +132,13 @@
     }
 }
 
-/// The times at which versions began, so that "the newest that had begun before t" is one look.
+/// The times at which successive newest versions began, as (time, version), for a fast lookup of the newest
+/// version that had begun before a given time.
 #[derive(Default)]
-struct Newest(Vec<(u64, u64)>);
+struct NewestVersions(Vec<(u64, u64)>);
 
-impl Newest {
-    /// `version` began at `at`; times never go back.
+impl NewestVersions {
+    /// Records that `version` began at `at`; times must not decrease.
     fn add(&mut self, at: u64, version: u64) {
         if self.0.last().is_none_or(|&(_, newest)| version > newest) {
             self.0.push((at, version));
@@ -140,76 +147,78 @@
 
     /// The newest version that had begun strictly before `at`.
     fn before(&self, at: u64) -> u64 {
-        let n = self.0.partition_point(|&(begun, _)| begun < at);
+        let n = self.0.partition_point(|&(start, _)| start < at);
         n.checked_sub(1).map_or(0, |i| self.0[i].1)
     }
 }
 
-struct Request {
+struct RequestState {
     arrived: u64,
     version: Option<u64>,
 }
 
 #[derive(Default)]
-struct Node {
-    /// Down since, and whether it ran on.
+struct NodeState {
+    /// Since when the node is down, and whether it has kept running.
     down: Option<(u64, bool)>,
-    /// EndedProposal times down: from, to, whether it ran on.
-    gaps: Vec<(u64, u64, bool)>,
+    /// Past downtimes: start, end, and whether the node kept running.
+    downtimes: Vec<(u64, u64, bool)>,
 }
 
-/// All breaches in these records; none is what is wanted.
+/// Returns all breaches in these records: first those found at single records, in the order of time, then
+/// those that only the whole run shows.
 pub fn check(records: &[Record]) -> Vec<Breach> {
     let mut records: Vec<&Record> = records.iter().collect();
     records.sort_by_key(|r| r.at);
-    let mut out = Vec::new();
-    let (mut decided, mut left) = (Newest::default(), Newest::default());
+    let mut breaches = Vec::new();
+    let (mut decided, mut answered) = (NewestVersions::default(), NewestVersions::default());
     let mut first_decided: BTreeMap<u64, (u64, String)> = BTreeMap::new();
-    let mut refused: BTreeMap<u64, (u64, String)> = BTreeMap::new();
-    let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
-    let mut nodes: BTreeMap<&str, Node> = BTreeMap::new();
+    let mut rejected: BTreeMap<u64, (u64, String)> = BTreeMap::new();
+    let mut requests: BTreeMap<u64, RequestState> = BTreeMap::new();
+    let mut nodes: BTreeMap<&str, NodeState> = BTreeMap::new();
     let mut proposed: BTreeSet<u64> = BTreeSet::new();
     let mut ended: BTreeMap<u64, BTreeMap<bool, String>> = BTreeMap::new();
     let mut finals: BTreeMap<u64, String> = BTreeMap::new();
     let end = records.last().map_or(0, |r| r.at);
 
     for Record { at, node, what } in records {
-        let mut breach = |rule, what| out.push(Breach { rule, at: *at, what });
+        let mut breach = |rule, what| breaches.push(Breach { rule, at: *at, what });
         let state = nodes.entry(node).or_default();
         match *what {
             Event::Arrived { request } => {
-                requests.insert(request, Request { arrived: *at, version: None });
+                requests.insert(request, RequestState { arrived: *at, version: None });
             }
             Event::Decided { request, version } => {
-                let known = requests.entry(request).or_insert(Request { arrived: *at, version: None });
+                let known = requests.entry(request).or_insert(RequestState { arrived: *at, version: None });
                 if known.version.is_some_and(|v| v != version) {
-                    let was = known.version.unwrap_or_default();
+                    let earlier = known.version.unwrap_or_default();
                     breach(
                         Rule::OneVersionARequest,
-                        format!("{node} decided request {request} under {version} after {was}"),
+                        format!("{node} decided request {request} under {version} after {earlier}"),
                     );
                 }
                 known.version = Some(version);
                 let arrived = known.arrived;
-                let says = |than: u64, how: &str| {
+                let describe = |newer: u64, reason: &str| {
                     format!(
-                        "{node} decided request {request} (arrived {:.3} s) under {version}, {than} {how}",
+                        "{node} decided request {request} (arrived {:.3} s) under {version}, {newer} {reason}",
                         arrived as f64 / 1e9
                     )
                 };
                 let newest = decided.before(arrived);
                 if newest > version {
-                    breach(Rule::AllOrNothing, says(newest, "had been decided under"));
+                    breach(Rule::AllOrNothing, describe(newest, "had been decided under"));
                 }
-                let gone = left.before(arrived);
-                if gone > version {
-                    breach(Rule::NoGoingBack, says(gone, "had left a node"));
+                let newest_answered = answered.before(arrived);
+                if newest_answered > version {
+                    breach(Rule::NoGoingBack, describe(newest_answered, "had left a node"));
                 }
-                for &(from, to, ran) in &state.gaps {
-                    // What a node that ran on had begun before may be finished; a stopped one decides nothing old.
-                    let before = decided.before(to);
-                    if before > version && before > decided.before(from) && (!ran || arrived >= to) {
-                        breach(Rule::StaleAfterReturn, says(before, "took hold while it was down"));
+                for &(from, to, ran) in &state.downtimes {
+                    // A node that kept running may finish requests it had begun before; a paused or killed
+                    // one may not decide anything under an older version.
+                    let newest = decided.before(to);
+                    if newest > version && newest > decided.before(from) && (!ran || arrived >= to) {
+                        breach(Rule::StaleAfterReturn, describe(newest, "took hold while it was down"));
                         break;
                     }
                 }
@@ -223,19 +232,20 @@
                         format!("{node} answered request {request} under {version}, decided under another"),
                     );
                 }
-                left.add(*at, version);
+                answered.add(*at, version);
             }
             Event::Proposed { version } => {
                 proposed.insert(version);
             }
             Event::Refused { version } => {
-                refused.entry(version).or_insert((*at, node.clone()));
+                rejected.entry(version).or_insert((*at, node.clone()));
             }
             Event::Ended { version, taken } => {
                 ended.entry(version).or_default().entry(taken).or_insert_with(|| node.clone());
             }
             Event::Down { ran } => {
-                // Cut off and then stopped as well: from the first on, and it did not run all the while.
+                // A node that was cut off and then paused as well is down from the first event on and did not
+                // run throughout.
                 state.down = match state.down {
                     Some((from, ran_before)) => Some((from, ran_before && ran)),
                     None => Some((*at, ran)),
@@ -243,7 +253,7 @@
             }
             Event::Back => {
                 if let Some((from, ran)) = state.down.take() {
-                    state.gaps.push((from, *at, ran));
+                    state.downtimes.push((from, *at, ran));
                 }
             }
             Event::Ready { version } => {
@@ -261,36 +271,36 @@
         }
     }
 
-    for (version, (at, node)) in &refused {
+    for (version, (at, node)) in &rejected {
         if let Some((first, by)) = first_decided.get(version) {
-            out.push(Breach {
+            breaches.push(Breach {
                 rule: Rule::AllOrNothing,
                 at: *first.max(at),
                 what: format!("{by} decided under {version}, which {node} had refused"),
             });
         }
     }
-    let mut half = |what| out.push(Breach { rule: Rule::HalfTaken, at: end, what });
+    let mut half_taken = |what| breaches.push(Breach { rule: Rule::HalfTaken, at: end, what });
     for version in &proposed {
         if !ended.contains_key(version) {
-            half(format!("proposal {version} is neither taken nor aborted"));
+            half_taken(format!("proposal {version} is neither taken nor aborted"));
         }
     }
-    for (version, fates) in &ended {
-        if let (Some(taken), Some(aborted)) = (fates.get(&true), fates.get(&false)) {
-            half(format!("proposal {version} was taken by {taken} and aborted by {aborted}"));
+    for (version, results) in &ended {
+        if let (Some(taken), Some(aborted)) = (results.get(&true), results.get(&false)) {
+            half_taken(format!("proposal {version} was taken by {taken} and aborted by {aborted}"));
         }
-        if let (false, Some((_, by))) = (fates.contains_key(&true), first_decided.get(version)) {
-            half(format!("proposal {version} was aborted, and {by} decided under it"));
+        if let (false, Some((_, by))) = (results.contains_key(&true), first_decided.get(version)) {
+            half_taken(format!("proposal {version} was aborted, and {by} decided under it"));
         }
     }
     if finals.len() > 1 {
-        half(format!("at the end: {}", list(&finals)));
+        half_taken(format!("at the end: {}", describe_finals(&finals)));
     }
-    out
+    breaches
 }
 
-fn list(finals: &BTreeMap<u64, String>) -> String {
+fn describe_finals(finals: &BTreeMap<u64, String>) -> String {
     finals.iter().map(|(version, node)| format!("{node} at {version}")).collect::<Vec<_>>().join(", ")
 }
 
