--- a/crates/policy_change/examples/measure.rs
+++ b/crates/policy_change/examples/measure.rs
@@ -1,5 +1,6 @@
-//! How long a change takes to take hold, and how long nodes hold requests meanwhile, in virtual time on the log's model:
-//! `cargo run --release -p magpietally-policy-change --example measure`. The same figures on every machine.
+//! Measures how long a change takes to become active on all nodes and how long requests are queued meanwhile,
+//! in virtual time on the log's model: `cargo run --release -p magpietally-policy-change --example measure`.
+//! The figures are the same on every machine.
 
 use std::time::Duration;
 
@@ -10,14 +11,14 @@
 const MS: Duration = Duration::from_millis(1);
 const SEEDS: u64 = 10;
 
-fn median(of: &mut [Duration]) -> Duration {
-    of.sort();
-    of.get(of.len() / 2).copied().unwrap_or_default()
+fn median(durations: &mut [Duration]) -> Duration {
+    durations.sort();
+    durations.get(durations.len() / 2).copied().unwrap_or_default()
 }
 
-/// One change with so many nodes killed a moment before: the time from proposing until every running node has the new
-/// version active, and each node's closing.
-fn one(seed: u64, nodes: usize, down: usize) -> Option<(Duration, Vec<Duration>)> {
+/// Runs one change with `down` of the nodes killed immediately before. Returns the time from the proposal
+/// until the new version is active on every running node, and the duration of each node's closing.
+fn run_change(seed: u64, nodes: usize, down: usize) -> Option<(Duration, Vec<Duration>)> {
     let faults = Faults { loss: 0.01, duplicate: 0.01, max_decide_delay: 20 * MS, max_learn_delay: 50 * MS };
     let mut model = Model::new(seed, faults, 1_700_000_000_000);
     for i in 0..nodes {
@@ -26,10 +27,10 @@
         let name = Name::new(&format!("n{i}")).ok()?;
         model.add(name, clocks, |me, now| {
             let node = PolicyChange::new(me, Settings::default(), Box::new(|_| Ok(())), now);
-            node.unwrap_or_else(|why| panic!("the default settings: {why}"))
+            node.unwrap_or_else(|error| panic!("the default settings: {error}"))
         });
     }
-    // Long enough that renewals are spread as they will be.
+    // Long enough for the renewals to spread over time as in normal operation.
     model.run(Duration::from_secs(12) + seed as u32 * 300 * MS, |_| {});
     for i in nodes - down..nodes {
         model.kill(i);
@@ -52,7 +53,7 @@
     println!("| nodes | down | taken of {SEEDS} | takes hold, median | largest | held, median | largest |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (nodes, down) in [(10, 0), (10, 1), (100, 0), (100, 10)] {
-        let runs: Vec<_> = (0..SEEDS).filter_map(|seed| one(seed, nodes, down)).collect();
+        let runs: Vec<_> = (0..SEEDS).filter_map(|seed| run_change(seed, nodes, down)).collect();
         let mut took: Vec<_> = runs.iter().map(|(took, _)| *took).collect();
         let mut closings: Vec<_> = runs.iter().flat_map(|(_, closings)| closings.clone()).collect();
         println!(
--- a/crates/policy_change/src/check.rs
+++ b/crates/policy_change/src/check.rs
@@ -199,9 +199,9 @@
                 }
                 known.version = Some(version);
                 let arrived = known.arrived;
-                let describe = |newer: u64, reason: &str| {
+                let describe = |newer: u64, what: &str| {
                     format!(
-                        "{node} decided request {request} (arrived {:.3} s) under {version}, {newer} {reason}",
+                        "{node} decided request {request} (arrived {:.3} s) under {version}, {newer} {what}",
                         arrived as f64 / 1e9
                     )
                 };
--- a/crates/policy_change/src/model_check.rs
+++ b/crates/policy_change/src/model_check.rs
@@ -1,10 +1,12 @@
-//! Every order in which a small fleet's words can be said, decided and learnt: three nodes, one change, one lease that
-//! runs out at any moment and its holder joining again. A node that is stopped, killed or cut off is one that does nothing
-//! for a while or for ever, which is among the orders.
+//! Exhaustive model check of every order in which a small fleet's entries can be proposed, decided and
+//! learned: three nodes, one change, one lease that expires at any moment and its holder joining again. A
+//! node that is paused, killed or cut off is one that does nothing for a while or forever, which is among the
+//! orders.
 //!
-//! The log's part is the real [`State`]. A node's part is put in short here: what it says at which step, and when it may
-//! begin a request. Time is left out: a lease's end, and "the time for this step is up", may come at any moment. A word is
-//! decided as it is said; that it comes late is a node that says it late, knowing only what it knew.
+//! The replicated part is the real [`State`]. A node's part is simplified here to the entries it proposes at
+//! each step and to when it may begin a request. There is no time: the expiry of the lease and the timeout of
+//! a step may come at any moment. An entry is decided as soon as it is proposed; a delayed entry is covered
+//! by a node that proposes it late, knowing only what it had learned until then.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -14,40 +16,43 @@
 use crate::{Entry, State, Step, Version};
 
 const NODES: usize = 3;
-/// A test that needs more has grown by mistake.
-const WORLDS_AT_MOST: usize = 300_000;
+/// Limit on the states explored; a test that exceeds it has grown by mistake.
+const STATES_MAX: usize = 300_000;
 
-type Word = (usize, Vec<u8>);
+/// An entry: the node that proposes it, and its encoded form.
+type ProposedEntry = (usize, Vec<u8>);
 
 #[derive(Clone)]
-struct World {
-    /// What the log says after all its entries.
+struct ModelState {
+    /// The replicated state after all entries of the log.
     head: State,
-    /// What each node has learnt.
-    knows: Vec<State>,
-    /// The decided entries that some node has not learnt, with the number of joins before each; and how many each has yet
-    /// to learn.
-    log: VecDeque<(Word, u64)>,
+    /// The replicated state as each node has learned it.
+    learned: Vec<State>,
+    /// The decided entries that some node has not learned, each with the number of joins up to and including
+    /// it.
+    log: VecDeque<(ProposedEntry, u64)>,
+    /// How many of these entries each node has not learned yet.
     lags: Vec<usize>,
     joins: u64,
-    /// The grant that has run out, if one has: by its number.
-    over: Option<u64>,
+    /// The index of the grant that has expired, if one has.
+    expired_grant: Option<u64>,
     /// The newest version that any node could begin a request under so far.
     newest: Version,
 }
 
-struct Rules {
-    /// Whose check refuses every document.
-    refuses: Option<usize>,
-    /// A planted fault: says that it stopped and begins requests under the old version until the new one is active.
+struct Behavior {
+    /// The node whose check rejects every document.
+    rejects: Option<usize>,
+    /// An injected fault: the nodes confirm that they stopped, but begin requests under the old version until
+    /// the new one is active.
     skips_barrier: bool,
 }
 
 fn peer(i: usize) -> Peer {
-    Peer { name: Name::new(&format!("n{i}")).expect("a name"), session: Session(1) }
+    Peer { name: Name::new(&format!("n{i}")).expect("a valid name"), session: Session(1) }
 }
 
-impl World {
+impl ModelState {
     fn new() -> Self {
         let mut head = State::default();
         for i in 0..NODES {
@@ -55,51 +60,52 @@
             head.apply(Index(i as u64 + 1), &peer(i), join);
         }
         let propose = Entry::Propose { base: Version(0), ticket: 1, document: vec![1] };
-        let knows = vec![head.clone(); NODES];
-        let word = (0, propose.encode());
+        let learned = vec![head.clone(); NODES];
+        let proposed = (0, propose.encode());
         head.apply(Index(NODES as u64), &peer(0), propose);
         Self {
-            knows,
+            learned,
             head,
-            log: VecDeque::from([(word, NODES as u64)]),
+            log: VecDeque::from([(proposed, NODES as u64)]),
             lags: vec![1; NODES],
             joins: NODES as u64,
-            over: None,
+            expired_grant: None,
             newest: Version(0),
         }
     }
 
     fn key(&self) -> Vec<u8> {
-        // What the slowest knows and what it has yet to learn is what all others know as well.
+        // The state of the slowest node and the entries it has not learned determine the states of all other
+        // nodes.
         let slowest = (0..NODES).max_by_key(|&i| self.lags[i]).unwrap_or(0);
-        let rest = (&self.log, &self.lags, self.joins, self.over, self.newest);
-        postcard::to_stdvec(&(&self.knows[slowest], rest)).expect("plain values")
+        let rest = (&self.log, &self.lags, self.joins, self.expired_grant, self.newest);
+        postcard::to_stdvec(&(&self.learned[slowest], rest)).expect("plain values encode")
     }
 
     /// The version that node `i` could begin a request under now.
-    fn admissible_version(&self, i: usize, rules: &Rules) -> Option<Version> {
-        let state = &self.knows[i];
+    fn admissible_version(&self, i: usize, behavior: &Behavior) -> Option<Version> {
+        let state = &self.learned[i];
         let member = state.members.get(&peer(i))?;
-        let leased = self.over != Some(member.grant.index.0);
-        (leased && (rules.skips_barrier || !state.is_closing())).then_some(state.active)
+        let leased = self.expired_grant != Some(member.grant.index.0);
+        (leased && (behavior.skips_barrier || !state.is_closing())).then_some(state.active)
     }
 
-    /// What node `i` would say.
-    fn words(&self, i: usize, rules: &Rules) -> Vec<Entry> {
-        let state = &self.knows[i];
+    /// The entries that node `i` may propose.
+    fn possible_entries(&self, i: usize, behavior: &Behavior) -> Vec<Entry> {
+        let state = &self.learned[i];
         let mut out = Vec::new();
-        // Once more, or the worlds have no end.
+        // Only one more join is allowed, to keep the state space finite.
         if !state.members.contains_key(&peer(i)) && self.joins == NODES as u64 {
             out.push(Entry::Join { request: 2, term_ms: 1000, serves_without_lease: false });
         }
-        let expired = state.members.iter().find(|(_, m)| self.over == Some(m.grant.index.0));
+        let expired = state.members.iter().find(|(_, m)| self.expired_grant == Some(m.grant.index.0));
         out.extend(expired.map(|(p, m)| Entry::Expire { expired: vec![(p.clone(), m.grant.index)] }));
         if let Some(change) = &state.change {
             let (version, step) = (change.version, change.step);
             if state.members.contains_key(&peer(i)) && !change.acknowledged.contains(&peer(i)) {
                 out.push(match step {
                     Step::Closing => Entry::Stopped { version },
-                    Step::Voting if rules.refuses == Some(i) => {
+                    Step::Voting if behavior.rejects == Some(i) => {
                         Entry::Reject { version, reason: String::new() }
                     }
                     Step::Voting => Entry::Accept { version },
@@ -112,115 +118,116 @@
         out
     }
 
-    fn next(&self, rules: &Rules) -> Vec<Self> {
+    fn next(&self, behavior: &Behavior) -> Vec<Self> {
         let mut out = Vec::new();
         for i in 0..NODES {
-            for entry in self.words(i, rules) {
-                let word = (i, entry.encode());
-                // A word that changes nothing is like one that was lost.
-                if let Some((head, joins)) = self.decided(&word) {
-                    let mut world = self.clone();
-                    (world.head, world.joins) = (head, joins);
-                    world.log.push_back((word, joins));
-                    world.lags.iter_mut().for_each(|lag| *lag += 1);
-                    out.push(world);
+            for entry in self.possible_entries(i, behavior) {
+                let proposed = (i, entry.encode());
+                // An entry that changes nothing is equivalent to a lost one.
+                if let Some((head, joins)) = self.decide(&proposed) {
+                    let mut state = self.clone();
+                    (state.head, state.joins) = (head, joins);
+                    state.log.push_back((proposed, joins));
+                    state.lags.iter_mut().for_each(|lag| *lag += 1);
+                    out.push(state);
                 }
             }
             if self.lags[i] > 0 {
-                let mut world = self.clone();
-                let at = world.log.len() - world.lags[i];
-                let ((by, body), joins) = world.log[at].clone();
-                let entry = Entry::decode(&body).expect("a word");
-                world.knows[i].apply(Index(joins), &peer(by), entry);
-                world.knows[i].history.clear();
-                world.lags[i] -= 1;
-                while world.log.len() > world.lags.iter().copied().max().unwrap_or(0) {
-                    world.log.pop_front();
+                let mut state = self.clone();
+                let at = state.log.len() - state.lags[i];
+                let ((sender, body), joins) = state.log[at].clone();
+                let entry = Entry::decode(&body).expect("a valid entry");
+                state.learned[i].apply(Index(joins), &peer(sender), entry);
+                state.learned[i].history.clear();
+                state.lags[i] -= 1;
+                while state.log.len() > state.lags.iter().copied().max().unwrap_or(0) {
+                    state.log.pop_front();
                 }
-                out.push(world);
+                out.push(state);
             }
         }
-        if let (None, Some(member)) = (self.over, self.head.members.get(&peer(2))) {
-            let mut world = self.clone();
-            world.over = Some(member.grant.index.0);
-            out.push(world);
+        if let (None, Some(member)) = (self.expired_grant, self.head.members.get(&peer(2))) {
+            let mut state = self.clone();
+            state.expired_grant = Some(member.grant.index.0);
+            out.push(state);
         }
         out
     }
 
-    /// The log's state and its joins after this word, if it changes anything.
-    fn decided(&self, word: &Word) -> Option<(State, u64)> {
-        let entry = Entry::decode(&word.1).expect("a word");
+    /// The replicated state and the number of joins after this entry, if it changes the state.
+    fn decide(&self, proposed: &ProposedEntry) -> Option<(State, u64)> {
+        let entry = Entry::decode(&proposed.1).expect("a valid entry");
         let joins = self.joins + u64::from(matches!(entry, Entry::Join { .. }));
         let mut head = self.head.clone();
-        head.apply(Index(joins), &peer(word.0), entry);
-        // Nobody acts on what ended.
+        head.apply(Index(joins), &peer(proposed.0), entry);
+        // No node acts on the history.
         head.history.clear();
         (head != self.head).then_some((head, joins))
     }
 }
 
 #[derive(Debug, Default)]
-struct Found {
-    worlds: usize,
-    /// Breaches of the invariant.
+struct Exploration {
+    states: usize,
+    /// States in which a node could begin a request under an older version than some node could before.
     older: usize,
     /// Versions that some node could begin a request under.
     versions: BTreeSet<Version>,
-    /// Ends with a change under way, or where nodes know different things.
-    half: usize,
-    ends: usize,
+    /// Final states with a change in progress, or in which the nodes' states differ.
+    half_taken: usize,
+    final_states: usize,
 }
 
-fn all(rules: &Rules) -> Found {
-    let mut found = Found::default();
+fn explore(behavior: &Behavior) -> Exploration {
+    let mut found = Exploration::default();
     let mut seen = HashSet::new();
-    let mut todo = VecDeque::from([World::new()]);
-    seen.insert(World::new().key());
-    while let Some(world) = todo.pop_front() {
-        let may: Vec<Version> = (0..NODES).filter_map(|i| world.admissible_version(i, rules)).collect();
-        found.versions.extend(&may);
-        found.older += usize::from(may.iter().any(|v| *v < world.newest));
-        let next = world.next(rules);
-        if rules.skips_barrier && found.older > 0 {
+    let mut pending = VecDeque::from([ModelState::new()]);
+    seen.insert(ModelState::new().key());
+    while let Some(state) = pending.pop_front() {
+        let admissible: Vec<Version> =
+            (0..NODES).filter_map(|i| state.admissible_version(i, behavior)).collect();
+        found.versions.extend(&admissible);
+        found.older += usize::from(admissible.iter().any(|v| *v < state.newest));
+        let next = state.next(behavior);
+        if behavior.skips_barrier && found.older > 0 {
             break;
         }
         if next.is_empty() {
-            found.ends += 1;
-            found.half +=
-                usize::from(world.head.change.is_some() || world.knows.iter().any(|k| *k != world.head));
+            found.final_states += 1;
+            found.half_taken +=
+                usize::from(state.head.change.is_some() || state.learned.iter().any(|k| *k != state.head));
         }
-        for mut world in next {
-            let may = (0..NODES).filter_map(|i| world.admissible_version(i, rules));
-            world.newest = may.fold(world.newest, Version::max);
-            if seen.insert(world.key()) {
-                assert!(seen.len() <= WORLDS_AT_MOST, "more than {WORLDS_AT_MOST} worlds: {found:?}");
-                todo.push_back(world);
+        for mut state in next {
+            let admissible = (0..NODES).filter_map(|i| state.admissible_version(i, behavior));
+            state.newest = admissible.fold(state.newest, Version::max);
+            if seen.insert(state.key()) {
+                assert!(seen.len() <= STATES_MAX, "more than {STATES_MAX} states: {found:?}");
+                pending.push_back(state);
             }
         }
     }
-    found.worlds = seen.len();
+    found.states = seen.len();
     found
 }
 
 #[test]
-fn in_no_order_of_words_may_a_request_begin_under_an_older_version_than_one_could_before() {
-    let found = all(&Rules { refuses: None, skips_barrier: false });
-    assert_eq!((found.older, found.half), (0, 0), "{found:?}");
-    // 198,204 worlds. Their two ends: taken, and aborted.
-    assert!(found.worlds > 100_000 && found.ends == 2 && found.versions.len() == 2, "{found:?}");
+fn in_no_order_of_entries_can_a_request_begin_under_an_older_version_than_before() {
+    let found = explore(&Behavior { rejects: None, skips_barrier: false });
+    assert_eq!((found.older, found.half_taken), (0, 0), "{found:?}");
+    // 198,204 states. The two final states: the change taken, and aborted.
+    assert!(found.states > 100_000 && found.final_states == 2 && found.versions.len() == 2, "{found:?}");
 }
 
 #[test]
-fn in_no_order_of_words_is_a_document_taken_that_a_member_refuses() {
-    let found = all(&Rules { refuses: Some(1), skips_barrier: false });
-    assert_eq!((found.older, found.half), (0, 0), "{found:?}");
-    // 25,214 worlds.
-    assert!(found.worlds > 10_000 && found.versions == BTreeSet::from([Version(0)]), "{found:?}");
+fn in_no_order_of_entries_is_a_document_taken_that_a_member_rejects() {
+    let found = explore(&Behavior { rejects: Some(1), skips_barrier: false });
+    assert_eq!((found.older, found.half_taken), (0, 0), "{found:?}");
+    // 25,214 states.
+    assert!(found.states > 10_000 && found.versions == BTreeSet::from([Version(0)]), "{found:?}");
 }
 
 #[test]
-fn a_planted_skip_of_the_barrier_is_found_in_some_order() {
-    let found = all(&Rules { refuses: None, skips_barrier: true });
+fn injected_skip_of_the_barrier_is_found_in_some_order() {
+    let found = explore(&Behavior { rejects: None, skips_barrier: true });
     assert!(found.older > 0, "{found:?}");
 }
--- a/crates/policy_change/src/scenarios.rs
+++ b/crates/policy_change/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! The promises by name, each in the smallest run that shows it.
+//! Scenario tests: each guarantee of the protocol in a small simulated run.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,311 +8,318 @@
 use magpietally_transport::{Name, Peer, Session};
 
 use crate::check::Event;
-use crate::simulation::{short, Play, MS};
+use crate::simulation::{short_settings, Simulation, MS};
 use crate::{
     AbortReason, Admission, Entry, ProposalOutcome, ProposalStatus, ProposeError, Rejection, RejectionReason,
     Settings, State, Step, Version, WithoutLease,
 };
 
 /// Five nodes with a lease each.
-fn fleet(seed: u64, change: impl FnOnce(&mut Vec<Settings>)) -> Play {
-    let mut settings = vec![short(); 5];
+fn fleet(seed: u64, change: impl FnOnce(&mut Vec<Settings>)) -> Simulation {
+    let mut settings = vec![short_settings(); 5];
     change(&mut settings);
-    let mut play = Play::new(seed, settings, Faults::default());
-    play.run(300 * MS);
-    assert_eq!(play.node(0).state().members.len(), 5);
-    play
+    let mut sim = Simulation::new(seed, settings, Faults::default());
+    sim.run(300 * MS);
+    assert_eq!(sim.node(0).state().members.len(), 5);
+    sim
 }
 
-/// Proposes at node `i` and runs until it knows the end.
-fn change(play: &mut Play, i: usize, document: &str, limit: Duration) -> (ProposalOutcome, Duration) {
-    let ticket = play.propose(i, document).expect("taken for proposing");
-    let took = play.until(limit, |p| matches!(p.proposal_status(i, ticket), ProposalStatus::Ended(_)));
-    match (took, play.proposal_status(i, ticket)) {
+/// Proposes at node `i` and runs until that node knows the outcome. Returns it and the time it took.
+fn run_change(
+    sim: &mut Simulation,
+    i: usize,
+    document: &str,
+    limit: Duration,
+) -> (ProposalOutcome, Duration) {
+    let ticket = sim.propose(i, document).expect("accepted for proposing");
+    let took = sim.run_until(limit, |p| matches!(p.proposal_status(i, ticket), ProposalStatus::Ended(_)));
+    match (took, sim.proposal_status(i, ticket)) {
         (Some(took), ProposalStatus::Ended(end)) => (end, took),
         (_, other) => panic!("after {limit:?}: {other:?}"),
     }
 }
 
-/// What a request gets that comes to node `i` now.
-fn arrives(play: &mut Play, i: usize) -> Admission {
-    let (machine, now) = play.model.machine(i).expect("it runs");
+/// The admission of a request that arrives at node `i` now.
+fn arrive(sim: &mut Simulation, i: usize) -> Admission {
+    let (machine, now) = sim.model.machine(i).expect("the node runs");
     machine.admit(now.boot, 5000 * MS)
 }
 
-fn refused(admission: &Admission) -> Option<RejectionReason> {
+fn rejection_reason(admission: &Admission) -> Option<RejectionReason> {
     match admission {
         Admission::Reject(Rejection { reason, .. }) => Some(*reason),
         _ => None,
     }
 }
 
-fn sound(mut play: Play) {
-    play.heal();
-    play.run(short().lease_wait() + short().vote_timeout + short().close_timeout);
-    play.load = 0.0;
-    play.run(50 * MS);
-    assert_eq!(play.verdict(), Vec::new());
+fn assert_no_breaches(mut sim: Simulation) {
+    sim.end_faults();
+    sim.run(short_settings().lease_wait() + short_settings().vote_timeout + short_settings().close_timeout);
+    sim.load = 0.0;
+    sim.run(50 * MS);
+    assert_eq!(sim.breaches(), Vec::new());
 }
 
 #[test]
-fn a_proposer_that_leads_and_is_killed_at_any_moment_leaves_the_change_taken_or_not_and_the_fleet_not_stuck()
-{
-    let (mut taken, mut not) = (0, 0);
+fn leader_killed_at_any_moment_while_proposing_leaves_a_consistent_outcome_and_a_working_fleet() {
+    let (mut taken, mut aborted) = (0, 0);
     for after in 0..40 {
-        let mut play = fleet(after, |_| {});
-        play.propose(0, "share = 1").expect("taken for proposing");
-        play.run(after as u32 * 4 * MS);
-        play.kill(0);
-        play.run(300 * MS);
-        play.model.set_leader(Some(1));
-        // Its lease runs out, or the others' patience does.
-        let s = short();
-        let ended = play.until(s.vote_timeout + s.close_timeout + 20 * s.retry_interval, |p| {
+        let mut sim = fleet(after, |_| {});
+        sim.propose(0, "share = 1").expect("accepted for proposing");
+        sim.run(after as u32 * 4 * MS);
+        sim.kill(0);
+        sim.run(300 * MS);
+        sim.model.set_leader(Some(1));
+        // The killed node's lease expires, or the step times out.
+        let s = short_settings();
+        let ended = sim.run_until(s.vote_timeout + s.close_timeout + 20 * s.retry_interval, |p| {
             (1..5).all(|i| p.node(i).state().change.is_none())
         });
-        assert!(ended.is_some(), "killed after {} ms: {:?}", after * 4, play.node(1).state().change);
-        play.run(100 * MS);
-        let actives: Vec<u64> = (1..5).map(|i| play.node(i).state().active.0).collect();
+        assert!(ended.is_some(), "killed after {} ms: {:?}", after * 4, sim.node(1).state().change);
+        sim.run(100 * MS);
+        let actives: Vec<u64> = (1..5).map(|i| sim.node(i).state().active.0).collect();
         assert!(actives.iter().all(|v| *v == actives[0]), "killed after {} ms: {actives:?}", after * 4);
-        *(if actives[0] == 0 { &mut not } else { &mut taken }) += 1;
-        let (end, _) = change(&mut play, 2, "share = 2", s.lease_wait() + 5 * s.retry_interval);
+        *(if actives[0] == 0 { &mut aborted } else { &mut taken }) += 1;
+        let (end, _) = run_change(&mut sim, 2, "share = 2", s.lease_wait() + 5 * s.retry_interval);
         assert!(matches!(end, ProposalOutcome::Taken(_)), "killed after {} ms: {end:?}", after * 4);
-        sound(play);
+        assert_no_breaches(sim);
     }
-    assert!(taken > 5 && not > 0, "{taken} taken, {not} not: not every step was met");
+    assert!(taken > 5 && aborted > 0, "{taken} taken, {aborted} aborted: not every step was covered");
 }
 
 #[test]
-fn of_two_proposals_at_once_one_wins_and_the_other_is_told_the_winners_version() {
+fn of_two_concurrent_proposals_one_wins_and_the_other_gets_the_winners_version() {
     for seed in 0..10 {
-        let mut play = fleet(seed, |_| {});
-        let a = play.propose(1, "share = 1").expect("taken for proposing");
-        let b = play.propose(2, "share = 2").expect("taken for proposing");
-        let both = |p: &mut Play| [p.proposal_status(1, a), p.proposal_status(2, b)];
-        let ended = |p: &mut Play| both(p).iter().all(|o| matches!(o, ProposalStatus::Ended(_)));
-        play.until(1000 * MS, ended).expect("both end");
-        play.run(50 * MS);
+        let mut sim = fleet(seed, |_| {});
+        let a = sim.propose(1, "share = 1").expect("accepted for proposing");
+        let b = sim.propose(2, "share = 2").expect("accepted for proposing");
+        let both_statuses = |p: &mut Simulation| [p.proposal_status(1, a), p.proposal_status(2, b)];
+        let ended =
+            |p: &mut Simulation| both_statuses(p).iter().all(|o| matches!(o, ProposalStatus::Ended(_)));
+        sim.run_until(1000 * MS, ended).expect("both proposals end");
+        sim.run(50 * MS);
         let (won, lost) = (
             ProposalStatus::Ended(ProposalOutcome::Taken(Version(1))),
             ProposalOutcome::Lost { to: Version(1) },
         );
-        let [first, second] = both(&mut play);
+        let [first, second] = both_statuses(&mut sim);
         let (loser, wins) = if first == won { (second, "share = 1") } else { (first, "share = 2") };
         assert_eq!(loser, ProposalStatus::Ended(lost), "seed {seed}");
-        assert_eq!(play.node(4).state().document, wins.as_bytes(), "seed {seed}");
-        sound(play);
+        assert_eq!(sim.node(4).state().document, wins.as_bytes(), "seed {seed}");
+        assert_no_breaches(sim);
     }
 }
 
 #[test]
-fn a_document_that_one_members_check_refuses_is_decided_under_by_nobody_and_the_reason_is_told() {
-    let mut play = fleet(3, |_| {});
-    let (machine, now) = play.model.machine(3).expect("it runs");
-    let own = machine.propose(now, Version(0), b"share = 1 !n3".to_vec());
-    assert!(matches!(own, Err(ProposeError::Rejected(_))), "{own:?}");
-    let (end, _) = change(&mut play, 1, "share = 1 !n3", 1000 * MS);
+fn document_rejected_by_one_member_is_never_decided_under_and_the_reason_is_reported() {
+    let mut sim = fleet(3, |_| {});
+    let (machine, now) = sim.model.machine(3).expect("the node runs");
+    let result = machine.propose(now, Version(0), b"share = 1 !n3".to_vec());
+    assert!(matches!(result, Err(ProposeError::Rejected(_))), "{result:?}");
+    let (end, _) = run_change(&mut sim, 1, "share = 1 !n3", 1000 * MS);
     let ProposalOutcome::Aborted(Version(1), AbortReason::Refused { by, why }) = end else {
         panic!("{end:?}")
     };
     assert_eq!((by.name.as_str(), why.contains("policy.toml:3: key \"share\"")), ("n3", true), "{why}");
-    play.run(1000 * MS);
-    let under = |v| {
-        play.records.iter().filter(move |r| matches!(r.what, Event::Decided { version, .. } if version == v))
+    sim.run(1000 * MS);
+    let decided_under = |v| {
+        sim.records.iter().filter(move |r| matches!(r.what, Event::Decided { version, .. } if version == v))
     };
-    assert!(under(1).count() == 0 && under(0).count() > 100);
-    sound(play);
+    assert!(decided_under(1).count() == 0 && decided_under(0).count() > 100);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_node_stopped_through_the_whole_change_refuses_the_first_request_it_sees_and_is_ready_when_caught_up() {
-    let mut play = fleet(4, |_| {});
-    let Admission::Admit(epoch) = arrives(&mut play, 3) else { panic!("it serves") };
-    play.pause(3, true);
-    let (end, took) = change(&mut play, 1, "share = 1", 4000 * MS);
+fn node_paused_through_a_whole_change_rejects_its_first_request_and_is_ready_once_caught_up() {
+    let mut sim = fleet(4, |_| {});
+    let Admission::Admit(epoch) = arrive(&mut sim, 3) else { panic!("the node serves") };
+    sim.pause(3, true);
+    let (end, took) = run_change(&mut sim, 1, "share = 1", 4000 * MS);
     assert_eq!(end, ProposalOutcome::Taken(Version(1)));
-    // It outwaits the lease of the stopped one, renewed at most a third of a term ago, and no more.
-    assert!(took > 1300 * MS && took < short().lease_wait() + 5 * short().retry_interval, "{took:?}");
-    play.pause(3, false);
-    let (machine, now) = play.model.machine(3).expect("it runs");
-    // Nothing learnt yet, no timer run: the gate alone has to know.
+    // The change waits for the paused node's lease, renewed at most a third of a term ago, to expire, and no
+    // longer.
+    assert!(
+        took > 1300 * MS && took < short_settings().lease_wait() + 5 * short_settings().retry_interval,
+        "{took:?}"
+    );
+    sim.pause(3, false);
+    let (machine, now) = sim.model.machine(3).expect("the node runs");
+    // The node has learned nothing yet and no timer has run: admission itself has to detect the pause.
     assert!(!machine.is_ready(now.boot));
     assert!(machine.check_epoch(now.boot, &epoch).is_err());
-    assert_eq!(refused(&machine.admit(now.boot, 5000 * MS)), Some(RejectionReason::NoLease));
-    let ready = |p: &mut Play| p.model.machine(3).is_some_and(|(m, now)| m.is_ready(now.boot));
-    play.until(1000 * MS, ready).expect("it catches up");
-    assert_eq!(play.node(3).state().active, Version(1));
-    sound(play);
+    assert_eq!(rejection_reason(&machine.admit(now.boot, 5000 * MS)), Some(RejectionReason::NoLease));
+    let ready = |p: &mut Simulation| p.model.machine(3).is_some_and(|(m, now)| m.is_ready(now.boot));
+    sim.run_until(1000 * MS, ready).expect("the node catches up");
+    assert_eq!(sim.node(3).state().active, Version(1));
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_node_cut_off_with_stop_finishes_what_it_has_and_the_change_outwaits_its_lease() {
-    let mut play = fleet(5, |_| {});
-    play.cut(3, true);
-    play.run(1000 * MS);
-    let Admission::Admit(epoch) = arrives(&mut play, 3) else { panic!("its lease still holds") };
-    let (end, _) = change(&mut play, 1, "share = 1", 4000 * MS);
+fn isolated_node_with_stop_finishes_its_requests_and_the_change_waits_for_its_lease_to_expire() {
+    let mut sim = fleet(5, |_| {});
+    sim.isolate(3, true);
+    sim.run(1000 * MS);
+    let Admission::Admit(epoch) = arrive(&mut sim, 3) else { panic!("the lease is still valid") };
+    let (end, _) = run_change(&mut sim, 1, "share = 1", 4000 * MS);
     assert_eq!(end, ProposalOutcome::Taken(Version(1)));
-    assert_eq!(refused(&arrives(&mut play, 3)), Some(RejectionReason::NoLease));
-    let (machine, now) = play.model.machine(3).expect("it runs");
+    assert_eq!(rejection_reason(&arrive(&mut sim, 3)), Some(RejectionReason::NoLease));
+    let (machine, now) = sim.model.machine(3).expect("the node runs");
     assert!(machine.check_epoch(now.boot, &epoch).is_ok());
-    sound(play);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_node_cut_off_with_serve_goes_on_and_no_change_takes_hold_until_it_is_named_as_gone() {
-    let mut play = fleet(6, |s| s[3].without_lease = WithoutLease::Serve);
-    play.cut(3, true);
-    let (end, _) = change(&mut play, 1, "share = 1", 6000 * MS);
+fn isolated_node_with_serve_goes_on_and_no_change_takes_effect_until_it_is_evicted() {
+    let mut sim = fleet(6, |s| s[3].without_lease = WithoutLease::Serve);
+    sim.isolate(3, true);
+    let (end, _) = run_change(&mut sim, 1, "share = 1", 6000 * MS);
     let ProposalOutcome::Aborted(Version(1), AbortReason::Silent { step: Step::Voting, who, of: 1 }) = end
     else {
         panic!("{end:?}")
     };
     assert_eq!(who[0].name.as_str(), "n3");
-    assert!(matches!(arrives(&mut play, 3), Admission::Admit(e) if e.version == Version(0)));
-    play.kill(3);
-    let (machine, now) = play.model.machine(2).expect("it runs");
+    assert!(matches!(arrive(&mut sim, 3), Admission::Admit(e) if e.version == Version(0)));
+    sim.kill(3);
+    let (machine, now) = sim.model.machine(2).expect("the node runs");
     assert!(machine.evict(now, who[0].clone()));
-    play.run(500 * MS);
-    let (end, took) = change(&mut play, 1, "share = 2", 1000 * MS);
+    sim.run(500 * MS);
+    let (end, took) = run_change(&mut sim, 1, "share = 2", 1000 * MS);
     assert_eq!(end, ProposalOutcome::Taken(Version(2)), "{took:?}");
-    sound(play);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn as_many_nodes_can_be_named_as_gone_as_a_large_fleet_has() {
-    let mut play = fleet(6, |_| {});
-    let (machine, now) = play.model.machine(2).expect("it runs");
+fn as_many_nodes_can_be_evicted_at_once_as_a_large_fleet_has() {
+    let mut sim = fleet(6, |_| {});
+    let (machine, now) = sim.model.machine(2).expect("the node runs");
     for n in 0..1024 {
-        let name = Name::new(&format!("gone-{n}")).expect("a name");
+        let name = Name::new(&format!("gone-{n}")).expect("a valid name");
         assert!(machine.evict(now, Peer { name, session: Session(1) }), "{n}");
     }
 }
 
 #[test]
-fn a_node_that_left_holds_no_change_up() {
-    let mut play = fleet(7, |_| {});
-    let (machine, now) = play.model.machine(3).expect("it runs");
+fn node_that_left_does_not_delay_a_change() {
+    let mut sim = fleet(7, |_| {});
+    let (machine, now) = sim.model.machine(3).expect("the node runs");
     machine.leave(now);
-    assert_eq!(refused(&arrives(&mut play, 3)), Some(RejectionReason::Leaving));
-    play.until(1000 * MS, |p| p.node(3).has_left()).expect("its lease is given back");
-    play.kill(3);
-    let (end, took) = change(&mut play, 1, "share = 1", 4000 * MS);
+    assert_eq!(rejection_reason(&arrive(&mut sim, 3)), Some(RejectionReason::Leaving));
+    sim.run_until(1000 * MS, |p| p.node(3).has_left()).expect("the lease is returned");
+    sim.kill(3);
+    let (end, took) = run_change(&mut sim, 1, "share = 1", 4000 * MS);
     assert!(end == ProposalOutcome::Taken(Version(1)) && took < 500 * MS, "{end:?} after {took:?}");
-    sound(play);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_closing_that_hangs_holds_a_few_requests_for_a_bounded_time_and_refuses_the_rest() {
-    let mut play = fleet(8, |_| {});
-    play.load = 0.0;
-    play.propose(1, "share = 1").expect("taken for proposing");
-    // The last of five has accepted: the version closes, and one node is cut off before it learns so.
-    play.until(1000 * MS, |p| (0..5).any(|i| i != 3 && p.node(i).state().is_closing())).expect("it closes");
-    play.cut(3, true);
-    assert!(!play.node(3).state().is_closing(), "it had learnt of the closing");
-    play.run(50 * MS);
+fn hanging_closing_queues_a_limited_number_of_requests_for_a_bounded_time_and_rejects_the_rest() {
+    let mut sim = fleet(8, |_| {});
+    sim.load = 0.0;
+    sim.propose(1, "share = 1").expect("accepted for proposing");
+    // All five have accepted: the version closes, and one node is isolated before it learns of that.
+    sim.run_until(1000 * MS, |p| (0..5).any(|i| i != 3 && p.node(i).state().is_closing()))
+        .expect("the version closes");
+    sim.isolate(3, true);
+    assert!(!sim.node(3).state().is_closing(), "the node learned of the closing");
+    sim.run(50 * MS);
 
-    let s = short();
-    let (machine, now) = play.model.machine(0).expect("it runs");
+    let s = short_settings();
+    let (machine, now) = sim.model.machine(0).expect("the node runs");
     let boot = now.boot;
     assert!(machine.is_ready(boot));
-    // One that has no time left is not held.
-    assert_eq!(refused(&machine.admit(boot, 50 * MS)), Some(RejectionReason::Closing));
-    let mut tickets = Vec::new();
+    // A request without enough time left is not queued.
+    assert_eq!(rejection_reason(&machine.admit(boot, 50 * MS)), Some(RejectionReason::Closing));
+    let mut slots = Vec::new();
     for _ in 0..s.queue_max {
         match machine.admit(boot, 5000 * MS) {
-            Admission::Queue(ticket) => tickets.push(ticket),
+            Admission::Queue(slot) => slots.push(slot),
             other => panic!("{other:?}"),
         }
     }
-    // And no more than there is room for.
-    assert_eq!(refused(&machine.admit(boot, 5000 * MS)), Some(RejectionReason::Closing));
-    machine.abandon(tickets.pop().expect("one"));
+    // Nothing is queued beyond `queue_max`.
+    assert_eq!(rejection_reason(&machine.admit(boot, 5000 * MS)), Some(RejectionReason::Closing));
+    machine.abandon(slots.pop().expect("a queued request"));
     assert_eq!(machine.queued(), s.queue_max - 1);
-    for ticket in tickets {
-        assert!(
-            ticket.expires_at > boot && ticket.expires_at <= boot + s.queue_timeout,
-            "{ticket:?} at {boot:?}"
-        );
-        // At its end it is refused, and not parked again.
-        let until = ticket.expires_at;
-        assert_eq!(refused(&machine.readmit(until, ticket)), Some(RejectionReason::Closing));
+    for slot in slots {
+        assert!(slot.expires_at > boot && slot.expires_at <= boot + s.queue_timeout, "{slot:?} at {boot:?}");
+        // When its slot expires the request is rejected, not queued again.
+        let expires_at = slot.expires_at;
+        assert_eq!(rejection_reason(&machine.readmit(expires_at, slot)), Some(RejectionReason::Closing));
     }
     assert_eq!(machine.queued(), 0);
     let later = boot + s.queue_timeout;
-    assert_eq!(refused(&machine.admit(later, 5000 * MS)), Some(RejectionReason::Closing));
+    assert_eq!(rejection_reason(&machine.admit(later, 5000 * MS)), Some(RejectionReason::Closing));
     assert!(!machine.is_ready(later));
 
-    // Then the change is given up, and the old version opens.
-    let open = |p: &mut Play| !p.node(0).state().is_closing();
-    play.until(s.close_timeout + 5 * s.retry_interval, open).expect("it is given up");
-    assert!(matches!(arrives(&mut play, 0), Admission::Admit(e) if e.version == Version(0)));
-    let figures = play.node(0).metrics();
+    // Then the change times out, and the old version reopens.
+    let reopened = |p: &mut Simulation| !p.node(0).state().is_closing();
+    sim.run_until(s.close_timeout + 5 * s.retry_interval, reopened).expect("the change times out");
+    assert!(matches!(arrive(&mut sim, 0), Admission::Admit(e) if e.version == Version(0)));
+    let metrics = sim.node(0).metrics();
     assert!(
-        figures.closings == 1 && figures.queued == 8 && figures.longest_closing >= s.close_timeout,
-        "{figures:?}"
+        metrics.closings == 1 && metrics.queued == 8 && metrics.longest_closing >= s.close_timeout,
+        "{metrics:?}"
     );
-    sound(play);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_roll_back_is_a_new_change_with_a_new_version() {
-    let mut play = fleet(9, |_| {});
+fn rollback_is_a_new_change_with_a_new_version() {
+    let mut sim = fleet(9, |_| {});
     for (version, document) in [(1, "share = 1"), (2, "share = 2"), (3, "share = 1")] {
-        let (end, _) = change(&mut play, version as usize, document, 1000 * MS);
+        let (end, _) = run_change(&mut sim, version as usize, document, 1000 * MS);
         assert_eq!(end, ProposalOutcome::Taken(Version(version)));
-        // The next node to propose knows it too.
-        play.run(50 * MS);
+        // Let the next proposer learn of the version.
+        sim.run(50 * MS);
     }
-    assert_eq!(play.node(1).state().document, b"share = 1");
-    // One made against a version that is over is told so.
-    let (machine, now) = play.model.machine(4).expect("it runs");
-    let ticket = machine.propose(now, Version(1), b"share = 4".to_vec()).expect("taken for proposing");
-    play.run(300 * MS);
+    assert_eq!(sim.node(1).state().document, b"share = 1");
+    // A proposal made against an outdated version loses.
+    let (machine, now) = sim.model.machine(4).expect("the node runs");
+    let ticket = machine.propose(now, Version(1), b"share = 4".to_vec()).expect("accepted for proposing");
+    sim.run(300 * MS);
     assert_eq!(
-        play.proposal_status(4, ticket),
+        sim.proposal_status(4, ticket),
         ProposalStatus::Ended(ProposalOutcome::Lost { to: Version(3) })
     );
-    sound(play);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_node_stopped_while_a_version_closes_decides_nothing_again_that_it_had_begun_though_its_lease_holds() {
-    let mut play = fleet(10, |_| {});
-    let Admission::Admit(epoch) = arrives(&mut play, 0) else { panic!("it serves") };
-    play.propose(1, "share = 1").expect("taken for proposing");
-    play.until(1000 * MS, |p| p.node(0).state().is_closing()).expect("it closes");
-    play.pause(0, true);
-    play.run(300 * MS);
-    play.pause(0, false);
-    let (machine, now) = play.model.machine(0).expect("it runs");
+fn node_paused_while_a_version_closes_retries_no_begun_request_although_its_lease_is_valid() {
+    let mut sim = fleet(10, |_| {});
+    let Admission::Admit(epoch) = arrive(&mut sim, 0) else { panic!("the node serves") };
+    sim.propose(1, "share = 1").expect("accepted for proposing");
+    sim.run_until(1000 * MS, |p| p.node(0).state().is_closing()).expect("the version closes");
+    sim.pause(0, true);
+    sim.run(300 * MS);
+    sim.pause(0, false);
+    let (machine, now) = sim.model.machine(0).expect("the node runs");
     assert!(machine.state().is_closing() && machine.has_lease(now.boot));
     assert!(machine.check_epoch(now.boot, &epoch).is_err());
-    sound(play);
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_node_whose_check_refuses_what_was_taken_without_it_serves_nothing_until_the_next_change() {
-    let mut play = fleet(11, |_| {});
-    play.cut(3, true);
-    play.run(2500 * MS);
-    let (end, _) = change(&mut play, 1, "share = 1 !n3", 1000 * MS);
+fn node_whose_check_rejects_the_active_document_serves_nothing_until_the_next_change() {
+    let mut sim = fleet(11, |_| {});
+    sim.isolate(3, true);
+    sim.run(2500 * MS);
+    let (end, _) = run_change(&mut sim, 1, "share = 1 !n3", 1000 * MS);
     assert_eq!(end, ProposalOutcome::Taken(Version(1)));
-    play.cut(3, false);
-    play.run(1000 * MS);
-    assert_eq!(refused(&arrives(&mut play, 3)), Some(RejectionReason::InvalidDocument));
-    let (machine, now) = play.model.machine(3).expect("it runs");
+    sim.isolate(3, false);
+    sim.run(1000 * MS);
+    assert_eq!(rejection_reason(&arrive(&mut sim, 3)), Some(RejectionReason::InvalidDocument));
+    let (machine, now) = sim.model.machine(3).expect("the node runs");
     assert!(!machine.is_ready(now.boot) && machine.document_error().is_some());
-    assert_eq!(change(&mut play, 1, "share = 2", 1000 * MS).0, ProposalOutcome::Taken(Version(2)));
-    play.run(50 * MS);
-    assert!(matches!(arrives(&mut play, 3), Admission::Admit(e) if e.version == Version(2)));
-    sound(play);
+    assert_eq!(run_change(&mut sim, 1, "share = 2", 1000 * MS).0, ProposalOutcome::Taken(Version(2)));
+    sim.run(50 * MS);
+    assert!(matches!(arrive(&mut sim, 3), Admission::Admit(e) if e.version == Version(2)));
+    assert_no_breaches(sim);
 }
 
 #[test]
-fn a_member_that_asks_for_its_lease_a_second_time_while_a_version_closes_has_not_stopped() {
-    let peer = |n: &str| Peer { name: Name::new(n).expect("a name"), session: Session(1) };
+fn member_that_joins_a_second_time_while_a_version_closes_has_not_confirmed_its_stop() {
+    let peer = |n: &str| Peer { name: Name::new(n).expect("a valid name"), session: Session(1) };
     let (a, b, c) = (peer("a"), peer("b"), peer("c"));
     let join = || Entry::Join { request: 1, term_ms: 1000, serves_without_lease: false };
     let mut state = State::default();
@@ -329,6 +336,6 @@
         state.apply(Index(i as u64 + 1), by, entry);
     }
     assert!(state.is_closing());
-    // The newcomer has: it learns of its lease after the closing.
+    // The new member counts as stopped, because it learns of its lease after the closing.
     assert_eq!(state.change.map(|change| change.acknowledged), Some(BTreeSet::from([c])));
 }
--- a/crates/policy_change/src/simulation.rs
+++ b/crates/policy_change/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A small fleet on the log's model, for the tests: requests that come all the time, and a record of all that nodes do, on
-//! the true clock, for the checker.
+//! A simulated small fleet on the log's model, for the tests: clients send requests all the time, and
+//! everything the nodes do is recorded on the simulation's own clock for the checker.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 
 pub(crate) const MS: Duration = Duration::from_millis(1);
 
-/// Short enough that a run of some twenty seconds sees many leases end.
-pub(crate) fn short() -> Settings {
+/// Settings short enough that many leases expire in a run of about 20 s.
+pub(crate) fn short_settings() -> Settings {
     let term = 2000 * MS;
     Settings {
         term,
@@ -33,72 +33,72 @@
     }
 }
 
-/// A node's check refuses a document that names it after a `!`.
-fn checker(name: &Name) -> DocumentCheck {
-    let mark = format!("!{name}");
+/// A check that rejects documents which contain `!` and the node's name.
+fn check_for(name: &Name) -> DocumentCheck {
+    let marker = format!("!{name}");
     Box::new(move |document| {
         let text = String::from_utf8_lossy(document);
-        if text.contains(&mark) {
+        if text.contains(&marker) {
             return Err(format!("policy.toml:3: key \"share\": {text}"));
         }
         Ok(())
     })
 }
 
-struct Flight {
+struct InFlightRequest {
     request: u64,
     epoch: Epoch,
-    at: Duration,
-    /// Tries that are still to come before it is answered.
-    tries: u32,
+    due: Duration,
+    /// Retries left before the request is answered.
+    retries_left: u32,
 }
 
 #[derive(Default)]
-struct Local {
-    flights: Vec<Flight>,
-    held: Vec<(u64, QueueSlot)>,
-    moved: u64,
-    last_past: Option<EndedProposal>,
-    told: BTreeSet<(u64, bool)>,
-    proposed: u64,
+struct NodeState {
+    in_flight: Vec<InFlightRequest>,
+    queued: Vec<(u64, QueueSlot)>,
+    reopen_count: u64,
+    last_ended: Option<EndedProposal>,
+    reported_ends: BTreeSet<(u64, bool)>,
+    last_proposed: u64,
     killed: bool,
     paused: bool,
-    cut: bool,
+    isolated: bool,
 }
 
-impl Local {
-    fn down(&self) -> bool {
-        self.killed || self.paused || self.cut
+impl NodeState {
+    fn is_down(&self) -> bool {
+        self.killed || self.paused || self.isolated
     }
 }
 
-pub(crate) struct Play {
+pub(crate) struct Simulation {
     pub(crate) model: Model<PolicyChange>,
     pub(crate) records: Vec<Record>,
     pub(crate) rng: Pcg64,
     settings: Vec<Settings>,
-    locals: Vec<Local>,
+    nodes: Vec<NodeState>,
     requests: u64,
-    /// The chance that a request comes to a node in one step.
+    /// Probability that a request arrives at a node in one step.
     pub(crate) load: f64,
 }
 
-impl Play {
+impl Simulation {
     pub(crate) fn new(seed: u64, settings: Vec<Settings>, faults: Faults) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed ^ 0x9e37);
         let mut model = Model::new(seed, faults, 1_700_000_000_000);
         for (i, settings) in settings.iter().enumerate() {
             let clocks = Clocks {
                 boot_at_zero: Duration::from_millis(rng.random_range(0..100_000_000)),
-                // Any two within a hundredth of each other.
+                // The rates of any two clocks differ by less than 1 %.
                 rate: rng.random_range(0.9951..1.0049),
                 wall_ahead_ms: rng.random_range(-600_000..600_000),
             };
-            let name = Name::new(&format!("n{i}")).expect("a name");
-            model.add(name, clocks, |me, now| node(settings, me, now));
+            let name = Name::new(&format!("n{i}")).expect("a valid name");
+            model.add(name, clocks, |me, now| new_machine(settings, me, now));
         }
-        let locals = settings.iter().map(|_| Local::default()).collect();
-        Self { model, records: Vec::new(), rng, settings, locals, requests: 0, load: 0.02 }
+        let nodes = settings.iter().map(|_| NodeState::default()).collect();
+        Self { model, records: Vec::new(), rng, settings, nodes, requests: 0, load: 0.02 }
     }
 
     fn record(&mut self, i: usize, what: Event) {
@@ -106,46 +106,51 @@
         self.records.push(Record { at, node: format!("n{i}"), what });
     }
 
-    fn befall(&mut self, i: usize, ran: bool, change: impl FnOnce(&mut Local)) {
-        let was = self.locals[i].down();
-        change(&mut self.locals[i]);
-        let is = self.locals[i].down();
-        if is {
+    fn update_node(&mut self, i: usize, ran: bool, change: impl FnOnce(&mut NodeState)) {
+        let was_down = self.nodes[i].is_down();
+        change(&mut self.nodes[i]);
+        let is_down = self.nodes[i].is_down();
+        if is_down {
             self.record(i, Event::Down { ran });
-        } else if was {
+        } else if was_down {
             self.record(i, Event::Back);
         }
     }
 
     pub(crate) fn kill(&mut self, i: usize) {
         self.model.kill(i);
-        let cut = self.locals[i].cut;
-        self.locals[i] =
-            Local { killed: true, cut, told: std::mem::take(&mut self.locals[i].told), ..Local::default() };
+        let isolated = self.nodes[i].isolated;
+        self.nodes[i] = NodeState {
+            killed: true,
+            isolated,
+            reported_ends: std::mem::take(&mut self.nodes[i].reported_ends),
+            ..NodeState::default()
+        };
         self.record(i, Event::Down { ran: false });
     }
 
     pub(crate) fn start(&mut self, i: usize) {
         let settings = self.settings[i].clone();
-        self.model.start(i, |me, now| node(&settings, me, now));
-        self.befall(i, true, |l| (l.killed, l.paused) = (false, false));
+        self.model.start(i, |me, now| new_machine(&settings, me, now));
+        self.update_node(i, true, |n| (n.killed, n.paused) = (false, false));
     }
 
     pub(crate) fn pause(&mut self, i: usize, paused: bool) {
         self.model.set_paused(i, paused);
-        self.befall(i, !paused, |l| l.paused = paused);
+        self.update_node(i, !paused, |n| n.paused = paused);
     }
 
-    pub(crate) fn cut(&mut self, i: usize, cut: bool) {
-        self.model.set_isolated(i, cut);
-        self.befall(i, true, |l| l.cut = cut);
+    pub(crate) fn isolate(&mut self, i: usize, isolated: bool) {
+        self.model.set_isolated(i, isolated);
+        self.update_node(i, true, |n| n.isolated = isolated);
     }
 
     pub(crate) fn node(&mut self, i: usize) -> &mut PolicyChange {
-        self.model.machine(i).expect("it runs").0
+        self.model.machine(i).expect("the node runs").0
     }
 
-    /// Proposes at node `i` against what it holds to be active; its ticket, if it runs and takes it.
+    /// Proposes at node `i` against the version that is active there. Returns the ticket, if the node runs
+    /// and accepts the proposal.
     pub(crate) fn propose(&mut self, i: usize, document: &str) -> Option<u64> {
         let (machine, now) = self.model.machine(i)?;
         let base = machine.state().active;
@@ -160,44 +165,44 @@
         let end = self.model.now() + d;
         while self.model.now() < end {
             self.model.run(STEP, |_| {});
-            self.serve();
+            self.step_requests();
         }
     }
 
-    /// Runs until `done`, for at most `limit`; the time it took.
-    pub(crate) fn until(
+    /// Runs until `done` returns true. Returns the time it took, or `None` after `limit`.
+    pub(crate) fn run_until(
         &mut self,
         limit: Duration,
         mut done: impl FnMut(&mut Self) -> bool,
     ) -> Option<Duration> {
-        let begun = self.model.now();
+        let start = self.model.now();
         while !done(self) {
-            if self.model.now() - begun >= limit {
+            if self.model.now() - start >= limit {
                 return None;
             }
             self.run(STEP);
         }
-        Some(self.model.now() - begun)
+        Some(self.model.now() - start)
     }
 
-    /// What the nodes' users do in this step, and what there is to write down.
-    fn serve(&mut self) {
+    /// Simulates the clients' requests in this step and records the events of all nodes.
+    fn step_requests(&mut self) {
         let true_now = self.model.now();
         let at = true_now.as_nanos() as u64;
-        for i in 0..self.locals.len() {
+        for i in 0..self.nodes.len() {
             let Some((machine, now)) = self.model.machine(i) else { continue };
-            let (local, rng, records) = (&mut self.locals[i], &mut self.rng, &mut self.records);
+            let (node, rng, records) = (&mut self.nodes[i], &mut self.rng, &mut self.records);
             let mut record = |what| records.push(Record { at, node: format!("n{i}"), what });
             let boot = now.boot;
 
             let mut admitted: Vec<(u64, Admission)> = Vec::new();
-            let moved = local.moved != machine.reopen_count();
-            local.moved = machine.reopen_count();
+            let reopened = node.reopen_count != machine.reopen_count();
+            node.reopen_count = machine.reopen_count();
             let mut k = 0;
-            while k < local.held.len() {
-                if moved || boot >= local.held[k].1.expires_at {
-                    let (request, ticket) = local.held.remove(k);
-                    admitted.push((request, machine.readmit(boot, ticket)));
+            while k < node.queued.len() {
+                if reopened || boot >= node.queued[k].1.expires_at {
+                    let (request, slot) = node.queued.remove(k);
+                    admitted.push((request, machine.readmit(boot, slot)));
                 } else {
                     k += 1;
                 }
@@ -205,60 +210,66 @@
             if rng.random_bool(self.load) {
                 self.requests += 1;
                 record(Event::Arrived { request: self.requests });
-                let left = rng.random_range(0..2000) * MS;
-                admitted.push((self.requests, machine.admit(boot, left)));
+                let time_left = rng.random_range(0..2000) * MS;
+                admitted.push((self.requests, machine.admit(boot, time_left)));
             }
             for (request, admission) in admitted {
                 match admission {
                     Admission::Admit(epoch) => {
                         record(Event::Decided { request, version: epoch.version.0 });
-                        let tries = if rng.random_bool(0.3) { rng.random_range(1..3) } else { 0 };
-                        let takes = rng.random_range(1..200) * MS;
-                        local.flights.push(Flight { request, epoch, at: true_now + takes, tries });
+                        let retries_left = if rng.random_bool(0.3) { rng.random_range(1..3) } else { 0 };
+                        let duration = rng.random_range(1..200) * MS;
+                        node.in_flight.push(InFlightRequest {
+                            request,
+                            epoch,
+                            due: true_now + duration,
+                            retries_left,
+                        });
                     }
-                    Admission::Queue(ticket) => local.held.push((request, ticket)),
+                    Admission::Queue(slot) => node.queued.push((request, slot)),
                     Admission::Reject(_) => {}
                 }
             }
-            assert_eq!(machine.queued(), local.held.len());
+            assert_eq!(machine.queued(), node.queued.len());
 
-            local.flights.retain_mut(|f| {
-                if f.at > true_now {
+            node.in_flight.retain_mut(|f| {
+                if f.due > true_now {
                     return true;
                 }
                 let (request, version) = (f.request, f.epoch.version.0);
-                if f.tries == 0 {
+                if f.retries_left == 0 {
                     record(Event::Left { request, version });
                     return false;
                 }
-                f.tries -= 1;
-                f.at = true_now + rng.random_range(1..200) * MS;
-                let goes_on = machine.check_epoch(boot, &f.epoch).is_ok();
-                if goes_on {
+                f.retries_left -= 1;
+                f.due = true_now + rng.random_range(1..200) * MS;
+                let may_retry = machine.check_epoch(boot, &f.epoch).is_ok();
+                if may_retry {
                     record(Event::Decided { request, version });
                 }
-                goes_on
+                may_retry
             });
 
             let state = machine.state();
-            if let Some(change) = state.change.as_ref().filter(|c| c.version.0 > local.proposed) {
-                local.proposed = change.version.0;
+            if let Some(change) = state.change.as_ref().filter(|c| c.version.0 > node.last_proposed) {
+                node.last_proposed = change.version.0;
                 record(Event::Proposed { version: change.version.0 });
             }
-            if state.history.back() != local.last_past.as_ref() {
-                local.last_past = state.history.back().cloned();
-                for past in &state.history {
-                    let (version, taken) = match &past.outcome {
+            if state.history.back() != node.last_ended.as_ref() {
+                node.last_ended = state.history.back().cloned();
+                for ended in &state.history {
+                    let (version, taken) = match &ended.outcome {
                         ProposalOutcome::Taken(v) => (v.0, true),
                         ProposalOutcome::Aborted(v, _) => (v.0, false),
                         ProposalOutcome::Lost { .. } => continue,
                     };
-                    if local.told.insert((version, taken)) {
+                    if node.reported_ends.insert((version, taken)) {
                         record(Event::Ended { version, taken });
                     }
                 }
             }
-            // While a version closes a node that says it is ready claims no version: it holds what comes.
+            // While a version closes, a ready node decides under no version (it queues requests), so none is
+            // recorded.
             if at.is_multiple_of(37_000_000) && machine.is_ready(boot) {
                 if let Ok(version) = machine.admissible_version(boot) {
                     record(Event::Ready { version: version.0 });
@@ -267,15 +278,15 @@
         }
     }
 
-    /// Ends all faults.
-    pub(crate) fn heal(&mut self) {
-        for i in 0..self.locals.len() {
-            if self.locals[i].cut {
-                self.cut(i, false);
+    /// Ends all faults: every node runs and is connected.
+    pub(crate) fn end_faults(&mut self) {
+        for i in 0..self.nodes.len() {
+            if self.nodes[i].isolated {
+                self.isolate(i, false);
             }
-            if self.locals[i].killed {
+            if self.nodes[i].killed {
                 self.start(i);
-            } else if self.locals[i].paused {
+            } else if self.nodes[i].paused {
                 self.pause(i, false);
             }
         }
@@ -284,32 +295,34 @@
         self.model.set_faults(Faults::default());
     }
 
-    /// The breaches in all that was written down, once every node runs and knows all.
-    pub(crate) fn verdict(&mut self) -> Vec<Breach> {
-        for i in 0..self.locals.len() {
+    /// Returns the breaches in all records. Every node must be running and must have learned the whole log.
+    pub(crate) fn breaches(&mut self) -> Vec<Breach> {
+        for i in 0..self.nodes.len() {
             let version = self.node(i).state().active.0;
             self.record(i, Event::Final { version });
         }
-        // A refusal counts when the log has it from a member while the members check: one that was cut off before it came
-        // to the log, and whose lease ran out, is not counted any more.
+        // A rejection counts if it reaches the log while the change is in `Voting` and its sender is a
+        // member. It does not count if the sender was cut off before it reached the log and its lease
+        // expired.
         let mut state = State::default();
         let log = self.model.log().to_vec();
         for decided in log {
             let Some(entry) = Entry::decode(&decided.proposal.body) else { continue };
-            let by = &decided.proposal.proposer;
+            let sender = &decided.proposal.proposer;
             if let (Entry::Reject { version, .. }, Some(c)) = (&entry, &state.change) {
-                if c.version == *version && c.step == Step::Voting && state.members.contains_key(by) {
+                if c.version == *version && c.step == Step::Voting && state.members.contains_key(sender) {
                     let what = Event::Refused { version: version.0 };
-                    self.records.push(Record { at: 0, node: by.name.to_string(), what });
+                    self.records.push(Record { at: 0, node: sender.name.to_string(), what });
                 }
             }
-            state.apply(decided.index, by, entry);
-            for i in 0..self.locals.len() {
-                // Each knows what the log says up to the entry it has learnt, and that is what its snapshot holds.
+            state.apply(decided.index, sender, entry);
+            for i in 0..self.nodes.len() {
+                // Each node's state, and its snapshot, equals the state that the log determines up to the
+                // last entry the node has learned.
                 if self.model.learned_count(i) as u64 == decided.index.0 {
-                    assert_eq!(*self.node(i).state(), state, "n{i} and the log");
+                    assert_eq!(*self.node(i).state(), state, "n{i} differs from the log");
                     let copy = postcard::from_bytes::<State>(&self.node(i).snapshot());
-                    assert_eq!(copy.as_ref(), Ok(&state), "n{i}'s snapshot");
+                    assert_eq!(copy.as_ref(), Ok(&state), "the snapshot of n{i} differs from the log");
                 }
             }
         }
@@ -317,7 +330,7 @@
     }
 }
 
-fn node(settings: &Settings, me: Peer, now: Now) -> PolicyChange {
-    let check = checker(&me.name);
-    PolicyChange::new(me, settings.clone(), check, now).expect("settings that fit")
+fn new_machine(settings: &Settings, me: Peer, now: Now) -> PolicyChange {
+    let check = check_for(&me.name);
+    PolicyChange::new(me, settings.clone(), check, now).expect("valid settings")
 }
