--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -1,5 +1,6 @@
-//! What the ledger's own knowledge decides, pure: whether a request that seems to come again may go out, and whether any
-//! that needs an intent may be taken at all. Which server and whether to repeat an attempt stay the policy's.
+//! Decisions that follow from the ledger's state, without I/O: whether a request that may be a repeat can be
+//! sent, and whether a request that needs an intent can be accepted. Which server a request goes to and
+//! whether an attempt is repeated is decided by the policy.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -8,25 +9,25 @@
 use crate::open_intents::OpenIntent;
 use crate::record::{AttemptOutcome, Execution, KeyDigest, Timestamp};
 
-/// What a class may do without the ledger.
+/// How often requests of a class may run, and what makes a repeat harmless.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RepeatRule {
-    /// It may run any number of times: the ledger is not asked.
+    /// Any number of times: the ledger is not consulted.
     Any,
-    /// Servers drop a repeat by its key.
+    /// Once per key: servers drop a repeat with the same key.
     Keyed {
-        /// All of them know of each other's work; else those of a zone or a cell do, and which one a request goes to is the
-        /// policy's choice.
+        /// Whether all servers recognize each other's keys. Otherwise only the servers of a zone or a cell
+        /// do, and the policy chooses which one a request goes to.
         everywhere: bool,
-        /// For how long after the first send, in microseconds.
+        /// How long servers remember a key after the first send, in microseconds.
         span_us: u64,
     },
-    /// It may run once.
+    /// Once.
     Once,
 }
 
 impl RepeatRule {
-    /// Must an attempt have its intent written?
+    /// Returns whether an attempt must have a recorded intent.
     pub fn needs_intent(self) -> bool {
         self != Self::Any
     }
@@ -35,18 +36,21 @@
 /// Why a request is answered as failed without an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// A request with this id was out when the node died: it may have run, and may run once.
+    /// A request with this id was in flight when the node died: it may have run, and may run only once.
     IdMayHaveRun,
-    /// A request with this key was out when the node died, and the servers may have forgotten it by the time of a repeat.
+    /// A request with this key was in flight when the node died, and the servers may have forgotten the key
+    /// by the time of a repeat.
     KeyOutOfSpan,
-    /// The same, and only a part of the servers would know the repeat for one.
+    /// A request with this key was in flight when the node died, and only some of the servers would recognize
+    /// the repeat.
     KeyElsewhere,
-    /// The same, and what the ledger holds of it is damaged: when it was first sent is not known.
+    /// A request with this key was in flight when the node died, and its ledger entry is damaged, so that the
+    /// time of its first send is unknown.
     KeyNotTrusted,
 }
 
 impl RejectionReason {
-    /// One word, for the answer to the client.
+    /// The reason as written in the response header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::IdMayHaveRun => "id-may-have-run",
@@ -57,20 +61,21 @@
     }
 }
 
-/// Why nothing that needs an intent is taken at present.
+/// Why no intent can be recorded at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntentError {
-    /// The disk failed, and is not back yet.
+    /// The disk failed and has not recovered.
     Down,
-    /// What is being written takes too long.
+    /// The current write takes too long.
     Slow,
-    /// Too many intents wait to be written.
+    /// Too many intents are waiting to be written.
     QueueFull,
-    /// As many intents are open as may be; those of earlier lives await an operator's word.
+    /// The maximum number of intents is open; those of earlier incarnations stay open until an operator
+    /// settles them.
     TooManyOpen,
-    /// Its id is longer than a record may hold.
+    /// The request's id is longer than a record may hold.
     IdTooLong,
-    /// The node ends.
+    /// The node is shutting down.
     Closed,
 }
 
@@ -87,47 +92,47 @@
     }
 }
 
-/// How a ledger stands, for whoever asks whether one more intent may be noted.
+/// The state of a ledger that decides whether one more intent can be recorded.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerLoad {
-    /// The node ends.
+    /// Whether the node is shutting down.
     pub closed: bool,
-    /// The disk failed, and is not back yet.
+    /// Whether the disk failed and has not recovered.
     pub down: bool,
-    /// More was open at the last death than could be taken over.
-    pub over: bool,
-    /// Intents that are open, those of earlier lives among them.
+    /// Whether recovery found more open intents than it could hold.
+    pub recovery_overflow: bool,
+    /// Open intents, including those of earlier incarnations.
     pub open: usize,
-    /// Intents that wait to be written, those that are being written among them.
+    /// Intents waiting to be written, including those in the batch being written.
     pub waiting: usize,
-    /// For how long the batch of now has been written.
+    /// How long the current batch has been in progress.
     pub write_elapsed: Option<Duration>,
 }
 
-/// How much a ledger bears.
+/// Limits on the intents of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct IntentLimits {
-    /// Open intents.
+    /// Maximum number of open intents.
     pub open: usize,
-    /// Waiting intents.
+    /// Maximum number of waiting intents.
     pub waiting: usize,
-    /// A batch that takes longer shows a slow disk.
+    /// A batch that takes longer than this indicates a slow disk.
     pub stall: Duration,
 }
 
 impl LedgerLoad {
-    /// May one more intent be noted?
+    /// Checks whether one more intent can be recorded.
     ///
     /// # Errors
-    /// Why not; of several reasons the one that lasts longest.
+    /// The reason why not; of several, the one that lasts longest.
     pub fn check(&self, limits: &IntentLimits) -> Result<(), IntentError> {
         if self.closed {
             Err(IntentError::Closed)
         } else if self.down {
             Err(IntentError::Down)
-        } else if self.over || self.open + self.waiting >= limits.open {
+        } else if self.recovery_overflow || self.open + self.waiting >= limits.open {
             Err(IntentError::TooManyOpen)
-        } else if self.write_elapsed.is_some_and(|span| span > limits.stall) {
+        } else if self.write_elapsed.is_some_and(|elapsed| elapsed > limits.stall) {
             Err(IntentError::Slow)
         } else if self.waiting >= limits.waiting {
             Err(IntentError::QueueFull)
@@ -137,46 +142,49 @@
     }
 }
 
-/// Is it harmless to ask again for a request none of whose attempts is out, as these ended? Only where none may have run.
+/// Returns whether a request without attempts in flight can safely be retried, given how its attempts ended:
+/// only if none of them can have run.
 pub fn is_safe_to_retry(ended: impl IntoIterator<Item = AttemptOutcome>) -> bool {
-    ended.into_iter().all(|how| how.execution() == Execution::Never)
+    ended.into_iter().all(|outcome| outcome.execution() == Execution::Never)
 }
 
-/// What is known of a key that was out when the node died.
+/// What is known of a key that was in flight when the node died.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
-    /// The earliest send that is known.
+struct KeySend {
+    /// The earliest known send.
     at: Timestamp,
     trusted: bool,
 }
 
-impl Sent {
-    /// For how long at least it has been sent, in microseconds; `None` where the clocks do not say. The wall clock may have been
-    /// set back since, and the machine's own begins anew when that starts: the longer of both is believed.
+impl KeySend {
+    /// The minimum time since the send, in microseconds; `None` if the wall clock is behind the send. The
+    /// wall clock may have been set back since, and the boot clock restarts with the machine, so the longer
+    /// of the two ages counts.
     fn age_us(&self, now: Timestamp) -> Option<u64> {
-        let by_wall = now.wall_us.checked_sub(self.at.wall_us)?;
-        let by_boot = now.mono_us.saturating_sub(self.at.mono_us);
-        Some(by_wall.max(by_boot))
+        let wall_age = now.wall_us.checked_sub(self.at.wall_us)?;
+        let boot_age = now.mono_us.saturating_sub(self.at.mono_us);
+        Some(wall_age.max(boot_age))
     }
 }
 
-/// What was out when the node died, by id and by key.
+/// Requests that were in flight when the node died, by id and by key.
 #[derive(Debug, Default)]
 pub struct UnknownIntents {
     ids: HashSet<Box<str>>,
-    keys: HashMap<KeyDigest, Sent>,
+    keys: HashMap<KeyDigest, KeySend>,
     count: usize,
 }
 
 impl UnknownIntents {
-    /// Those of a recovery.
+    /// Collects the open intents of a recovery.
     pub fn new<'a>(open: impl IntoIterator<Item = &'a OpenIntent>) -> Self {
         let mut all = Self::default();
         for OpenIntent { intent, trusted } in open {
             all.count += 1;
-            let sent = Sent { at: intent.at, trusted: *trusted };
+            let sent = KeySend { at: intent.at, trusted: *trusted };
             match intent.key {
-                // Of several attempts the first one's time counts: the span of a key begins with it.
+                // Of several attempts the earliest send counts, because the key's lifetime at the servers
+                // starts with it.
                 Some(key) => {
                     let first = all.keys.entry(key).or_insert(sent);
                     first.at.wall_us = first.at.wall_us.min(sent.at.wall_us);
@@ -191,19 +199,19 @@
         all
     }
 
-    /// How many intents they are.
+    /// The number of intents.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// May this request go out? `left_us` is the time that the request has: an attempt may begin as late as that, and the
-    /// servers must still know the key by then.
+    /// Checks whether a request may be sent. `left_us` is the time until its deadline: an attempt may start
+    /// that late, and the servers must still remember the key then.
     ///
     /// # Errors
-    /// Why it is answered as failed.
+    /// The reason why the request is answered as failed.
     pub fn check_repeat(
         &self,
-        right: RepeatRule,
+        rule: RepeatRule,
         id: &str,
         key: Option<KeyDigest>,
         now: Timestamp,
@@ -212,19 +220,19 @@
         if self.count == 0 {
             return Ok(());
         }
-        match right {
+        match rule {
             RepeatRule::Any => Ok(()),
             RepeatRule::Once if self.ids.contains(id) => Err(RejectionReason::IdMayHaveRun),
             RepeatRule::Once => Ok(()),
             RepeatRule::Keyed { everywhere, span_us } => {
                 let Some(sent) = key.and_then(|key| self.keys.get(&key)) else { return Ok(()) };
-                // A clock that has stepped back behind the send says nothing of how long ago it was.
+                // A wall clock that is now behind the send gives no age.
                 let age = sent.age_us(now);
-                let in_span = age.is_some_and(|age| age.saturating_add(left_us) < span_us);
+                let is_remembered = age.is_some_and(|age| age.saturating_add(left_us) < span_us);
                 match sent.trusted {
                     false => Err(RejectionReason::KeyNotTrusted),
                     true if !everywhere => Err(RejectionReason::KeyElsewhere),
-                    true if !in_span => Err(RejectionReason::KeyOutOfSpan),
+                    true if !is_remembered => Err(RejectionReason::KeyOutOfSpan),
                     true => Ok(()),
                 }
             }
--- a/crates/ledger/src/admission/tests.rs
+++ b/crates/ledger/src/admission/tests.rs
@@ -21,26 +21,26 @@
 #[test]
 fn an_intent_is_noted_only_where_it_can_be_kept() {
     let limits = IntentLimits { open: 10, waiting: 4, stall: Duration::from_millis(50) };
-    let (closed, down, over) = (false, false, false);
+    let (closed, down, recovery_overflow) = (false, false, false);
     let good = LedgerLoad {
         closed,
         down,
-        over,
+        recovery_overflow,
         open: 3,
         waiting: 3,
         write_elapsed: Some(Duration::from_millis(50)),
     };
     assert_eq!(good.check(&limits), Ok(()));
     let slow = Some(Duration::from_millis(51));
-    for (load, trouble) in [
+    for (load, error) in [
         (LedgerLoad { waiting: 4, ..good }, IntentError::QueueFull),
         (LedgerLoad { waiting: 4, write_elapsed: slow, ..good }, IntentError::Slow),
         (LedgerLoad { open: 7, write_elapsed: slow, ..good }, IntentError::TooManyOpen),
-        (LedgerLoad { over: true, ..good }, IntentError::TooManyOpen),
-        (LedgerLoad { over: true, down: true, ..good }, IntentError::Down),
+        (LedgerLoad { recovery_overflow: true, ..good }, IntentError::TooManyOpen),
+        (LedgerLoad { recovery_overflow: true, down: true, ..good }, IntentError::Down),
         (LedgerLoad { down: true, closed: true, ..good }, IntentError::Closed),
     ] {
-        assert_eq!(load.check(&limits), Err(trouble), "{load:?}");
+        assert_eq!(load.check(&limits), Err(error), "{load:?}");
     }
     assert!(is_safe_to_retry([
         AttemptOutcome::NotSent,
--- a/crates/ledger/src/directory.rs
+++ b/crates/ledger/src/directory.rs
@@ -1,4 +1,4 @@
-//! Reading a directory of segments: all of it, or from the last whole checkpoint on.
+//! Reads a directory of segments: all of them, or from the last complete checkpoint on.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,22 +9,22 @@
 use crate::scan::{ScanEvent, Scanner};
 use crate::segment::{looks_like_copy, parse_file_name, Owner, SegmentNo};
 
-/// Bytes that are read at a time.
+/// Bytes read at a time.
 pub const READ_BYTES: usize = 256 * 1024;
 
-/// How much of a directory is read.
+/// Which segments of a directory are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadScope {
     /// Every segment.
     All,
-    /// From the last whole checkpoint on: enough to know what is open.
+    /// The segments from the last complete checkpoint on, which is enough to know the open intents.
     Checkpoint,
 }
 
-/// Segments by number, and what looks like a copy of one.
+/// Lists the segments by number, and the files that look like copies of one.
 ///
 /// # Errors
-/// The disk's.
+/// If the file names cannot be read.
 pub fn segments(disk: &mut impl Disk) -> io::Result<(BTreeMap<u64, String>, Vec<String>)> {
     let (mut found, mut copies) = (BTreeMap::new(), Vec::new());
     for name in disk.file_names()? {
@@ -40,10 +40,11 @@
     Ok((found, copies))
 }
 
-/// Reads a directory. Each record goes to `sink` in order. A file that can't be read is a finding.
+/// Reads a directory and passes each record to `sink` in order. A file that cannot be read is a finding, not
+/// an error.
 ///
 /// # Errors
-/// Where the names can't be read.
+/// If the file names cannot be read.
 pub fn recover<D: Disk>(
     disk: &mut D,
     owner: Owner,
@@ -56,12 +57,13 @@
     let from = match reach {
         ReadScope::All => 0,
         ReadScope::Checkpoint => {
-            let whole = |number: &u64| has_checkpoint(disk, owner, *number, &found[number], &mut piece);
-            found.keys().rev().copied().find(whole).unwrap_or(0)
+            let has_whole_checkpoint =
+                |number: &u64| has_checkpoint(disk, owner, *number, &found[number], &mut piece);
+            found.keys().rev().copied().find(has_whole_checkpoint).unwrap_or(0)
         }
     };
     let mut recovery = Recovery::new(owner, limits);
-    copies.into_iter().for_each(|file| recovery.find(Finding::Doubled { file }));
+    copies.into_iter().for_each(|file| recovery.add_finding(Finding::Doubled { file }));
     for (number, name) in found.range(from..) {
         recovery.begin(*number, sink);
         let mut at = 0;
@@ -82,21 +84,21 @@
     Ok(recovery.finish(sink))
 }
 
-/// Does a segment begin with a whole checkpoint? Reads no further than that.
+/// Returns whether a segment begins with a complete checkpoint. Reads no more than is needed for that.
 fn has_checkpoint(disk: &mut impl Disk, owner: Owner, number: u64, name: &str, piece: &mut [u8]) -> bool {
-    // Only the shape counts here, so none of the open intents need be held.
+    // Only the structure matters here, so no open intent needs to be held.
     let mut recovery = Recovery::new(owner, RecoveryLimits { open: 0, findings: 0 });
     recovery.begin(number, &mut |_| {});
-    let (mut at, mut past) = (0, false);
+    let (mut at, mut past_checkpoint) = (0, false);
     while let Ok(count @ 1..) = disk.read(name, at, piece) {
         at += count as u64;
-        // What follows the checkpoint in the same piece may be damaged, which says nothing against it.
+        // Damage after the checkpoint in the same piece does not invalidate the checkpoint.
         for part in piece[..count].chunks(4096) {
-            recovery.push(part, &mut |seen| past |= !is_head(&seen));
+            recovery.push(part, &mut |located| past_checkpoint |= !is_checkpoint_record(&located));
             if recovery.has_checkpoint() {
                 return true;
             }
-            if past || recovery.is_doubted() {
+            if past_checkpoint || recovery.is_suspect() {
                 return false;
             }
         }
@@ -104,11 +106,11 @@
     false
 }
 
-fn is_head(seen: &LocatedRecord) -> bool {
-    matches!(seen.record, Record::Carried(_) | Record::Checkpoint { .. })
+fn is_checkpoint_record(located: &LocatedRecord) -> bool {
+    matches!(located.record, Record::Carried(_) | Record::Checkpoint { .. })
 }
 
-/// Follows a directory while its writer goes on: each call tells what has come since the last.
+/// Follows a directory while it is being written: each poll reports what was added since the last one.
 #[derive(Debug)]
 pub struct Follower {
     owner: Owner,
@@ -117,35 +119,36 @@
     piece: Vec<u8>,
 }
 
-/// What a follower sees.
+/// What a follower reports.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FollowEvent {
     /// A record.
     Record(LocatedRecord),
-    /// Something wrong.
+    /// A problem.
     Finding(Finding),
     /// Segments were removed before they could be read.
     Missed {
-        /// From this one.
+        /// The first of them, which may have been read in part.
         from: u64,
-        /// The next that is there.
+        /// The next existing segment.
         to: u64,
     },
 }
 
 impl Follower {
-    /// Begins at the oldest segment that is there.
+    /// Starts at the oldest existing segment.
     pub fn new(owner: Owner) -> Self {
         Self { owner, reading: None, piece: vec![0; READ_BYTES] }
     }
 
-    /// Reads what there is by now.
+    /// Reads what has been written by now.
     ///
     /// # Errors
-    /// Where the names can't be read. A file that is gone is told as missed.
+    /// If the file names cannot be read. A file that is gone is reported as missed.
     pub fn poll(&mut self, disk: &mut impl Disk, sink: &mut impl FnMut(FollowEvent)) -> io::Result<()> {
         loop {
-            // The names first: a segment that is there by then was begun after the end of the one before.
+            // The names are listed first: a segment that is listed was begun after the previous one was
+            // finished.
             let (found, _) = segments(disk)?;
             let Some((number, scanner)) = &mut self.reading else {
                 let Some((number, _)) = found.first_key_value() else { return Ok(()) };
@@ -154,15 +157,15 @@
             };
             let number = *number;
             if let Some(name) = found.get(&number) {
-                let told = &mut |item| tell(number, item, sink);
-                // What is gone between the look and the read has been missed, as below.
-                while let Ok(count @ 1..) = disk.read(name, scanner.at_end(), &mut self.piece) {
-                    scanner.push(&self.piece[..count], told);
+                let report_event = &mut |item| report(number, item, sink);
+                // A file that was removed since the listing is reported as missed below.
+                while let Ok(count @ 1..) = disk.read(name, scanner.position(), &mut self.piece) {
+                    scanner.push(&self.piece[..count], report_event);
                 }
             }
             let Some((next, _)) = found.range(number + 1..).next() else { return Ok(()) };
             if let Some((_, old)) = self.reading.replace((*next, Scanner::new(self.owner, *next))) {
-                old.end(&mut |item| tell(number, item, sink));
+                old.end(&mut |item| report(number, item, sink));
             }
             if *next > number + 1 || !found.contains_key(&number) {
                 sink(FollowEvent::Missed { from: number, to: *next });
@@ -171,7 +174,7 @@
     }
 }
 
-fn tell(number: u64, item: ScanEvent, sink: &mut impl FnMut(FollowEvent)) {
+fn report(number: u64, item: ScanEvent, sink: &mut impl FnMut(FollowEvent)) {
     let segment = SegmentNo(number);
     sink(match item {
         ScanEvent::Record { seq, record, .. } => {
--- a/crates/ledger/src/disk.rs
+++ b/crates/ledger/src/disk.rs
@@ -1,4 +1,4 @@
-//! Whose directory a ledger's is. The disk itself, its lock and the one that is simulated are the store's.
+//! The identity of a ledger's directory. The disk, its lock and its simulation are those of the store.
 
 use std::io::{self, ErrorKind};
 use std::path::Path;
@@ -10,27 +10,27 @@
 
 use crate::segment::{Identity, Owner};
 
-/// Why a directory can't be had.
+/// Why a directory cannot be used.
 #[derive(Debug)]
 pub enum DirectoryError {
-    /// Another process writes in it.
+    /// Another process holds the lock.
     Locked(String),
-    /// It is another node's.
+    /// The directory belongs to another node.
     OtherNode(String),
-    /// Its identity makes no sense, or is of a later version.
+    /// The identity file is invalid or of a later version.
     Identity(String),
-    /// The system's word.
+    /// The operating system's error.
     Io(&'static str, io::Error),
 }
 
 impl std::fmt::Display for DirectoryError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Locked(by) => write!(f, "lock: held by {by}: one node a directory"),
+            Self::Locked(holder) => write!(f, "lock: held by {holder}: one node a directory"),
             Self::OtherNode(name) => {
                 write!(f, "identity: this is the ledger of {name}; a copy is read with `magpietally ledger`")
             }
-            Self::Identity(words) => write!(f, "identity: {words}"),
+            Self::Identity(error) => write!(f, "identity: {error}"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
     }
@@ -39,9 +39,9 @@
 impl std::error::Error for DirectoryError {}
 
 impl From<magpietally_store::disk::LockError> for DirectoryError {
-    fn from(why: magpietally_store::disk::LockError) -> Self {
-        match why {
-            magpietally_store::disk::LockError::Locked(by) => Self::Locked(by),
+    fn from(error: magpietally_store::disk::LockError) -> Self {
+        match error {
+            magpietally_store::disk::LockError::Locked(holder) => Self::Locked(holder),
             magpietally_store::disk::LockError::Io(what, error) => Self::Io(what, error),
         }
     }
@@ -49,31 +49,31 @@
 
 const IDENTITY: &str = "identity";
 
-/// Whose directory it is: read, or drawn where there is none yet.
+/// Reads the owner of a directory, or creates one if there is none yet.
 ///
 /// # Errors
-/// [`DirectoryError::OtherNode`] where it is another node's.
-pub fn load_or_create_identity(folder: &Path, node: &str) -> Result<Owner, DirectoryError> {
-    let io = |e| DirectoryError::Io(IDENTITY, e);
-    match read_identity(folder) {
-        Ok(own) if own.node != node => Err(DirectoryError::OtherNode(own.node)),
-        Ok(own) => Ok(own.owner),
+/// [`DirectoryError::OtherNode`] if the directory belongs to another node.
+pub fn load_or_create_identity(directory: &Path, node: &str) -> Result<Owner, DirectoryError> {
+    let io_error = |e| DirectoryError::Io(IDENTITY, e);
+    match read_identity(directory) {
+        Ok(identity) if identity.node != node => Err(DirectoryError::OtherNode(identity.node)),
+        Ok(identity) => Ok(identity.owner),
         Err(DirectoryError::Io(_, error)) if error.kind() == ErrorKind::NotFound => {
-            let own = Identity { node: node.to_string(), owner: Owner::random() };
-            let write = || replace_file(folder, IDENTITY, own.text().as_bytes());
-            retry::at_start(Call::File, IDENTITY, write).map_err(io)?;
-            Ok(own.owner)
+            let identity = Identity { node: node.to_string(), owner: Owner::random() };
+            let write = || replace_file(directory, IDENTITY, identity.text().as_bytes());
+            retry::at_start(Call::File, IDENTITY, write).map_err(io_error)?;
+            Ok(identity.owner)
         }
-        Err(why) => Err(why),
+        Err(error) => Err(error),
     }
 }
 
-/// Whose directory it is, for readers.
+/// Reads the identity of a directory, for programs that only read it.
 ///
 /// # Errors
-/// Where it is no ledger's.
-pub fn read_identity(folder: &Path) -> Result<Identity, DirectoryError> {
-    let read = || std::fs::read_to_string(folder.join(IDENTITY));
+/// If it is not the directory of a ledger.
+pub fn read_identity(directory: &Path) -> Result<Identity, DirectoryError> {
+    let read = || std::fs::read_to_string(directory.join(IDENTITY));
     let text = retry::within(FILE_TIMEOUT, Call::File, IDENTITY, read)
         .map_err(|e| DirectoryError::Io(IDENTITY, e))?;
     Identity::read(&text).map_err(DirectoryError::Identity)
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -1,5 +1,5 @@
-//! The writing side: batches of records into segments, with checkpoints, rotation and retention. It does what it is told
-//! when it is told; the thread that owns it is [`crate::writer`]'s. Time is an argument, the disk a [`Disk`].
+//! Writes batches of records into segments, with checkpoints, rotation and retention. It acts only when
+//! called; the thread that owns it is in [`crate::writer`]. Time is an argument and the disk is a [`Disk`].
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -12,15 +12,15 @@
 use crate::recovery::{Finding, Recovered, RecoveryLimits};
 use crate::segment::{file_name, Header, HeaderError, Owner, HEADER_BYTES};
 
-/// The most damaged places that are kept aside, and the most bytes of each.
-const KEPT_MOST: (usize, u64) = (16, 1 << 20);
+/// The maximum number of damaged ranges that are saved, and the maximum bytes of each.
+const SAVED_RANGES_MAX: (usize, u64) = (16, 1 << 20);
 
-/// What holds for an intent before its attempt is sent.
+/// What an intent survives once it is confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// It is written: it outlives the process.
+    /// The intent is written before the attempt is sent: it survives a crash of the process.
     ProcessCrash,
-    /// It is synced: it outlives a loss of power.
+    /// The intent is synced before the attempt is sent: it survives a power loss.
     PowerLoss,
 }
 
@@ -33,31 +33,32 @@
     }
 }
 
-/// How a journal keeps its segments.
+/// How a journal writes and retains its segments.
 #[derive(Clone, Copy, Debug)]
 pub struct JournalOptions {
-    /// The promise.
+    /// What a confirmed intent survives.
     pub durability: Durability,
-    /// A segment that holds so many bytes after its checkpoint is followed by a new one.
+    /// A new segment is begun once the current one holds this many bytes after its checkpoint.
     pub segment_bytes: u64,
-    /// One that is so old, in microseconds, likewise.
+    /// A new segment is begun once the current one is this old, in microseconds.
     pub segment_age_us: u64,
-    /// The most segments that are kept.
+    /// Maximum number of segments that are kept.
     pub segments: usize,
-    /// Segments older than this are not kept, in microseconds of the wall's clock.
+    /// Segments older than this are removed, in microseconds by the wall clock.
     pub age_us: u64,
-    /// The most intents that may be open, those of earlier lives among them.
+    /// Maximum number of open intents, including those of earlier incarnations.
     pub open: usize,
-    /// Records after attempts that wait for the disk to come back; further ones are lost, and counted.
+    /// Maximum number of records after attempts that are queued while the disk is down; further ones are
+    /// dropped and counted.
     pub backlog: usize,
 }
 
-/// A disk that did not do as it was told.
+/// A failed disk operation.
 #[derive(Debug)]
 pub struct DiskError {
-    /// At what.
+    /// The operation.
     pub at: &'static str,
-    /// The system's word.
+    /// The operating system's error.
     pub error: io::Error,
 }
 
@@ -69,12 +70,12 @@
 
 impl std::error::Error for DiskError {}
 
-/// Why a batch came to nothing.
+/// Why a batch was not committed.
 #[derive(Debug)]
 pub enum CommitError {
-    /// The disk failed at it.
+    /// The disk failed during the write.
     Disk(DiskError),
-    /// The disk had failed before, and is not back.
+    /// The disk failed earlier and has not recovered.
     Down,
 }
 
@@ -86,22 +87,22 @@
     began: Timestamp,
 }
 
-/// What a journal has done so far.
+/// Counters of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JournalStats {
     /// Records written.
     pub records: u64,
     /// Bytes written.
     pub bytes: u64,
-    /// Calls to the disk to write.
+    /// Write calls to the disk.
     pub writes: u64,
-    /// Calls to sync.
+    /// Sync calls to the disk.
     pub syncs: u64,
-    /// Records after attempts that there was no room for while the disk was away.
+    /// Records after attempts that were dropped because the backlog was full while the disk was down.
     pub lost: u64,
 }
 
-/// The segments of a directory, and what is open.
+/// The segments of a directory and the open intents.
 pub struct Journal<D: Disk> {
     disk: D,
     owner: Owner,
@@ -109,26 +110,27 @@
     options: JournalOptions,
     open_intents: OpenIntents,
     current: Option<Current<D::File>>,
-    /// Segments on disk before the current one: number, and when each began by the wall's clock.
+    /// Segments on disk before the current one: number, and Unix time in microseconds at which each began; 0
+    /// if unknown.
     old: VecDeque<(u64, u64)>,
     next_seq: u64,
     next_segment: u64,
-    /// Segments whose end was promised to nobody: (segment, from sequence).
-    doubts: Vec<(u64, u64)>,
+    /// Segments whose tail was never confirmed: (segment, first unconfirmed sequence).
+    unconfirmed: Vec<(u64, u64)>,
     backlog: VecDeque<Record>,
     buf: Vec<u8>,
     stats: JournalStats,
 }
 
 impl<D: Disk> Journal<D> {
-    /// Recovers what a directory holds, and gets ready to write behind it. No segment is open yet: [`Journal::heal`] opens
-    /// the first one.
+    /// Recovers the contents of a directory and prepares to write after them. No segment is open yet:
+    /// [`Journal::ensure_segment`] opens the first one.
     ///
     /// # Errors
-    /// Where the directory's names can't be read.
+    /// If the file names of the directory cannot be read.
     pub fn open(mut disk: D, owner: Owner, options: JournalOptions) -> io::Result<(Self, Recovered)> {
-        let bounds = RecoveryLimits { open: options.open, ..RecoveryLimits::default() };
-        let recovered = recover(&mut disk, owner, bounds, ReadScope::Checkpoint, &mut |_| {})?;
+        let limits = RecoveryLimits { open: options.open, ..RecoveryLimits::default() };
+        let recovered = recover(&mut disk, owner, limits, ReadScope::Checkpoint, &mut |_| {})?;
         let (found, _) = segments(&mut disk)?;
         let next_segment = found.last_key_value().map_or(1, |(last, _)| last.saturating_add(1));
         let mut open_intents = OpenIntents::new(options.open);
@@ -138,9 +140,10 @@
         }
         let mut old = VecDeque::new();
         for (number, name) in &found {
-            let mut head = [0; HEADER_BYTES];
-            // One of another node's, or that can't be told, is not ours to remove; one without a head is of no use.
-            match disk.read(name, 0, &mut head).map(|count| Header::read(&head[..count])) {
+            let mut header_bytes = [0; HEADER_BYTES];
+            // A segment of another node, or with an unreadable owner, must not be removed. One without a
+            // complete header holds nothing and can be.
+            match disk.read(name, 0, &mut header_bytes).map(|count| Header::read(&header_bytes[..count])) {
                 Ok(Ok(header)) if header.owner == owner => old.push_back((*number, header.wall_us)),
                 Ok(Err(HeaderError::Short)) => old.push_back((*number, 0)),
                 _ => {}
@@ -148,16 +151,16 @@
         }
         for finding in &recovered.findings {
             if let Finding::Damaged { segment, from, to } = finding {
-                // What can't be kept aside is still in its place, until the segment is too old.
+                // If saving fails, the bytes are still in the segment until retention removes it.
                 if let Err(error) = save_damaged_bytes(&mut disk, segment.0, *from, *to) {
-                    tracing::warn!(target: "ledger", "{segment}: its damaged bytes were not kept aside: {error}");
+                    tracing::warn!(target: "ledger", "{segment}: its damaged bytes could not be saved: {error}");
                 }
             }
         }
         let journal = Self {
             disk,
             owner,
-            // Numbers of segments only grow, so the first that a life writes is the life's own.
+            // Segment numbers only grow, so the first one that an incarnation writes identifies it.
             boot: next_segment,
             options,
             open_intents,
@@ -165,7 +168,7 @@
             old,
             next_seq: recovered.next_seq.min(1 << 62),
             next_segment,
-            doubts: Vec::new(),
+            unconfirmed: Vec::new(),
             backlog: VecDeque::new(),
             buf: Vec::new(),
             stats: JournalStats::default(),
@@ -173,36 +176,36 @@
         Ok((journal, recovered))
     }
 
-    /// Which life of the node this is.
+    /// The incarnation of the node.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// What is open.
+    /// The open intents.
     pub fn open_intents(&self) -> &OpenIntents {
         &self.open_intents
     }
 
-    /// Is a segment open?
+    /// Returns whether a segment is open for writing.
     pub fn is_up(&self) -> bool {
         self.current.is_some()
     }
 
-    /// What has been done.
+    /// The counters so far.
     pub fn stats(&self) -> JournalStats {
         self.stats
     }
 
-    /// Writes a batch: after this returns well each intent in it has its promise. Where it does not, none of its intents
-    /// counts; its other records are kept for the next segment.
+    /// Writes a batch. On success each intent in it is as durable as configured. On failure none of its
+    /// intents counts; its other records are queued for the next segment.
     ///
     /// # Errors
-    /// Where the disk failed, or is not back. Nothing is tried twice.
+    /// If the disk fails or has not recovered. Nothing is retried.
     pub fn commit(&mut self, batch: &[Record], now: Timestamp) -> Result<(), CommitError> {
         let result = self.try_commit(batch, now);
         if result.is_err() {
             for record in batch.iter().filter(|r| !matches!(r, Record::Intent(_))) {
-                self.keep_for_later(record);
+                self.enqueue_unwritten(record);
             }
         }
         result
@@ -221,25 +224,26 @@
         let synced =
             write(&mut self.disk, &mut current.file, &self.buf, self.options.durability, &mut self.stats);
         current.bytes += self.buf.len() as u64;
-        if let Err(fault) = synced {
-            self.doubt_from(first);
-            return Err(CommitError::Disk(fault));
+        if let Err(error) = synced {
+            self.mark_unconfirmed(first);
+            return Err(CommitError::Disk(error));
         }
         self.stats.records += batch.len() as u64;
         batch.iter().for_each(|record| self.open_intents.apply(record, true));
         Ok(())
     }
 
-    /// The current segment is closed as it is, and what it holds from this record on is doubted.
-    fn doubt_from(&mut self, first: u64) {
+    /// Stops writing to the current segment. Its records from this sequence on are unconfirmed.
+    fn mark_unconfirmed(&mut self, first: u64) {
         if let Some(current) = self.current.take() {
-            self.doubts.push((current.number, first));
+            self.unconfirmed.push((current.number, first));
             self.old.push_back((current.number, current.began.wall_us));
         }
     }
 
-    /// A record that could not be written waits for the next segment. One of an intent that never counted is not needed.
-    fn keep_for_later(&mut self, record: &Record) {
+    /// Queues a record that could not be written for the next segment. The outcome of an intent that was
+    /// never confirmed is not needed.
+    fn enqueue_unwritten(&mut self, record: &Record) {
         if let Record::Outcome(outcome) = record {
             if !self.open_intents.is_open(outcome.intent) {
                 return;
@@ -253,10 +257,10 @@
         }
     }
 
-    /// Time has passed: a segment that is old enough is followed by a new one.
+    /// Begins a new segment if the current one is old enough.
     ///
     /// # Errors
-    /// Where the disk failed.
+    /// If the disk fails.
     pub fn tick(&mut self, now: Timestamp) -> Result<(), DiskError> {
         self.rotate_if_due(now)
     }
@@ -284,16 +288,17 @@
             write(&mut self.disk, &mut current.file, &self.buf, self.options.durability, &mut self.stats);
         self.old.push_back((current.number, current.began.wall_us));
         if synced.is_err() {
-            self.doubts.push((current.number, first));
+            self.unconfirmed.push((current.number, first));
         }
         synced
     }
 
-    /// Opens a segment where none is: at the start, and after the disk had failed. What is open is told at its head, then
-    /// what of earlier segments is doubted, then what had to wait.
+    /// Opens a segment if none is open: at the start and after a disk failure. The segment begins with a
+    /// checkpoint of the open intents, followed by the unconfirmed tails of earlier segments and the queued
+    /// records.
     ///
     /// # Errors
-    /// Where the disk still fails; nothing is changed then.
+    /// If the disk still fails; nothing is changed then.
     pub fn ensure_segment(&mut self, now: Timestamp) -> Result<(), DiskError> {
         if self.current.is_some() {
             return Ok(());
@@ -308,7 +313,8 @@
         let mut file = match self.disk.create(&new_name) {
             Ok(file) => file,
             Err(error) => {
-                // Left behind by a try that failed half way, or somebody else's: its number is spent.
+                // A leftover of an attempt that failed half way, or a file of another program: its number
+                // cannot be used.
                 if error.kind() == io::ErrorKind::AlreadyExists {
                     self.next_segment += 1;
                 }
@@ -330,7 +336,7 @@
             add(&Record::Carried(carried), &mut bytes);
         }
         add(&Record::Checkpoint { carried: self.open_intents.open().len() as u32 }, &mut bytes);
-        for (segment, from) in &self.doubts {
+        for (segment, from) in &self.unconfirmed {
             add(&Record::Doubt { segment: *segment, from: *from }, &mut bytes);
         }
         for record in &self.backlog {
@@ -339,37 +345,38 @@
         let written =
             append_all(&mut self.disk, &mut file, &bytes, &mut self.stats).and_then(|()| match synced {
                 false => Ok(()),
-                true => sync_whole(&mut self.disk, &mut file, &mut self.stats),
+                true => sync_with_directory(&mut self.disk, &mut file, &mut self.stats),
             });
-        if let Err(fault) = written {
-            // A full disk is tried again and again, and each try must not leave a file.
+        if let Err(error) = written {
+            // Opening a segment is retried as long as the disk is full, and no attempt may leave a file
+            // behind.
             drop(file);
             if self.disk.remove(&new_name).is_err() {
                 self.next_segment += 1;
                 self.next_seq = seq;
-                self.doubts.push((number, first_seq));
+                self.unconfirmed.push((number, first_seq));
                 self.old.push_back((number, wall_us));
             }
-            return Err(fault);
+            return Err(error);
         }
         self.next_segment += 1;
         self.next_seq = seq;
         self.stats.records += self.backlog.len() as u64;
-        self.doubts.clear();
+        self.unconfirmed.clear();
         self.backlog.clear();
         self.current = Some(Current { file, number, bytes: 0, began: now });
         Ok(())
     }
 
-    /// Removes segments that are too many or too old. All that is open stands at the head of the current one, so none is
-    /// lost with them; but that head must be safe first.
+    /// Removes segments that are too many or too old. Every open intent is repeated in the checkpoint of the
+    /// current segment, so none is lost with them; that checkpoint must be synced first.
     fn prune(&mut self, now: Timestamp) -> Result<(), DiskError> {
-        let most = self.options.segments.max(1) - 1;
+        let old_max = self.options.segments.max(1) - 1;
         let due = |old: &VecDeque<(u64, u64)>, options: &JournalOptions| {
             old.front().is_some_and(|(_, began)| {
-                // Age counts only where it is known, and where the clock has not stepped back behind it.
+                // The age counts only if it is known and the clock is not behind the segment's beginning.
                 let age = if *began == 0 { 0 } else { now.wall_us.saturating_sub(*began) };
-                old.len() > most || age > options.age_us
+                old.len() > old_max || age > options.age_us
             })
         };
         if !due(&self.old, &self.options) {
@@ -377,10 +384,11 @@
         }
         if self.options.durability == Durability::ProcessCrash {
             let Some(current) = &mut self.current else { return Ok(()) };
-            let safe = sync_whole(&mut self.disk, &mut current.file, &mut self.stats);
-            if let Err(fault) = safe {
-                // What is written is still promised to outlive the process; it is the old ones that must stay.
-                tracing::warn!(target: "ledger", "{fault}; old segments stay");
+            let synced = sync_with_directory(&mut self.disk, &mut current.file, &mut self.stats);
+            if let Err(error) = synced {
+                // The written data still survives a process crash as promised, but the old segments must
+                // stay.
+                tracing::warn!(target: "ledger", "{error}; old segments are kept");
                 return Ok(());
             }
         }
@@ -389,7 +397,7 @@
             match self.disk.remove(&file_name(*number)) {
                 Ok(()) => {}
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-                // It is in the way of nothing; the next rotation tries again.
+                // A segment that cannot be removed does no harm; the next rotation tries again.
                 Err(_) => break,
             }
             self.old.pop_front();
@@ -397,32 +405,34 @@
         Ok(())
     }
 
-    /// The node ends, with nothing out or with what could not be waited for.
+    /// Closes the current segment at the end of the node, and records whether any intent is still open.
     ///
     /// # Errors
-    /// Where the disk failed; the next start then finds no end in order.
+    /// If the disk fails; the next start then finds no orderly end.
     pub fn close(&mut self) -> Result<(), DiskError> {
-        let nothing_out = self.open_intents.open().len() == 0;
-        self.close_current(nothing_out)
+        let no_open_intents = self.open_intents.open().len() == 0;
+        self.close_current(no_open_intents)
     }
 
-    /// The disk, for tests that hold what it has against what was promised.
+    /// The disk, for tests that compare its contents with what was confirmed.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// Copies damaged bytes to a file of their own, which retention does not know: `NUMBER-FROM.kept`.
+/// Copies damaged bytes to a file that retention does not remove: `NUMBER-FROM.kept`.
 fn save_damaged_bytes<D: Disk>(disk: &mut D, segment: u64, from: u64, to: u64) -> io::Result<()> {
-    let aside = format!("{segment:020}-{from}.kept");
+    let saved_name = format!("{segment:020}-{from}.kept");
     let names = disk.file_names()?;
-    if names.contains(&aside) || names.iter().filter(|n| n.ends_with(".kept")).count() >= KEPT_MOST.0 {
+    if names.contains(&saved_name)
+        || names.iter().filter(|n| n.ends_with(".kept")).count() >= SAVED_RANGES_MAX.0
+    {
         return Ok(());
     }
-    let mut bytes = vec![0; (to - from).min(KEPT_MOST.1) as usize];
+    let mut bytes = vec![0; (to - from).min(SAVED_RANGES_MAX.1) as usize];
     let count = disk.read(&file_name(segment), from, &mut bytes)?;
-    let mut file = disk.create(&aside)?;
-    append_all(disk, &mut file, &bytes[..count], &mut JournalStats::default()).map_err(|fault| fault.error)
+    let mut file = disk.create(&saved_name)?;
+    append_all(disk, &mut file, &bytes[..count], &mut JournalStats::default()).map_err(|failed| failed.error)
 }
 
 fn append_all<D: Disk>(
@@ -446,22 +456,26 @@
     disk.sync(file).map_err(|error| DiskError { at: "sync", error })
 }
 
-/// The same with the file's name.
-fn sync_whole<D: Disk>(disk: &mut D, file: &mut D::File, stats: &mut JournalStats) -> Result<(), DiskError> {
+/// Syncs a file and its directory entry.
+fn sync_with_directory<D: Disk>(
+    disk: &mut D,
+    file: &mut D::File,
+    stats: &mut JournalStats,
+) -> Result<(), DiskError> {
     sync(disk, file, stats)?;
     disk.sync_directory().map_err(|error| DiskError { at: "sync of the directory", error })
 }
 
-/// Adds bytes, so that the promise holds for them.
+/// Appends bytes with the configured durability.
 fn write<D: Disk>(
     disk: &mut D,
     file: &mut D::File,
     bytes: &[u8],
-    promise: Durability,
+    durability: Durability,
     stats: &mut JournalStats,
 ) -> Result<(), DiskError> {
     append_all(disk, file, bytes, stats)?;
-    match promise {
+    match durability {
         Durability::ProcessCrash => Ok(()),
         Durability::PowerLoss => sync(disk, file, stats),
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,12 +1,13 @@
-//! A ledger of requests that must not run twice, readable after any crash.
+//! A write-ahead ledger of requests that must not run twice, readable after any crash.
 //!
-//! Before an attempt of a class that may not be repeated at will is written to a server, its intent is written here; after
-//! it its outcome, and what the client was told. When a node dies, what it had out can be named, and held against the
-//! servers' own records.
+//! Before an attempt of a class that must not be repeated freely is written to a server, its intent is
+//! recorded here; afterwards its outcome and the final outcome that the client received. When a node dies,
+//! the requests that were in flight can be listed and compared with the servers' own records.
 //!
-//! Pure are the records ([`record`], [`segment`], [`scan`]), what they come to ([`open_intents`], [`recovery`]), what a node does
-//! with that ([`admission`]) and the comparison with the servers' records ([`reconcile`]). [`journal`] writes through the seam
-//! [`disk::Disk`]; [`writer`] is the thread and its queue; [`sim`] is a disk that loses what it may lose.
+//! The modules without I/O are the records ([`record`], [`segment`], [`scan`]), the state they add up to
+//! ([`open_intents`], [`recovery`]), the decisions a node makes from it ([`admission`]) and the comparison
+//! with the servers' records ([`reconcile`]). [`journal`] writes through the [`disk::Disk`] trait; [`writer`]
+//! is the writer thread and its queue; [`sim`] is a simulated disk that loses unsynced data.
 
 pub mod admission;
 pub mod directory;
--- a/crates/ledger/src/open_intents.rs
+++ b/crates/ledger/src/open_intents.rs
@@ -1,4 +1,5 @@
-//! What is open: the one rule by which records change it, for the writer as it goes and for recovery afterwards.
+//! The open intents, and how records change them. The writer applies records as it writes them, recovery as
+//! it reads them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,8 +7,8 @@
 
 use crate::record::{Carried, Intent, Record};
 
-/// The most outcomes that are remembered because they came before their intent.
-const EARLY_MOST: usize = 1024;
+/// Maximum number of outcomes that are remembered because they precede their intent.
+const EARLY_OUTCOMES_MAX: usize = 1024;
 
 /// An intent without an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -15,25 +16,25 @@
     /// The intent.
     #[serde(flatten)]
     pub intent: Intent,
-    /// Nothing was wrong with the bytes that it was read from, nor before them.
+    /// Whether the intent, and everything before it in its segment, was read from undamaged bytes.
     pub trusted: bool,
 }
 
-/// The open intents, at most so many.
+/// The open intents, up to a maximum number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpenIntents {
     open: BTreeMap<u64, OpenIntent>,
-    /// Outcomes that overtook their intents.
-    early: BTreeSet<u64>,
-    most: usize,
-    over: u64,
+    /// Intents whose outcome was read before the intent itself.
+    early_outcomes: BTreeSet<u64>,
+    open_max: usize,
+    overflow: u64,
     orphans: u64,
 }
 
 impl OpenIntents {
-    /// Nothing is open. More than `most` are counted, not held.
-    pub fn new(most: usize) -> Self {
-        Self { most, ..Self::default() }
+    /// Starts without open intents. Intents beyond the maximum are counted but not held.
+    pub fn new(open_max: usize) -> Self {
+        Self { open_max, ..Self::default() }
     }
 
     /// The open intents by number.
@@ -41,43 +42,47 @@
         self.open.values()
     }
 
-    /// Is this intent open?
+    /// Returns whether this intent is open.
     pub fn is_open(&self, number: u64) -> bool {
         self.open.contains_key(&number)
     }
 
-    /// How many intents there was no room for.
-    pub fn over(&self) -> u64 {
-        self.over
+    /// The number of intents beyond the maximum.
+    pub fn overflow(&self) -> u64 {
+        self.overflow
     }
 
-    /// How many outcomes no intent was known for.
+    /// The number of outcomes whose intent was not known.
     pub fn orphans(&self) -> u64 {
         self.orphans
     }
 
-    /// Takes a record in. What is not trusted closes nothing: its outcome may be of another life than it seems.
+    /// Applies a record. An untrusted outcome closes nothing, because it may belong to another incarnation
+    /// than it seems to.
     pub fn apply(&mut self, record: &Record, trusted: bool) {
         match record {
-            Record::Intent(intent) => self.enter(intent, trusted),
-            Record::Carried(Carried { intent, trusted: was }) => self.enter(intent, trusted && *was),
+            Record::Intent(intent) => self.add(intent, trusted),
+            Record::Carried(Carried { intent, trusted: was_trusted }) => {
+                self.add(intent, trusted && *was_trusted)
+            }
             Record::Outcome(outcome) => self.close(outcome.intent, trusted),
             Record::Settled(settled) => self.close(settled.intent, trusted),
             Record::Final(_) | Record::Checkpoint { .. } | Record::Doubt { .. } | Record::Closed { .. } => {}
         }
     }
 
-    fn enter(&mut self, intent: &Intent, trusted: bool) {
-        if trusted && self.early.remove(&intent.number) {
+    fn add(&mut self, intent: &Intent, trusted: bool) {
+        if trusted && self.early_outcomes.remove(&intent.number) {
             return;
         }
         if let Some(known) = self.open.get_mut(&intent.number) {
-            // Told again, perhaps by bytes that are worth less: what was known before still is.
+            // A repeated intent, perhaps read from damaged bytes, does not lower the trust of the first
+            // reading.
             known.trusted |= trusted;
             return;
         }
-        if self.open.len() >= self.most {
-            self.over += 1;
+        if self.open.len() >= self.open_max {
+            self.overflow += 1;
             return;
         }
         self.open.insert(intent.number, OpenIntent { intent: intent.clone(), trusted });
@@ -89,18 +94,18 @@
             Some(_) => {
                 self.open.remove(&number);
             }
-            None if trusted && self.early.len() < EARLY_MOST => {
-                self.early.insert(number);
+            None if trusted && self.early_outcomes.len() < EARLY_OUTCOMES_MAX => {
+                self.early_outcomes.insert(number);
                 self.orphans += 1;
             }
             None => self.orphans += 1,
         }
     }
 
-    /// Something is missing from here on: an outcome without its intent is no early one any more, as the intent may have
-    /// been lost.
-    pub fn forget_early(&mut self) {
-        self.early.clear();
+    /// Forgets early outcomes after missing records. An outcome without its intent no longer counts as early,
+    /// because the intent itself may have been lost.
+    pub fn forget_early_outcomes(&mut self) {
+        self.early_outcomes.clear();
     }
 }
 
--- a/crates/ledger/src/open_intents/tests.rs
+++ b/crates/ledger/src/open_intents/tests.rs
@@ -51,7 +51,7 @@
 fn more_than_there_is_room_for_are_counted() {
     let mut open_intents = OpenIntents::new(2);
     (0..5).for_each(|n| open_intents.apply(&intent(n), true));
-    assert_eq!((numbers(&open_intents), open_intents.over()), (vec![0, 1], 3));
+    assert_eq!((numbers(&open_intents), open_intents.overflow()), (vec![0, 1], 3));
     (0..5000).for_each(|n| open_intents.apply(&outcome(n + 10), true));
-    assert_eq!((open_intents.early.len(), open_intents.orphans()), (EARLY_MOST, 5000));
+    assert_eq!((open_intents.early_outcomes.len(), open_intents.orphans()), (EARLY_OUTCOMES_MAX, 5000));
 }
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,5 +1,5 @@
-//! The ledgers of a site against the servers' own records, pure. It holds an entry for each request that the ledgers name,
-//! about 300 bytes.
+//! Compares the ledgers of a site with the servers' own records, without I/O. Memory: about 300 bytes for
+//! each request in the ledgers.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -9,85 +9,85 @@
 use crate::record::{AttemptOutcome, Execution, FinalOutcome, Intent, KeyDigest, Record};
 use crate::recovery::LocatedRecord;
 
-/// A server's record of a request that it ran: a line of JSON in its file. Fields that are not named here are passed over.
+/// A server's record of a request that it ran: one line of JSON in its file. Other fields are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct ServerRun {
-    /// The server's name, as the list has it.
+    /// The server's name as in the server list.
     #[serde(rename = "box")]
     pub server: String,
     /// The client's id of the request.
     pub id: String,
-    /// Its class.
+    /// The class of the request.
     #[serde(default)]
     pub class: String,
-    /// Its key, where it has one.
+    /// The key of the request, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
 
-/// Something that does not agree.
+/// A disagreement between the ledgers and the servers' records.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(tag = "difference", rename_all = "kebab-case")]
 pub enum Difference {
-    /// It ran at a server that no ledger names for it.
+    /// The request ran at a server for which no ledger has an attempt of it.
     NotInLedger {
         /// The request.
         id: String,
         /// Where it ran.
         server: String,
     },
-    /// A server ran it more than once, or several did.
+    /// The request ran more than once, at one or several servers.
     RanTwice {
         /// The request.
         id: String,
-        /// How often.
+        /// How often it ran.
         times: usize,
-        /// Where.
+        /// Where it ran.
         servers: Vec<String>,
     },
-    /// The ledger says that a server served it, and none has run it.
+    /// According to the ledger a server responded with success, but no server ran the request.
     AnsweredNeverRan {
         /// The request.
         id: String,
-        /// The server of the answer.
+        /// The server of the response.
         server: String,
     },
-    /// Its client was told that it could harmlessly ask again, and it ran.
+    /// The client was told that it could safely retry, but the request ran.
     RefusedAndRan {
         /// The request.
         id: String,
         /// Where it ran.
         server: String,
     },
-    /// The ledger says of an attempt that it can't have run, and it did.
+    /// According to the ledger the attempt cannot have run, but it did.
     ProvenNeverAndRan {
         /// The request.
         id: String,
         /// Where it ran.
         server: String,
     },
-    /// It was out when its node died, and ran.
+    /// The request was in flight when its node died, and ran.
     UnknownAndRan {
         /// The request.
         id: String,
         /// Where it was sent.
         server: String,
-        /// Which intent.
+        /// The number of the intent.
         intent: u64,
     },
-    /// It was out when its node died, and did not run.
+    /// The request was in flight when its node died, and did not run.
     UnknownAndDidNot {
         /// The request.
         id: String,
         /// Where it was to be sent.
         server: String,
-        /// Which intent.
+        /// The number of the intent.
         intent: u64,
     },
 }
 
 impl Difference {
-    /// Is this what a node's death explains?
+    /// Returns whether the death of a node explains the difference.
     pub fn is_unknown(&self) -> bool {
         matches!(self, Self::UnknownAndRan { .. } | Self::UnknownAndDidNot { .. })
     }
@@ -121,7 +121,7 @@
 
 #[derive(Debug)]
 struct LedgerAttempt {
-    /// Which of the ledgers, and its number there.
+    /// The index of the ledger, and the intent's number in it.
     number: (usize, u64),
     segment: u64,
     seq: u64,
@@ -137,40 +137,40 @@
     told: Option<FinalOutcome>,
 }
 
-/// All that ledgers say, by request.
+/// The contents of several ledgers, by request.
 #[derive(Debug, Default)]
 pub struct LedgerIndex {
     requests: BTreeMap<Box<str>, Request>,
-    /// Whose an intent is.
-    numbers: HashMap<(usize, u64), Box<str>>,
-    /// Outcomes whose intents have not been seen yet.
-    early: HashMap<(usize, u64), AttemptOutcome>,
-    doubts: Vec<(usize, u64, u64)>,
+    /// The request of each intent.
+    request_ids: HashMap<(usize, u64), Box<str>>,
+    /// Outcomes whose intents have not been read yet.
+    early_outcomes: HashMap<(usize, u64), AttemptOutcome>,
+    failed_writes: Vec<(usize, u64, u64)>,
 }
 
 impl LedgerIndex {
-    /// Nothing is noted.
+    /// Starts without records.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many requests there are.
+    /// The number of requests.
     pub fn requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes a record of one of the ledgers, counted from 0.
-    pub fn add(&mut self, ledger: usize, seen: &LocatedRecord) {
-        match &seen.record {
-            Record::Intent(intent) => self.intent(ledger, intent, seen),
-            // Of a segment that is not there any more.
-            Record::Carried(carried) => self.intent(ledger, &carried.intent, seen),
+    /// Adds a record of one of the ledgers, which are numbered from 0.
+    pub fn add(&mut self, ledger: usize, located: &LocatedRecord) {
+        match &located.record {
+            Record::Intent(intent) => self.intent(ledger, intent, located),
+            // The intent's own segment may have been removed.
+            Record::Carried(carried) => self.intent(ledger, &carried.intent, located),
             Record::Outcome(outcome) => {
                 let number = (ledger, outcome.intent);
                 match self.attempt(number) {
                     Some(attempt) => attempt.how = Some(outcome.how),
                     None => {
-                        self.early.insert(number, outcome.how);
+                        self.early_outcomes.insert(number, outcome.how);
                     }
                 }
             }
@@ -179,39 +179,39 @@
                     attempt.settled = true;
                 }
             }
-            Record::Final(told) => {
-                self.requests.entry(told.id.as_str().into()).or_default().told = Some(told.told);
+            Record::Final(last) => {
+                self.requests.entry(last.id.as_str().into()).or_default().told = Some(last.told);
             }
-            Record::Doubt { segment, from } => self.doubts.push((ledger, *segment, *from)),
+            Record::Doubt { segment, from } => self.failed_writes.push((ledger, *segment, *from)),
             Record::Checkpoint { .. } | Record::Closed { .. } => {}
         }
     }
 
     fn attempt(&mut self, number: (usize, u64)) -> Option<&mut LedgerAttempt> {
-        let id = self.numbers.get(&number)?;
+        let id = self.request_ids.get(&number)?;
         self.requests.get_mut(id)?.attempts.iter_mut().find(|a| a.number == number)
     }
 
-    fn intent(&mut self, ledger: usize, intent: &Intent, seen: &LocatedRecord) {
+    fn intent(&mut self, ledger: usize, intent: &Intent, located: &LocatedRecord) {
         let number = (ledger, intent.number);
-        if self.numbers.contains_key(&number) {
+        if self.request_ids.contains_key(&number) {
             return;
         }
         let id: Box<str> = intent.id.as_str().into();
-        self.numbers.insert(number, id.clone());
-        let noted = LedgerAttempt {
+        self.request_ids.insert(number, id.clone());
+        let attempt = LedgerAttempt {
             number,
-            segment: seen.segment.0,
-            seq: seen.seq,
+            segment: located.segment.0,
+            seq: located.seq,
             server: intent.server.as_str().into(),
             key: intent.key,
-            how: self.early.remove(&number),
+            how: self.early_outcomes.remove(&number),
             settled: false,
         };
-        self.requests.entry(id).or_default().attempts.push(noted);
+        self.requests.entry(id).or_default().attempts.push(attempt);
     }
 
-    /// Holds the servers' records against the ledgers: each difference, in an order of its own.
+    /// Compares the servers' records with the ledgers and returns the differences in sorted order.
     pub fn compare(&self, runs: &[ServerRun]) -> Vec<Difference> {
         let mut by_id: HashMap<&str, Vec<&ServerRun>> = HashMap::new();
         let mut keys: HashSet<KeyDigest> = HashSet::new();
@@ -219,11 +219,11 @@
             by_id.entry(&run.id).or_default().push(run);
             keys.extend(run.key.as_ref().map(|key| KeyDigest::of(key.as_bytes())));
         }
-        let mut all = Vec::new();
+        let mut differences = Vec::new();
         for (id, ran) in &by_id {
             if ran.len() > 1 {
                 let servers = ran.iter().map(|run| run.server.clone()).collect();
-                all.push(Difference::RanTwice { id: id.to_string(), times: ran.len(), servers });
+                differences.push(Difference::RanTwice { id: id.to_string(), times: ran.len(), servers });
             }
             let request = self.requests.get(*id);
             for run in ran {
@@ -231,40 +231,42 @@
                 let attempts = request.map_or(&[][..], |r| &r.attempts);
                 let mut at = attempts.iter().filter(|a| *a.server == *run.server).peekable();
                 if at.peek().is_none() {
-                    all.push(Difference::NotInLedger { id, server });
-                } else if at.all(|a| a.how.is_some_and(|how| how.execution() == Execution::Never)) {
-                    all.push(Difference::ProvenNeverAndRan { id, server });
+                    differences.push(Difference::NotInLedger { id, server });
+                } else if at.all(|a| a.how.is_some_and(|outcome| outcome.execution() == Execution::Never)) {
+                    differences.push(Difference::ProvenNeverAndRan { id, server });
                 } else if request.is_some_and(|r| r.told == Some(FinalOutcome::Refused)) {
-                    all.push(Difference::RefusedAndRan { id, server });
+                    differences.push(Difference::RefusedAndRan { id, server });
                 }
             }
         }
         for (id, request) in &self.requests {
             let ran: &[&ServerRun] = by_id.get(&**id).map_or(&[], Vec::as_slice);
-            // The server of an answer may have dropped a repeat of what another ran.
-            let by_key = |a: &LedgerAttempt| a.key.is_some_and(|key| keys.contains(&key));
+            // The responding server may have dropped a repeat of a request that another server ran under the
+            // same key.
+            let ran_under_key = |a: &LedgerAttempt| a.key.is_some_and(|key| keys.contains(&key));
             for a in &request.attempts {
                 let (id, server, intent) = (id.to_string(), a.server.to_string(), a.number.1);
                 let ran_there = ran.iter().any(|run| *run.server == *a.server);
                 match a.how {
-                    Some(AttemptOutcome::Done) if ran.is_empty() && !by_key(a) => {
-                        all.push(Difference::AnsweredNeverRan { id, server });
+                    Some(AttemptOutcome::Done) if ran.is_empty() && !ran_under_key(a) => {
+                        differences.push(Difference::AnsweredNeverRan { id, server });
                     }
                     Some(_) => {}
-                    None if a.settled || self.never_promised(a) => {}
-                    None if ran_there => all.push(Difference::UnknownAndRan { id, server, intent }),
-                    None => all.push(Difference::UnknownAndDidNot { id, server, intent }),
+                    None if a.settled || self.was_never_confirmed(a) => {}
+                    None if ran_there => differences.push(Difference::UnknownAndRan { id, server, intent }),
+                    None => differences.push(Difference::UnknownAndDidNot { id, server, intent }),
                 }
             }
         }
-        all.sort();
-        all
+        differences.sort();
+        differences
     }
 
-    /// An intent that a failed write may have left behind was never sent.
-    fn never_promised(&self, noted: &LedgerAttempt) -> bool {
-        self.doubts.iter().any(|(ledger, segment, from)| {
-            *ledger == noted.number.0 && *segment == noted.segment && noted.seq >= *from
+    /// Returns whether the intent may be a leftover of a failed write: it was never confirmed, so its attempt
+    /// was never sent.
+    fn was_never_confirmed(&self, attempt: &LedgerAttempt) -> bool {
+        self.failed_writes.iter().any(|(ledger, segment, from)| {
+            *ledger == attempt.number.0 && *segment == attempt.segment && attempt.seq >= *from
         })
     }
 }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,34 +1,35 @@
-//! Records and their frames: values to bytes and back. The layout is told in `docs/design/ledger-format.md`; what is
-//! here must agree with it, as others may read these files.
+//! Records and their frames: encoding and decoding. The layout is described in
+//! `docs/design/ledger-format.md`; the code must agree with it, because other programs may read these files.
 
 use std::fmt;
 
 use serde::Serialize;
 use sha2::{Digest as _, Sha256};
 
-/// The most bytes of a record's payload.
+/// Maximum bytes of a record's payload.
 pub const PAYLOAD_MAX_BYTES: usize = 1024;
 /// Bytes of a frame before its payload: mark, length, checksum, sequence, kind.
 pub const FRAME_HEADER_BYTES: usize = 17;
-/// The most bytes of a frame.
+/// Maximum bytes of a frame.
 pub const FRAME_MAX_BYTES: usize = FRAME_HEADER_BYTES + PAYLOAD_MAX_BYTES;
-/// What each frame begins with, so that a reader that lost its place finds one again.
+/// The first bytes of each frame, by which a reader resynchronizes after damage.
 pub const FRAME_MARK: [u8; 2] = *b"mL";
-/// The longest id of a request that a ledger takes, in bytes.
+/// Maximum bytes of a request id.
 pub const ID_MAX_BYTES: usize = 256;
-/// The longest names of classes, tenants and servers, in bytes; longer ones are cut, as they are for people.
+/// Maximum bytes of the names of classes, tenants and servers. Longer ones are truncated, since they only
+/// serve people.
 pub const NAME_MAX_BYTES: usize = 128;
 
-/// What stands for a key: the first 16 bytes of its SHA-256. Keys may be secrets of users, and are not written.
+/// The first 16 bytes of a key's SHA-256. The key itself may be a user's secret and is not written.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest(pub [u8; 16]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
-        let mut short = [0; 16];
-        short.copy_from_slice(&Sha256::digest(key)[..16]);
-        Self(short)
+        let mut digest = [0; 16];
+        digest.copy_from_slice(&Sha256::digest(key)[..16]);
+        Self(digest)
     }
 }
 
@@ -50,53 +51,55 @@
     }
 }
 
-/// A moment by both clocks, in microseconds. The wall's may step; the other only runs on, but from each boot anew.
+/// A time by two clocks, in microseconds. The wall clock may step; the boot clock is monotonic but restarts
+/// with the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Timestamp {
     /// Unix time.
     pub wall_us: u64,
-    /// Since the machine was started, times of sleep included; in ledgers of earlier versions since the process opened it.
+    /// Time since the machine started, including suspend. In ledgers of earlier versions: since the process
+    /// opened the ledger.
     pub mono_us: u64,
 }
 
-/// How an attempt ended, as far as the node could see.
+/// How an attempt ended, as far as the node could observe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[repr(u8)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The server responded with success.
     Done = 1,
-    /// Answered by an error.
+    /// The server responded with an error.
     Error = 2,
-    /// Turned away unseen.
+    /// The server rejected it unprocessed because it had no capacity.
     Full = 3,
-    /// No answer in time.
+    /// No response in time.
     TimedOut = 4,
-    /// No byte in time, while the server answered what was sent later.
+    /// Not a byte of a response in time, while the server responded to requests sent later.
     Unheard = 5,
-    /// No connection.
+    /// The connection could not be established.
     ConnectFailed = 6,
-    /// The connection broke before the last byte was written.
+    /// The connection broke before the last byte of the request was written.
     Unwritten = 7,
     /// The connection broke.
     Reset = 8,
-    /// Called off.
+    /// The attempt was cancelled.
     Cancelled = 9,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent = 10,
-    /// The server finds the request itself bad.
+    /// The server found the request itself invalid.
     Rejected = 11,
 }
 
-/// Did a request run at a server?
+/// Whether a request ran at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Execution {
-    /// It did.
+    /// It ran.
     Ran,
-    /// It did not.
+    /// It did not run.
     Never,
-    /// It may have, or may still.
+    /// It may have run or may still run.
     Unknown,
 }
 
@@ -115,11 +118,11 @@
         Self::Rejected,
     ];
 
-    fn of(code: u8) -> Option<Self> {
-        Self::ALL.into_iter().find(|how| *how as u8 == code)
+    fn from_code(code: u8) -> Option<Self> {
+        Self::ALL.into_iter().find(|outcome| *outcome as u8 == code)
     }
 
-    /// What an ending proves.
+    /// What this outcome proves about whether the request ran.
     pub fn execution(self) -> Execution {
         match self {
             Self::Done => Execution::Ran,
@@ -129,137 +132,138 @@
     }
 }
 
-/// What its client was told in the end.
+/// The final outcome that the client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[repr(u8)]
 pub enum FinalOutcome {
-    /// A server's answer.
+    /// A server's response.
     Served = 1,
-    /// Refused: trying again is harmless.
+    /// Refused: the client can safely retry.
     Refused = 2,
     /// Failed.
     Failed = 3,
-    /// The request itself is bad.
+    /// The request itself is invalid.
     Rejected = 4,
-    /// Nothing: the client had left, or its time was up. Its attempts may go on.
+    /// Nothing: the client disconnected or its deadline passed. Its attempts may continue.
     Abandoned = 5,
 }
 
 impl FinalOutcome {
-    fn of(code: u8) -> Option<Self> {
+    fn from_code(code: u8) -> Option<Self> {
         [Self::Served, Self::Refused, Self::Failed, Self::Rejected, Self::Abandoned]
             .into_iter()
-            .find(|told| *told as u8 == code)
+            .find(|outcome| *outcome as u8 == code)
     }
 }
 
-/// Before an attempt's first byte may go to a server.
+/// Recorded before the first byte of an attempt may go to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Intent {
-    /// Its number, never used twice in a directory.
+    /// The number of the intent, unique in a directory.
     pub number: u64,
     /// The client's id of the request.
     pub id: String,
     /// The class of the request.
     pub class: String,
-    /// The tenant; empty where there is none.
+    /// The tenant; empty if none.
     pub tenant: String,
-    /// The digest of its key, where the class has keys.
+    /// The digest of the key, if the class has keys.
     pub key: Option<KeyDigest>,
-    /// Which attempt of the request this is, from 0.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u16,
-    /// The server.
+    /// The name of the server.
     pub server: String,
-    /// When that server last started, Unix time in milliseconds; 0 where the list does not say.
+    /// When that server last started, Unix time in milliseconds; 0 if the server list does not say.
     pub server_start_ms: u64,
-    /// Time that the request had left, in microseconds.
+    /// Time until the request's deadline, in microseconds.
     pub left_us: u64,
-    /// When.
+    /// When the intent was recorded.
     pub at: Timestamp,
-    /// Which life of the node.
+    /// The incarnation of the node.
     pub boot: u64,
 }
 
-/// After an attempt.
+/// Recorded after an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Outcome {
     /// The number of its intent.
     pub intent: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub how: AttemptOutcome,
-    /// When.
+    /// When it ended.
     pub at: Timestamp,
 }
 
-/// After a request: what its client was told.
+/// Recorded after a request: the final outcome that its client received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Final {
-    /// The number of its last intent.
+    /// The number of the request's last intent.
     pub intent: u64,
-    /// The client's id.
+    /// The client's id of the request.
     pub id: String,
-    /// What it was told.
+    /// The final outcome.
     pub told: FinalOutcome,
-    /// When.
+    /// When it was sent.
     pub at: Timestamp,
 }
 
-/// An operator's word on an intent that was open when its node died.
+/// An operator's decision on an intent that was open when its node died.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Settled {
     /// The number of the intent.
     pub intent: u64,
     /// Whether the server's own records show that it ran.
     pub ran: bool,
-    /// When.
+    /// When it was settled.
     pub at: Timestamp,
 }
 
-/// An open intent, written again at the head of a later segment.
+/// An open intent, repeated in the checkpoint of a later segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Carried {
-    /// The intent as it was.
+    /// The intent as first recorded.
     pub intent: Intent,
-    /// It was read from bytes that nothing was wrong with.
+    /// Whether it was read from undamaged bytes.
     pub trusted: bool,
 }
 
-/// A ledger's record.
+/// A record of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "record", rename_all = "kebab-case")]
 pub enum Record {
     /// Before an attempt.
     Intent(Intent),
-    /// After it.
+    /// After an attempt.
     Outcome(Outcome),
-    /// After the request.
+    /// After a request.
     Final(Final),
-    /// An operator's word.
+    /// An operator's decision.
     Settled(Settled),
-    /// From earlier segments.
+    /// An open intent of earlier segments.
     Carried(Carried),
-    /// The end of what is carried: with so many records before it all that was open is told.
+    /// The end of a checkpoint. If as many carried records precede it as it states, they are all intents that
+    /// were open.
     Checkpoint {
-        /// How many were carried.
+        /// The number of carried records.
         carried: u32,
     },
-    /// From this sequence on what a segment holds was promised to nobody: a write or a sync failed.
+    /// A write or a sync failed: the records of a segment from this sequence on were never confirmed.
     Doubt {
         /// The segment.
         segment: u64,
-        /// The first sequence that may be there or not.
+        /// The first sequence that may or may not be in the segment.
         from: u64,
     },
-    /// The segment's end in order.
+    /// The orderly end of a segment.
     Closed {
-        /// The node ended, too, with nothing out.
+        /// Whether the node ended too, with no open intent.
         last: bool,
     },
 }
 
 impl Record {
-    /// The kind as frames name it.
+    /// The code of the record's kind in a frame.
     pub fn kind(&self) -> u8 {
         match self {
             Self::Intent(_) => 1,
@@ -277,20 +281,20 @@
         match self {
             Self::Intent(intent) => write_intent(intent, to),
             Self::Outcome(o) => {
-                number(to, o.intent);
+                write_number(to, o.intent);
                 to.push(o.how as u8);
-                now(to, o.at);
+                write_time(to, o.at);
             }
             Self::Final(f) => {
-                number(to, f.intent);
+                write_number(to, f.intent);
                 to.push(f.told as u8);
-                now(to, f.at);
-                text(to, &f.id, ID_MAX_BYTES);
+                write_time(to, f.at);
+                write_text(to, &f.id, ID_MAX_BYTES);
             }
             Self::Settled(s) => {
-                number(to, s.intent);
+                write_number(to, s.intent);
                 to.push(u8::from(s.ran));
-                now(to, s.at);
+                write_time(to, s.at);
             }
             Self::Carried(c) => {
                 to.push(u8::from(c.trusted));
@@ -298,28 +302,29 @@
             }
             Self::Checkpoint { carried } => to.extend(carried.to_le_bytes()),
             Self::Doubt { segment, from } => {
-                number(to, *segment);
-                number(to, *from);
+                write_number(to, *segment);
+                write_number(to, *from);
             }
             Self::Closed { last } => to.push(u8::from(*last)),
         }
     }
 
-    /// The record of a frame; `None` where this version knows no such record.
+    /// Decodes the record of a frame; `None` if this version does not know it.
     pub fn read(kind: u8, payload: &[u8]) -> Option<Self> {
-        let mut from = Fields(payload);
+        let mut from = PayloadReader(payload);
         let record = match kind {
             1 => Self::Intent(from.intent()?),
             2 => Self::Outcome(Outcome {
                 intent: from.number()?,
-                how: AttemptOutcome::of(from.byte()?)?,
-                at: from.now()?,
+                how: AttemptOutcome::from_code(from.byte()?)?,
+                at: from.time()?,
             }),
             3 => {
-                let (intent, told, at) = (from.number()?, FinalOutcome::of(from.byte()?)?, from.now()?);
+                let (intent, told, at) =
+                    (from.number()?, FinalOutcome::from_code(from.byte()?)?, from.time()?);
                 Self::Final(Final { intent, told, at, id: from.text()? })
             }
-            4 => Self::Settled(Settled { intent: from.number()?, ran: from.flag()?, at: from.now()? }),
+            4 => Self::Settled(Settled { intent: from.number()?, ran: from.flag()?, at: from.time()? }),
             5 => Self::Carried(Carried { trusted: from.flag()?, intent: from.intent()? }),
             6 => Self::Checkpoint { carried: u32::from_le_bytes(from.take()?) },
             7 => Self::Doubt { segment: from.number()?, from: from.number()? },
@@ -331,40 +336,40 @@
 }
 
 fn write_intent(intent: &Intent, to: &mut Vec<u8>) {
-    number(to, intent.number);
-    number(to, intent.boot);
-    now(to, intent.at);
-    number(to, intent.left_us);
-    number(to, intent.server_start_ms);
+    write_number(to, intent.number);
+    write_number(to, intent.boot);
+    write_time(to, intent.at);
+    write_number(to, intent.left_us);
+    write_number(to, intent.server_start_ms);
     to.extend(intent.attempt.to_le_bytes());
     to.push(u8::from(intent.key.is_some()));
     to.extend(intent.key.iter().flat_map(|key| key.0));
-    text(to, &intent.id, ID_MAX_BYTES);
-    text(to, &intent.class, NAME_MAX_BYTES);
-    text(to, &intent.tenant, NAME_MAX_BYTES);
-    text(to, &intent.server, NAME_MAX_BYTES);
+    write_text(to, &intent.id, ID_MAX_BYTES);
+    write_text(to, &intent.class, NAME_MAX_BYTES);
+    write_text(to, &intent.tenant, NAME_MAX_BYTES);
+    write_text(to, &intent.server, NAME_MAX_BYTES);
 }
 
-fn number(to: &mut Vec<u8>, value: u64) {
+fn write_number(to: &mut Vec<u8>, value: u64) {
     to.extend(value.to_le_bytes());
 }
 
-fn now(to: &mut Vec<u8>, at: Timestamp) {
-    number(to, at.wall_us);
-    number(to, at.mono_us);
+fn write_time(to: &mut Vec<u8>, at: Timestamp) {
+    write_number(to, at.wall_us);
+    write_number(to, at.mono_us);
 }
 
-/// A text, cut where it is too long: at the last whole character that fits.
-fn text(to: &mut Vec<u8>, value: &str, most: usize) {
-    let end = (0..=value.len().min(most)).rev().find(|n| value.is_char_boundary(*n)).unwrap_or(0);
+/// Writes a text, truncated at the last whole character within the limit.
+fn write_text(to: &mut Vec<u8>, value: &str, max_bytes: usize) {
+    let end = (0..=value.len().min(max_bytes)).rev().find(|n| value.is_char_boundary(*n)).unwrap_or(0);
     to.extend((end as u16).to_le_bytes());
     to.extend(&value.as_bytes()[..end]);
 }
 
-/// What is left of a payload.
-struct Fields<'a>(&'a [u8]);
+/// The unread rest of a payload.
+struct PayloadReader<'a>(&'a [u8]);
 
-impl Fields<'_> {
+impl PayloadReader<'_> {
     fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
         let (head, rest) = self.0.split_first_chunk::<N>()?;
         self.0 = rest;
@@ -383,7 +388,7 @@
         self.take().map(u64::from_le_bytes)
     }
 
-    fn now(&mut self) -> Option<Timestamp> {
+    fn time(&mut self) -> Option<Timestamp> {
         Some(Timestamp { wall_us: self.number()?, mono_us: self.number()? })
     }
 
@@ -395,7 +400,7 @@
     }
 
     fn intent(&mut self) -> Option<Intent> {
-        let (number, boot, at) = (self.number()?, self.number()?, self.now()?);
+        let (number, boot, at) = (self.number()?, self.number()?, self.time()?);
         let (left_us, server_start_ms) = (self.number()?, self.number()?);
         let attempt = u16::from_le_bytes(self.take()?);
         let key = if self.flag()? { Some(KeyDigest(self.take()?)) } else { None };
@@ -406,66 +411,66 @@
 
 // ---- Frames ----
 
-/// What the checksums of a segment's frames begin with: its owner and its number, so that a frame of another segment, or
-/// of another node's, is none here.
+/// The initial value of a segment's checksums, computed from its owner and number, so that a frame of another
+/// segment or node is not valid here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Salt(u32);
 
 impl Salt {
-    /// That of a segment.
+    /// The salt of a segment.
     pub fn of(owner: [u8; 16], segment: u64) -> Self {
-        let mut sum = crc32fast::Hasher::new();
-        sum.update(&owner);
-        sum.update(&segment.to_le_bytes());
-        Self(sum.finalize())
+        let mut checksum = crc32fast::Hasher::new();
+        checksum.update(&owner);
+        checksum.update(&segment.to_le_bytes());
+        Self(checksum.finalize())
     }
 
-    fn sum(self, bytes: &[&[u8]]) -> u32 {
-        let mut sum = crc32fast::Hasher::new_with_initial(self.0);
-        bytes.iter().for_each(|part| sum.update(part));
-        sum.finalize()
+    fn checksum(self, bytes: &[&[u8]]) -> u32 {
+        let mut checksum = crc32fast::Hasher::new_with_initial(self.0);
+        bytes.iter().for_each(|part| checksum.update(part));
+        checksum.finalize()
     }
 }
 
-/// Adds a record's frame.
+/// Appends a record's frame.
 pub fn encode(record: &Record, seq: u64, salt: Salt, to: &mut Vec<u8>) {
-    let begin = to.len();
+    let start = to.len();
     to.extend([0; FRAME_HEADER_BYTES]);
     record.write(to);
-    // The bounds of the texts keep every record under it.
-    debug_assert!(to.len() - begin <= FRAME_MAX_BYTES);
-    let length = ((to.len() - begin - FRAME_HEADER_BYTES) as u16).to_le_bytes();
-    let frame = &mut to[begin..];
+    // The limits on texts keep every record below this size.
+    debug_assert!(to.len() - start <= FRAME_MAX_BYTES);
+    let length = ((to.len() - start - FRAME_HEADER_BYTES) as u16).to_le_bytes();
+    let frame = &mut to[start..];
     frame[..2].copy_from_slice(&FRAME_MARK);
     frame[2..4].copy_from_slice(&length);
     frame[8..16].copy_from_slice(&seq.to_le_bytes());
     frame[16] = record.kind();
-    let sum = salt.sum(&[&length, &frame[8..]]);
-    frame[4..8].copy_from_slice(&sum.to_le_bytes());
+    let checksum = salt.checksum(&[&length, &frame[8..]]);
+    frame[4..8].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// What some bytes begin with.
+/// The result of parsing the beginning of a byte slice.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ParsedFrame<'a> {
-    /// A whole frame.
+    /// A complete frame.
     Frame {
-        /// Its place in the order of all records.
+        /// Its sequence among all records.
         seq: u64,
-        /// What kind of record it holds.
+        /// The kind of its record.
         kind: u8,
-        /// The record.
+        /// The encoded record.
         payload: &'a [u8],
     },
-    /// What may become a frame, once there are more bytes.
+    /// The beginning of a possible frame; more bytes are needed.
     Incomplete,
-    /// No frame.
+    /// Not a frame.
     Invalid,
 }
 
-/// Reads the frame at the beginning of some bytes.
+/// Parses the frame at the beginning of a byte slice.
 pub fn parse(bytes: &[u8], salt: Salt) -> ParsedFrame<'_> {
-    let shown = bytes.len().min(2);
-    if bytes[..shown] != FRAME_MARK[..shown] {
+    let prefix = bytes.len().min(2);
+    if bytes[..prefix] != FRAME_MARK[..prefix] {
         return ParsedFrame::Invalid;
     }
     let Some((head, rest)) = bytes.split_first_chunk::<FRAME_HEADER_BYTES>() else {
@@ -477,8 +482,8 @@
         return ParsedFrame::Invalid;
     }
     let Some(payload) = rest.get(..size) else { return ParsedFrame::Incomplete };
-    let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    if salt.sum(&[&length, &head[8..], payload]) != sum {
+    let checksum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
+    if salt.checksum(&[&length, &head[8..], payload]) != checksum {
         return ParsedFrame::Invalid;
     }
     let mut seq = [0; 8];
--- a/crates/ledger/src/record/tests.rs
+++ b/crates/ledger/src/record/tests.rs
@@ -53,6 +53,6 @@
 #[test]
 fn what_is_too_long_is_cut_at_a_whole_character() {
     let mut to = Vec::new();
-    text(&mut to, &format!("a{}", long(100)), NAME_MAX_BYTES);
-    assert_eq!(Fields(&to).text(), Some(format!("a{}", long(63))));
+    write_text(&mut to, &format!("a{}", long(100)), NAME_MAX_BYTES);
+    assert_eq!(PayloadReader(&to).text(), Some(format!("a{}", long(63))));
 }
--- a/crates/ledger/src/recovery.rs
+++ b/crates/ledger/src/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery: from the bytes of segments to what is open, and what is wrong. Pure; the memory it takes is bounded by
-//! [`RecoveryLimits`], whatever the bytes.
+//! Recovery: derives the open intents from the bytes of segments, and reports what is wrong with them. No
+//! I/O; memory is bounded by [`RecoveryLimits`] whatever the input.
 
 use std::fmt;
 
@@ -10,13 +10,13 @@
 use crate::scan::{ScanEvent, Scanner};
 use crate::segment::{Header, HeaderError, Owner, SegmentNo};
 
-/// What recovery may hold: about 1.2 KiB for each open intent at the most (300 bytes as a rule), 64 bytes a finding, and
-/// 66 KiB of a segment.
+/// Memory limits of a recovery: at most 1.2 KiB for each open intent (typically 300 bytes), 64 bytes for each
+/// finding, and 66 KiB of a segment.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryLimits {
-    /// Open intents; further ones are counted.
+    /// Maximum number of open intents; further ones are counted.
     pub open: usize,
-    /// Findings; further ones are counted.
+    /// Maximum number of findings; further ones are counted.
     pub findings: usize,
 }
 
@@ -26,112 +26,113 @@
     }
 }
 
-/// Something that is not as a quiet life would have left it.
+/// Something that an undisturbed run of a node would not have left behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "finding", rename_all = "kebab-case")]
 pub enum Finding {
-    /// Bytes at a segment's end are no record: they were being written when the node or the machine died.
+    /// The bytes at the end of a segment are no record: the node or the machine died while writing them.
     Torn {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
-        /// From which byte on.
+        /// The first byte.
         from: u64,
-        /// How many bytes.
+        /// The number of bytes.
         length: u64,
     },
-    /// Bytes in a segment's middle are no record. What follows them in it is not trusted.
+    /// Bytes in the middle of a segment are no record. The rest of the segment is not trusted.
     Damaged {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
-        /// From which byte on.
+        /// The first byte.
         from: u64,
         /// Where the next record begins.
         to: u64,
     },
-    /// Records are missing, and nothing says that a write had failed there.
+    /// Records are missing, and no failed write was recorded there.
     Gap {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
-        /// The sequence that should have come.
+        /// The expected sequence.
         expected: u64,
-        /// The one that came.
+        /// The sequence that was found.
         found: u64,
     },
-    /// A write or a sync failed; what it held was promised to nobody.
+    /// A write or a sync failed; the records were never confirmed.
     Doubted {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
-        /// From which sequence on.
+        /// The first sequence.
         from: u64,
     },
-    /// The header can't be used.
+    /// The header is unusable.
     BadHeader {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
     },
-    /// The file is no segment at all.
+    /// The file is not a segment.
     NotOurs {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
     },
-    /// A later version of the program wrote it; it was not read.
+    /// The segment was written by a later version of the program and was not read.
     Later {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
-        /// The format's version.
+        /// The version of the format.
         version: u16,
     },
-    /// Another node's; it was not read.
+    /// The segment belongs to another node and was not read.
     Foreign {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
-        /// Whose it is.
+        /// The owner of the segment.
         owner: String,
     },
-    /// The header names another number than the file: it was not read.
+    /// The number in the header differs from the one in the file name; the segment was not read.
     Misnamed {
-        /// What the file is called.
+        /// The number in the file name.
         segment: SegmentNo,
-        /// What the header says.
+        /// The number in the header.
         says: SegmentNo,
     },
-    /// A file that seems to be a second copy of a segment; it was not read.
+    /// A file that looks like a copy of a segment; it was not read.
     Doubled {
         /// The file.
         file: String,
     },
-    /// A segment between others is not there.
+    /// A segment between others is missing.
     Missing {
-        /// Which.
+        /// The segment.
         segment: SegmentNo,
     },
-    /// The file can't be read to its end.
+    /// The file cannot be read to its end.
     Unreadable {
-        /// Which.
+        /// The segment.
         segment: SegmentNo,
-        /// From which byte on.
+        /// The first unreadable byte.
         from: u64,
-        /// The system's word.
+        /// The operating system's error.
         why: String,
     },
-    /// A record that this version does not know.
+    /// A record of a kind that this version does not know.
     Strange {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
         /// Its sequence.
         seq: u64,
-        /// Its kind.
+        /// The code of its kind.
         kind: u8,
     },
-    /// What is carried and what says how much is carried do not agree.
+    /// The carried records do not match the checkpoint that counts them.
     BadCheckpoint {
-        /// Where.
+        /// The segment.
         segment: SegmentNo,
     },
 }
 
 impl Finding {
-    /// What an item of a segment shows to be wrong; a header is judged by who knows what it should be.
+    /// Returns the finding of a scan event, if it is one. Headers are checked by the caller, who knows what
+    /// they should contain.
     pub(crate) fn of(segment: SegmentNo, item: &ScanEvent) -> Option<Self> {
         Some(match *item {
             ScanEvent::UnknownKind { seq, kind, .. } => Self::Strange { segment, seq, kind },
@@ -142,7 +143,7 @@
         })
     }
 
-    /// Is this more than what a crash or a failed write leaves behind?
+    /// Returns whether this is more than what a crash or a failed write leaves behind.
     pub fn is_damage(&self) -> bool {
         !matches!(self, Self::Torn { .. } | Self::Doubted { .. })
     }
@@ -186,44 +187,44 @@
     }
 }
 
-/// What recovery came to.
+/// The result of a recovery.
 #[derive(Clone, Debug, Serialize)]
 pub struct Recovered {
     /// Intents without an outcome, by number.
     pub open: Vec<OpenIntent>,
-    /// Open intents that there was no room for.
+    /// The number of open intents beyond the limit.
     pub over: u64,
-    /// What is not as it should be.
+    /// The findings.
     pub findings: Vec<Finding>,
-    /// Findings that there was no room for.
+    /// The number of findings beyond the limit.
     pub more_findings: u64,
-    /// Outcomes of intents that were not seen.
+    /// The number of outcomes whose intent was not read.
     pub orphans: u64,
-    /// Records read.
+    /// The number of records read.
     pub records: u64,
-    /// Segments read.
+    /// The number of segments read.
     pub segments: u64,
-    /// The sequence that comes next.
+    /// The next sequence.
     pub next_seq: u64,
-    /// The last segment ends in order, as its node did.
+    /// Whether the last segment has an orderly end, which its node wrote when it stopped.
     pub in_order: bool,
 }
 
 impl Recovered {
-    /// Has anything more happened than crashes and failed writes?
+    /// Returns whether there is more than what crashes and failed writes leave behind.
     pub fn is_damaged(&self) -> bool {
         self.more_findings > 0 || self.findings.iter().any(Finding::is_damage)
     }
 }
 
-/// A record as recovery sees it.
+/// A record as read, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LocatedRecord {
-    /// Its segment.
+    /// The segment.
     pub segment: SegmentNo,
-    /// Its sequence.
+    /// The sequence of the record.
     pub seq: u64,
-    /// Nothing was wrong with the bytes, nor before them in the segment.
+    /// Whether the record, and everything before it in its segment, was undamaged.
     pub trusted: bool,
     /// The record.
     #[serde(flatten)]
@@ -232,14 +233,14 @@
 
 /// The checkpoint at the head of the segment that is being read.
 #[derive(Debug)]
-enum Head {
-    /// So far all records were carried.
-    Carries { open_intents: OpenIntents, count: u32 },
-    /// It is complete, or there is none.
-    Past,
+enum Checkpoint {
+    /// All records so far were carried ones.
+    Reading { open_intents: OpenIntents, count: u32 },
+    /// The checkpoint is complete, or there is none.
+    Done,
 }
 
-/// Reads segments one after the other, in the order of their numbers.
+/// Reads segments one after the other in the order of their numbers.
 #[derive(Debug)]
 pub struct Recovery {
     owner: Owner,
@@ -252,23 +253,23 @@
     segments: u64,
     next_seq: Option<u64>,
     in_order: bool,
-    last: Option<u64>,
-    /// A gap between segments that a doubt may still explain: (segment, expected, found).
+    last_number: Option<u64>,
+    /// A gap between segments that a record of a failed write may still explain: (segment, expected, found).
     gap: Option<(SegmentNo, u64, u64)>,
     current: Option<Current>,
-    /// The current segment began with a whole checkpoint.
-    checkpoint: bool,
+    /// Whether the current segment began with a complete checkpoint.
+    has_checkpoint: bool,
 }
 
 #[derive(Debug)]
 struct Current {
     number: u64,
     scanner: Option<Scanner>,
-    head: Head,
+    checkpoint: Checkpoint,
 }
 
 impl Recovery {
-    /// Nothing is read yet.
+    /// Starts a recovery.
     pub fn new(owner: Owner, limits: RecoveryLimits) -> Self {
         Self {
             owner,
@@ -281,15 +282,15 @@
             segments: 0,
             next_seq: None,
             in_order: false,
-            last: None,
+            last_number: None,
             gap: None,
             current: None,
-            checkpoint: false,
+            has_checkpoint: false,
         }
     }
 
-    /// Notes something that the reader of the directory saw.
-    pub fn find(&mut self, finding: Finding) {
+    /// Adds a finding, also one of the reader of the directory.
+    pub fn add_finding(&mut self, finding: Finding) {
         if self.findings.len() < self.limits.findings {
             self.findings.push(finding);
         } else {
@@ -297,59 +298,60 @@
         }
     }
 
-    /// A segment begins; the one before is over.
+    /// Begins the next segment and ends the one before.
     pub fn begin(&mut self, number: u64, sink: &mut impl FnMut(LocatedRecord)) {
         self.end(sink);
-        // Of a long row that is missing the first is named, and how far it goes shows in the numbers.
-        if let Some(missing) = self.last.map(|last| last + 1).filter(|n| *n < number) {
-            self.find(Finding::Missing { segment: SegmentNo(missing) });
+        // Of several missing segments in a row only the first is reported; the others follow from the segment
+        // numbers.
+        if let Some(missing) = self.last_number.map(|last| last + 1).filter(|n| *n < number) {
+            self.add_finding(Finding::Missing { segment: SegmentNo(missing) });
             self.trusted = false;
         }
-        self.last = Some(number);
+        self.last_number = Some(number);
         self.segments += 1;
-        (self.in_order, self.checkpoint) = (false, false);
-        let head = Head::Carries { open_intents: OpenIntents::new(self.limits.open), count: 0 };
-        self.current = Some(Current { number, scanner: Some(Scanner::new(self.owner, number)), head });
+        (self.in_order, self.has_checkpoint) = (false, false);
+        let checkpoint = Checkpoint::Reading { open_intents: OpenIntents::new(self.limits.open), count: 0 };
+        self.current = Some(Current { number, scanner: Some(Scanner::new(self.owner, number)), checkpoint });
     }
 
-    /// Its next bytes.
+    /// Takes the next bytes of the segment.
     pub fn push(&mut self, bytes: &[u8], sink: &mut impl FnMut(LocatedRecord)) {
         let Some(mut scanner) = self.current.as_mut().and_then(|c| c.scanner.take()) else { return };
-        scanner.push(bytes, &mut |item| self.take(item, sink));
+        scanner.push(bytes, &mut |item| self.handle_event(item, sink));
         if let Some(current) = &mut self.current {
             current.scanner = Some(scanner);
         }
     }
 
-    /// The rest of it can't be had.
+    /// Reports that the rest of the segment cannot be read.
     pub fn unreadable(&mut self, from: u64, why: String) {
         let Some(number) = self.current.as_ref().map(|c| c.number) else { return };
-        self.find(Finding::Unreadable { segment: SegmentNo(number), from, why });
+        self.add_finding(Finding::Unreadable { segment: SegmentNo(number), from, why });
         self.trusted = false;
     }
 
     fn end(&mut self, sink: &mut impl FnMut(LocatedRecord)) {
         let scanner = self.current.as_mut().and_then(|c| c.scanner.take());
         if let Some(scanner) = scanner {
-            scanner.end(&mut |item| self.take(item, sink));
+            scanner.end(&mut |item| self.handle_event(item, sink));
         }
-        self.unexplained();
+        self.report_gap();
         self.current = None;
     }
 
-    /// A gap that no doubt has explained is a finding.
-    fn unexplained(&mut self) {
+    /// Reports a gap that no record of a failed write has explained.
+    fn report_gap(&mut self) {
         if let Some((segment, expected, found)) = self.gap.take() {
-            self.find(Finding::Gap { segment, expected, found });
+            self.add_finding(Finding::Gap { segment, expected, found });
         }
     }
 
-    /// All segments are read.
+    /// Ends the recovery after the last segment.
     pub fn finish(mut self, sink: &mut impl FnMut(LocatedRecord)) -> Recovered {
         self.end(sink);
         Recovered {
             open: self.open_intents.open().cloned().collect(),
-            over: self.open_intents.over(),
+            over: self.open_intents.overflow(),
             findings: self.findings,
             more_findings: self.more_findings,
             orphans: self.open_intents.orphans(),
@@ -360,25 +362,25 @@
         }
     }
 
-    /// Whether the segment that is being read has shown a whole checkpoint with nothing wrong before it: all that was
-    /// open then is known, without the segments before.
+    /// Returns whether the current segment has shown a complete checkpoint without any problem before it. The
+    /// intents that were open then are known without the earlier segments.
     pub fn has_checkpoint(&self) -> bool {
-        self.checkpoint
+        self.has_checkpoint
     }
 
-    /// Something was wrong with what has been read.
-    pub fn is_doubted(&self) -> bool {
+    /// Returns whether anything was wrong with what has been read.
+    pub fn is_suspect(&self) -> bool {
         !self.trusted
     }
 
-    fn take(&mut self, item: ScanEvent, sink: &mut impl FnMut(LocatedRecord)) {
+    fn handle_event(&mut self, item: ScanEvent, sink: &mut impl FnMut(LocatedRecord)) {
         let Some(number) = self.current.as_ref().map(|c| c.number) else { return };
         let segment = SegmentNo(number);
         if let Some(finding) = Finding::of(segment, &item) {
-            self.find(finding);
+            self.add_finding(finding);
         }
         match item {
-            ScanEvent::Header(header) => self.head(segment, header),
+            ScanEvent::Header(header) => self.check_header(segment, header),
             ScanEvent::Record { seq, record, .. } => {
                 self.next_seq = Some(seq.saturating_add(1));
                 self.records += 1;
@@ -387,27 +389,27 @@
             }
             ScanEvent::UnknownKind { seq, .. } => {
                 self.next_seq = Some(seq.saturating_add(1));
-                self.doubt_rest();
+                self.distrust_rest();
             }
-            ScanEvent::Gap { .. } | ScanEvent::Damage { .. } => self.doubt_rest(),
+            ScanEvent::Gap { .. } | ScanEvent::Damage { .. } => self.distrust_rest(),
             ScanEvent::Tail { .. } => self.in_order = false,
         }
     }
 
-    /// What follows in this segment is not trusted; a checkpoint that is not whole by now is of no use.
-    fn doubt_rest(&mut self) {
+    /// Stops trusting the rest of this segment. A checkpoint that is not complete by now is not used.
+    fn distrust_rest(&mut self) {
         self.trusted = false;
-        self.open_intents.forget_early();
-        let carried = self.current.as_mut().map(|c| std::mem::replace(&mut c.head, Head::Past));
-        if let Some(Head::Carries { open_intents, .. }) = carried {
+        self.open_intents.forget_early_outcomes();
+        let carried = self.current.as_mut().map(|c| std::mem::replace(&mut c.checkpoint, Checkpoint::Done));
+        if let Some(Checkpoint::Reading { open_intents, .. }) = carried {
             for open in open_intents.open() {
                 self.open_intents.apply(&Record::Intent(open.intent.clone()), false);
             }
         }
     }
 
-    fn head(&mut self, segment: SegmentNo, header: Result<Header, HeaderError>) {
-        let trouble = match header {
+    fn check_header(&mut self, segment: SegmentNo, header: Result<Header, HeaderError>) {
+        let finding = match header {
             Ok(header) if header.owner != self.owner => {
                 Finding::Foreign { segment, owner: header.owner.to_string() }
             }
@@ -424,48 +426,51 @@
             Err(HeaderError::Later(version)) => Finding::Later { segment, version },
             Err(HeaderError::NotOurs) => Finding::NotOurs { segment },
             Err(HeaderError::Damaged) => Finding::BadHeader { segment },
-            // Made, and not a header written: its node died, or its disk was full.
+            // The file was created but its header was not written: the node died or the disk was full.
             Err(HeaderError::Short) => Finding::Torn { segment, from: 0, length: 0 },
         };
-        let torn = !trouble.is_damage();
-        self.find(trouble);
+        let torn = !finding.is_damage();
+        self.add_finding(finding);
         if !torn {
-            self.doubt_rest();
+            self.distrust_rest();
         }
     }
 
     fn apply(&mut self, segment: SegmentNo, record: &Record) {
         self.in_order = matches!(record, Record::Closed { last: true });
         let Some(current) = &mut self.current else { return };
-        match (&mut current.head, record) {
-            (Head::Carries { open_intents, count }, Record::Carried(_)) => {
+        match (&mut current.checkpoint, record) {
+            (Checkpoint::Reading { open_intents, count }, Record::Carried(_)) => {
                 open_intents.apply(record, true);
                 *count += 1;
             }
-            (Head::Carries { open_intents, count }, Record::Checkpoint { carried }) if count == carried => {
-                // The writer knew all that was open: what went wrong in earlier segments matters no more.
+            (Checkpoint::Reading { open_intents, count }, Record::Checkpoint { carried })
+                if count == carried =>
+            {
+                // The writer knew all open intents, so problems in earlier segments no longer matter.
                 self.open_intents = std::mem::take(open_intents);
-                (self.trusted, self.checkpoint) = (true, true);
-                current.head = Head::Past;
+                (self.trusted, self.has_checkpoint) = (true, true);
+                current.checkpoint = Checkpoint::Done;
             }
-            (Head::Carries { .. }, _) => {
-                self.find(Finding::BadCheckpoint { segment });
-                self.doubt_rest();
+            (Checkpoint::Reading { .. }, _) => {
+                self.add_finding(Finding::BadCheckpoint { segment });
+                self.distrust_rest();
                 self.open_intents.apply(record, false);
             }
-            (Head::Past, Record::Doubt { segment: doubted, from }) => {
-                self.doubts_at(*doubted, *from);
+            (Checkpoint::Done, Record::Doubt { segment: failed, from }) => {
+                self.handle_failed_write(*failed, *from);
             }
-            (Head::Past, _) => self.open_intents.apply(record, self.trusted),
+            (Checkpoint::Done, _) => self.open_intents.apply(record, self.trusted),
         }
-        // A gap is explained by what stands right after the checkpoint; the first record of any other kind ends the wait.
+        // A gap is explained by records right after the checkpoint; the first record of another kind ends the
+        // wait.
         if !matches!(record, Record::Carried(_) | Record::Checkpoint { .. } | Record::Doubt { .. }) {
-            self.unexplained();
+            self.report_gap();
         }
     }
 
-    fn doubts_at(&mut self, doubted: u64, from: u64) {
-        self.find(Finding::Doubted { segment: SegmentNo(doubted), from });
+    fn handle_failed_write(&mut self, failed: u64, from: u64) {
+        self.add_finding(Finding::Doubted { segment: SegmentNo(failed), from });
         self.gap = self.gap.take().filter(|(_, expected, _)| *expected < from);
     }
 }
--- a/crates/ledger/src/segment.rs
+++ b/crates/ledger/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segment files: their names and headers, and the directory's identity.
+//! Segment files: their names and headers, and the identity of the directory.
 
 use std::fmt;
 use std::hash::{BuildHasher, RandomState};
@@ -7,24 +7,25 @@
 
 /// Bytes of a header.
 pub const HEADER_BYTES: usize = 68;
-/// The version of the format that this program writes, and the last that it reads.
+/// The version of the format that this program writes, and the latest that it reads.
 pub const VERSION: u16 = 1;
 
 const MAGIC: [u8; 8] = *b"mpledger";
 const SUFFIX: &str = ".seg";
 
-/// Whose directory this is: drawn when it is made, and in the header of each of its segments.
+/// A random id of a ledger's directory, chosen when it is created and written in the header of each of its
+/// segments.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Owner(pub [u8; 16]);
 
 impl Owner {
-    /// A new one. The standard library's keys for its hash tables are random for each process and table.
+    /// Generates a new owner. The standard library's hash keys are random for each process and table.
     pub fn random() -> Self {
         let half = || RandomState::new().hash_one(std::process::id()).to_le_bytes();
-        let mut own = [0; 16];
-        own[..8].copy_from_slice(&half());
-        own[8..].copy_from_slice(&half());
-        Self(own)
+        let mut bytes = [0; 16];
+        bytes[..8].copy_from_slice(&half());
+        bytes[8..].copy_from_slice(&half());
+        Self(bytes)
     }
 }
 
@@ -40,40 +41,40 @@
     }
 }
 
-/// The head of a segment.
+/// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Whose it is.
+    /// The owner of the directory.
     pub owner: Owner,
-    /// Its number; each new one of a directory is higher by one.
+    /// The number of the segment; each new one of a directory is higher by one.
     pub number: u64,
     /// The sequence of its first record.
     pub first_seq: u64,
-    /// Which life of the node wrote it.
+    /// The incarnation of the node that wrote it.
     pub boot: u64,
-    /// When, Unix time in microseconds.
+    /// When it was begun, Unix time in microseconds.
     pub wall_us: u64,
-    /// Promises were given after a sync.
+    /// Whether intents were confirmed only after a sync.
     pub synced: bool,
 }
 
-/// Why a header can't be used.
+/// Why a header is unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderError {
-    /// The file ends within it.
+    /// The file ends within the header.
     Short,
-    /// This is no segment.
+    /// The file is not a segment.
     NotOurs,
     /// A later version wrote it.
     Later(u16),
-    /// Its checksum does not hold.
+    /// The checksum is wrong.
     Damaged,
 }
 
 impl Header {
-    /// Adds the header.
+    /// Appends the header.
     pub fn write(&self, to: &mut Vec<u8>) {
-        let begin = to.len();
+        let start = to.len();
         to.extend(MAGIC);
         to.extend(VERSION.to_le_bytes());
         to.extend((HEADER_BYTES as u16).to_le_bytes());
@@ -82,14 +83,14 @@
         for value in [self.number, self.first_seq, self.boot, self.wall_us] {
             to.extend(value.to_le_bytes());
         }
-        let sum = crc32fast::hash(&to[begin..]);
-        to.extend(sum.to_le_bytes());
+        let checksum = crc32fast::hash(&to[start..]);
+        to.extend(checksum.to_le_bytes());
     }
 
     /// Reads a header.
     ///
     /// # Errors
-    /// What is wrong with it. A version is believed only where the magic stands before it.
+    /// What is wrong with it. The version is used only after the magic string matched.
     pub fn read(bytes: &[u8]) -> Result<Self, HeaderError> {
         if bytes.len() >= MAGIC.len() && bytes[..MAGIC.len()] != MAGIC {
             return Err(HeaderError::NotOurs);
@@ -101,9 +102,9 @@
             u64::from_le_bytes(value)
         };
         let version = u16::from_le_bytes([bytes[8], bytes[9]]);
-        let sum = u32::from_le_bytes([bytes[64], bytes[65], bytes[66], bytes[67]]);
-        if crc32fast::hash(&bytes[..64]) != sum {
-            // A later version may have a longer header, and its sum elsewhere.
+        let checksum = u32::from_le_bytes([bytes[64], bytes[65], bytes[66], bytes[67]]);
+        if crc32fast::hash(&bytes[..64]) != checksum {
+            // A later version may have a longer header with the checksum elsewhere.
             return Err(if version > VERSION { HeaderError::Later(version) } else { HeaderError::Damaged });
         }
         if version > VERSION {
@@ -127,38 +128,38 @@
     format!("{number:020}{SUFFIX}")
 }
 
-/// The number that a file name gives; `None` where it is no segment's.
+/// The number in a segment's file name; `None` if the name is not one of a segment.
 pub fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(SUFFIX)?;
-    let whole = digits.len() == 20 && digits.bytes().all(|b| b.is_ascii_digit());
-    // Numbers are counted up from 1: what is near the end of all numbers was not.
-    whole.then(|| digits.parse().ok())?.filter(|number| *number < 1 << 62)
+    let is_valid = digits.len() == 20 && digits.bytes().all(|b| b.is_ascii_digit());
+    // Numbers count up from 1, so one near the maximum was not written by this program.
+    is_valid.then(|| digits.parse().ok())?.filter(|number| *number < 1 << 62)
 }
 
-/// Does this file look like a copy of a segment under a name that none has?
+/// Returns whether a file looks like a renamed copy of a segment.
 pub fn looks_like_copy(name: &str) -> bool {
     name.contains(SUFFIX) && parse_file_name(name).is_none()
 }
 
-/// Whose directory it is, as its file `identity` says.
+/// The owner of a directory, as its file `identity` states.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The node's name.
+    /// The name of the node.
     pub node: String,
-    /// The directory's owner.
+    /// The owner of the directory.
     pub owner: Owner,
 }
 
 impl Identity {
-    /// The file's text.
+    /// Formats the file.
     pub fn text(&self) -> String {
         format!("magpietally ledger {VERSION}\nnode {}\nowner {}\n", self.node, self.owner)
     }
 
-    /// Reads the file's text.
+    /// Parses the file.
     ///
     /// # Errors
-    /// Names the line.
+    /// The line that is invalid, and why.
     pub fn read(text: &str) -> Result<Self, String> {
         let mut lines = text.lines();
         let version = lines.next().and_then(|l| l.strip_prefix("magpietally ledger "));
@@ -175,7 +176,7 @@
     }
 }
 
-/// What to say of a segment by number.
+/// The number of a segment, for display.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
 pub struct SegmentNo(pub u64);
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -1,6 +1,6 @@
-//! The ledger as a node uses it: a handle for all of its threads, and the one thread that writes. Records go through one
-//! queue in their order; what has gathered while a batch was written is the next batch, so that a sync is shared by all
-//! who wait for it.
+//! The ledger as a node uses it: a handle shared by all of its threads, and the single writer thread. Records
+//! pass through one queue in order. Those that gather while a batch is being written form the next batch
+//! (group commit), so that all waiting callers share one sync.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -20,53 +20,55 @@
 };
 use crate::recovery::{Finding, Recovered};
 
-/// Records in a batch.
-const BATCH: usize = 1024;
-/// How soon a disk that failed is tried again, at first and at the most: each time twice as long.
-const HEAL: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
-/// How often an idle writer looks whether its segment is old.
-const IDLE: Duration = Duration::from_secs(1);
+/// Maximum number of records in a batch.
+const BATCH_RECORDS_MAX: usize = 1024;
+/// The first and the longest delay before a failed disk is retried; the delay doubles each time.
+const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
+/// How often an idle writer checks the age of its segment.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a ledger works.
+/// Configuration of a ledger.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where it lies.
+    /// The directory of the ledger.
     pub directory: PathBuf,
-    /// How its segments are kept.
+    /// How segments are written and retained.
     pub journal_options: JournalOptions,
-    /// The most intents that may wait to be written.
+    /// Maximum number of intents that may wait to be written.
     pub queue: usize,
-    /// A batch that takes longer shows a slow disk: what needs an intent is refused until it is done.
+    /// A batch that takes longer than this indicates a slow disk: requests that need an intent are rejected
+    /// until it is finished.
     pub stall: Duration,
 }
 
-/// What a caller knows of an intent; the ledger adds its number, its life and the time.
+/// An intent as the caller knows it; the ledger adds its number, the incarnation and the time.
 #[derive(Clone, Debug)]
 pub struct NewIntent {
-    /// The client's id.
+    /// The client's id of the request.
     pub id: String,
-    /// The class's name.
+    /// The name of the class.
     pub class: String,
-    /// The tenant's name; empty for none.
+    /// The name of the tenant; empty if none.
     pub tenant: String,
-    /// The key's digest.
+    /// The digest of the request's key.
     pub key: Option<KeyDigest>,
-    /// Which attempt, from 0.
+    /// The number of the attempt within the request, from 0.
     pub attempt: usize,
-    /// The server's name.
+    /// The name of the server.
     pub server: String,
-    /// When it started, Unix time in milliseconds; 0 for not known.
+    /// When the server started, Unix time in milliseconds; 0 if unknown.
     pub server_start_ms: u64,
-    /// Time that the request has left.
+    /// Time until the request's deadline.
     pub left: Duration,
 }
 
-/// An intent that waits for its promise.
+/// An intent that is waiting for its confirmation.
 #[derive(Debug)]
 pub struct PendingIntent {
-    /// Its number, for its outcome.
+    /// The number of the intent, for its outcome.
     pub number: u64,
-    /// Whether it counts: true once the promise holds. An end without a word is a ledger that has ended.
+    /// Receives true once the intent is as durable as configured, and false if it could not be written. A
+    /// closed channel means that the ledger has ended.
     pub confirmed: oneshot::Receiver<bool>,
 }
 
@@ -77,27 +79,27 @@
 
 struct Queue {
     waiting: VecDeque<Queued>,
-    /// Intents among them.
+    /// The number of intents in `waiting` and in the batch being written.
     intents: usize,
     /// Since when a batch is being written.
-    writes_since: Option<Instant>,
+    batch_started: Option<Instant>,
     next_number: u64,
     down: Option<String>,
     closed: bool,
-    /// Open intents, as of the last batch.
+    /// Open intents as of the last batch.
     open: usize,
-    over: bool,
+    recovery_overflow: bool,
     stats: Stats,
 }
 
-/// What the ledger has done, for status lines.
+/// Counters of the ledger, for status lines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
-    /// By the journal.
+    /// The journal's counters.
     pub journal: JournalStats,
     /// How often the disk failed.
     pub faults: u64,
-    /// The longest batch since the last look.
+    /// The duration of the longest batch since the counters were last read.
     pub slowest: Duration,
 }
 
@@ -107,26 +109,27 @@
     unknown_intents: UnknownIntents,
     options: Options,
     boot: u64,
-    began: Began,
+    start: StartTime,
 }
 
-/// Both clocks at a life's beginning. Times within it are counted from there, so that a wall clock that steps moves none.
-struct Began {
+/// Both clocks at the start of an incarnation. Later times are computed from the monotonic time since then,
+/// so that a step of the wall clock changes none of them.
+struct StartTime {
     instant: Instant,
     wall: Duration,
     since_boot: Duration,
 }
 
-impl Began {
+impl StartTime {
     fn now() -> Self {
-        // It is there on every Linux since 2.6.39. Without it no time of another life can be told from any other, which is
-        // what zero says.
+        // Available since Linux 2.6.39. Without this clock the ages of other incarnations' records are
+        // unknown, which zero stands for.
         let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { instant: Instant::now(), wall, since_boot }
     }
 
-    fn elapsed(&self) -> Timestamp {
+    fn current_time(&self) -> Timestamp {
         let age = self.instant.elapsed();
         let micros = |since: Duration| (since + age).as_micros() as u64;
         Timestamp { wall_us: micros(self.wall), mono_us: micros(self.since_boot) }
@@ -135,16 +138,17 @@
 
 impl Shared {
     fn queue(&self) -> MutexGuard<'_, Queue> {
-        // A thread that panicked while it held the lock left a whole queue all the same: no call leaves it half changed.
+        // Every critical section leaves the queue consistent, so that it can be used after a panic of a
+        // thread that held the lock.
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Timestamp {
-        self.began.elapsed()
+        self.start.current_time()
     }
 }
 
-/// A node's ledger; clones share it.
+/// The ledger of a node; clones share it.
 #[derive(Clone)]
 pub struct Ledger {
     shared: Arc<Shared>,
@@ -156,20 +160,20 @@
     }
 }
 
-/// Waits for the writer's end.
+/// Waits for the end of the writer thread.
 pub struct WriterHandle {
     ledger: Ledger,
     ended: mpsc::Receiver<()>,
 }
 
-/// Why a node's ledger can't be had.
+/// Why a ledger cannot be started.
 #[derive(Debug)]
 pub enum StartError {
-    /// The directory.
+    /// The directory cannot be used.
     Directory(DirectoryError),
-    /// A later version of the program has written here: what it meant is not known.
+    /// A later version of the program wrote a segment, whose meaning is unknown.
     Later(Finding),
-    /// The system's word.
+    /// The operating system's error.
     Io(&'static str, std::io::Error),
 }
 
@@ -186,11 +190,11 @@
 impl std::error::Error for StartError {}
 
 impl Ledger {
-    /// Takes a directory over: locks it, recovers what it holds, and starts the thread that writes. A disk that does not
-    /// take a new segment is no error: the ledger is down until it does.
+    /// Starts a ledger: locks the directory, recovers its contents and starts the writer thread. If the disk
+    /// cannot create a new segment, this is no error: the ledger is down until it can.
     ///
     /// # Errors
-    /// Where the directory is another's, or can't be read.
+    /// If the directory is in use or belongs to another node, or cannot be read.
     pub fn start(node: &str, options: Options) -> Result<(Self, WriterHandle, Recovered), StartError> {
         let folder = &options.directory;
         retry::at_start(Call::File, "directory", || std::fs::create_dir_all(folder))
@@ -207,10 +211,10 @@
         Ok((ledger, running, recovered))
     }
 
-    /// Starts the thread that writes to this journal, for as long as the handle's [`WriterHandle`] lasts.
+    /// Starts the writer thread on this journal. It runs until [`WriterHandle::close`].
     ///
     /// # Errors
-    /// Where there is no thread to be had.
+    /// If the thread cannot be created.
     pub fn run<D: Disk + Send + 'static>(
         mut journal: Journal<D>,
         recovered: &Recovered,
@@ -223,13 +227,13 @@
         let queue = Queue {
             waiting: VecDeque::new(),
             intents: 0,
-            writes_since: None,
-            // Numbers of a life begin where no other life's can reach.
+            batch_started: None,
+            // Each incarnation has a range of intent numbers of its own.
             next_number: journal.boot() << 32,
             down: None,
             closed: false,
             open: journal.open_intents().open().len(),
-            over: recovered.over > 0,
+            recovery_overflow: recovered.over > 0,
             stats: Stats::default(),
         };
         let shared = Arc::new(Shared {
@@ -238,30 +242,32 @@
             unknown_intents: UnknownIntents::new(&recovered.open),
             options,
             boot: journal.boot(),
-            began: Began::now(),
+            start: StartTime::now(),
         });
-        // The first segment, before the first request: whoever starts a node on a full disk sees it in the log.
-        if let Err(fault) = journal.ensure_segment(shared.now()) {
-            tracing::error!(target: "ledger", "down: {fault}");
-            shared.queue().down = Some(fault.to_string());
+        // The first segment is opened before the first request, so that a disk that is full at the start
+        // shows in the log.
+        if let Err(error) = journal.ensure_segment(shared.now()) {
+            tracing::error!(target: "ledger", "down: {error}");
+            shared.queue().down = Some(error.to_string());
         }
         let (end, ended) = mpsc::channel();
-        let own = shared.clone();
-        let work = move || {
-            Writer { journal, shared: own, wait: HEAL.0, tried: Instant::now() }.work();
-            // The directory is free once the last byte is written.
+        let writer_shared = shared.clone();
+        let run_writer = move || {
+            Writer { journal, shared: writer_shared, retry_delay: RETRY_DELAY.0, last_try: Instant::now() }
+                .run();
+            // The directory is unlocked after the last byte is written.
             drop(lock);
             drop(end);
         };
-        retry::spawn("ledger", work).map_err(|e| StartError::Io("thread", e))?;
+        retry::spawn("ledger", run_writer).map_err(|e| StartError::Io("thread", e))?;
         let ledger = Self { shared };
         Ok((ledger.clone(), WriterHandle { ledger, ended }))
     }
 
-    /// Whether what needs an intent may be taken now.
+    /// Checks whether a request that needs an intent can be accepted now.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why not.
     pub fn check_available(&self) -> Result<(), IntentError> {
         self.check(&self.shared.queue())
     }
@@ -271,44 +277,44 @@
         let load = LedgerLoad {
             closed: queue.closed,
             down: queue.down.is_some(),
-            over: queue.over,
+            recovery_overflow: queue.recovery_overflow,
             open: queue.open,
             waiting: queue.intents,
-            write_elapsed: queue.writes_since.map(|since| since.elapsed()),
+            write_elapsed: queue.batch_started.map(|since| since.elapsed()),
         };
         load.check(&IntentLimits { open: journal_options.open, waiting: *waiting, stall: *stall })
     }
 
-    /// May this request go out, by what was out when the node died?
+    /// Checks a request against those that were in flight when the node died.
     ///
     /// # Errors
-    /// Why it is answered as failed.
+    /// The reason why the request is answered as failed.
     pub fn check_repeat(
         &self,
-        right: RepeatRule,
+        rule: RepeatRule,
         id: &str,
         key: Option<KeyDigest>,
         left: Duration,
     ) -> Result<(), RejectionReason> {
-        self.shared.unknown_intents.check_repeat(right, id, key, self.shared.now(), left.as_micros() as u64)
+        self.shared.unknown_intents.check_repeat(rule, id, key, self.shared.now(), left.as_micros() as u64)
     }
 
-    /// An attempt is about to be made. Nothing of it may go out before the promise.
+    /// Enqueues the intent of an attempt. Nothing of the attempt may be sent before the intent is confirmed.
     ///
     /// # Errors
-    /// Why it can't be noted; then the attempt may not be made.
-    pub fn record_intent(&self, draft: NewIntent) -> Result<PendingIntent, IntentError> {
+    /// The reason why the intent cannot be recorded; then the attempt must not be made.
+    pub fn record_intent(&self, new_intent: NewIntent) -> Result<PendingIntent, IntentError> {
         let at = self.shared.now();
         let (to, confirmed) = oneshot::channel();
         let mut queue = self.shared.queue();
         self.check(&queue)?;
-        // One with a longer id could not be told from others by what is left of it.
-        if draft.id.len() > ID_MAX_BYTES {
+        // A truncated id could not be told from other ids with the same beginning.
+        if new_intent.id.len() > ID_MAX_BYTES {
             return Err(IntentError::IdTooLong);
         }
         let number = queue.next_number;
         queue.next_number += 1;
-        let NewIntent { id, class, tenant, key, attempt, server, server_start_ms, left } = draft;
+        let NewIntent { id, class, tenant, key, attempt, server, server_start_ms, left } = new_intent;
         let intent = Intent {
             number,
             id,
@@ -323,46 +329,47 @@
             boot: self.shared.boot,
         };
         queue.intents += 1;
-        self.put(queue, Queued::Intent(intent, to));
+        self.enqueue(queue, Queued::Intent(intent, to));
         Ok(PendingIntent { number, confirmed })
     }
 
-    /// An attempt has ended.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(&self, intent: u64, how: AttemptOutcome) {
         let at = self.shared.now();
-        self.note(Record::Outcome(Outcome { intent, how, at }));
+        self.enqueue_record(Record::Outcome(Outcome { intent, how, at }));
     }
 
-    /// A request has its final answer, or none is owed any more. `intent` is its last one.
+    /// Records the final outcome of a request; `intent` is the number of its last intent.
     pub fn record_final_outcome(&self, intent: u64, id: &str, told: FinalOutcome) {
         let at = self.shared.now();
-        self.note(Record::Final(Final { intent, id: id.to_string(), told, at }));
+        self.enqueue_record(Record::Final(Final { intent, id: id.to_string(), told, at }));
     }
 
-    /// What comes after an intent is always taken: there are at most a few for each open one, which are bounded.
-    fn note(&self, record: Record) {
+    /// Records after an intent are always accepted: there are only a few for each open intent, and open
+    /// intents are limited.
+    fn enqueue_record(&self, record: Record) {
         let queue = self.shared.queue();
         if !queue.closed {
-            self.put(queue, Queued::Other(record));
+            self.enqueue(queue, Queued::Other(record));
         }
     }
 
-    fn put(&self, mut queue: MutexGuard<'_, Queue>, what: Queued) {
-        // A writer at work looks again by itself.
-        let asleep = queue.waiting.is_empty() && queue.writes_since.is_none();
-        queue.waiting.push_back(what);
+    fn enqueue(&self, mut queue: MutexGuard<'_, Queue>, queued: Queued) {
+        // A busy writer checks the queue again before it sleeps.
+        let writer_waits = queue.waiting.is_empty() && queue.batch_started.is_none();
+        queue.waiting.push_back(queued);
         drop(queue);
-        if asleep {
+        if writer_waits {
             self.shared.wake.notify_one();
         }
     }
 
-    /// What was out when the node died: how many intents.
+    /// The number of intents that were open when the node died.
     pub fn unknown_count(&self) -> usize {
         self.shared.unknown_intents.count()
     }
 
-    /// What has been done; the slowest batch is since the last look.
+    /// Returns the counters and resets the slowest batch.
     pub fn stats(&self) -> Stats {
         let mut queue = self.shared.queue();
         let stats = queue.stats;
@@ -370,17 +377,17 @@
         stats
     }
 
-    /// Its part of a status line.
+    /// The ledger's part of a status line.
     pub fn status_line(&self) -> String {
         let Stats { journal, faults, slowest } = self.stats();
         let queue = self.shared.queue();
-        let standing = match self.check(&queue) {
+        let state = match self.check(&queue) {
             Ok(()) => "good".to_string(),
             Err(IntentError::Down) => format!("down ({})", queue.down.as_deref().unwrap_or_default()),
-            Err(trouble) => trouble.to_string(),
+            Err(error) => error.to_string(),
         };
         format!(
-            "ledger {standing}, open {} unknown {} waiting {} records {} bytes {} writes {} syncs {} faults {} lost {} \
+            "ledger {state}, open {} unknown {} waiting {} records {} bytes {} writes {} syncs {} faults {} lost {} \
              slowest {:.1} ms",
             queue.open,
             self.unknown_count(),
@@ -397,11 +404,11 @@
 }
 
 impl WriterHandle {
-    /// Writes what waits and ends, within so long; false where it took longer.
+    /// Writes what is queued and ends the writer thread. Returns false if this takes longer than `within`.
     pub fn close(self, within: Duration) -> bool {
         self.ledger.shared.queue().closed = true;
         self.ledger.shared.wake.notify_one();
-        // The thread says nothing: its end drops the other side.
+        // The thread sends nothing on this channel; it drops the sender when it ends.
         self.ended.recv_timeout(within) == Err(mpsc::RecvTimeoutError::Disconnected)
     }
 }
@@ -409,21 +416,21 @@
 struct Writer<D: Disk> {
     journal: Journal<D>,
     shared: Arc<Shared>,
-    /// How long the disk is left alone after it failed, and since when.
-    wait: Duration,
-    tried: Instant,
+    /// The delay before the disk is retried after a failure, and when it was last tried.
+    retry_delay: Duration,
+    last_try: Instant,
 }
 
 impl<D: Disk> Writer<D> {
-    fn work(mut self) {
+    fn run(mut self) {
         let (mut records, mut waiters) = (Vec::new(), Vec::new());
         loop {
             let closed = self.gather(&mut records, &mut waiters);
             let began = Instant::now();
-            let good = self.write(&records);
+            let confirmed = self.write(&records);
             {
                 let mut queue = self.shared.queue();
-                queue.writes_since = None;
+                queue.batch_started = None;
                 queue.intents -= waiters.len();
                 queue.open = self.journal.open_intents().open().len();
                 let stats = &mut queue.stats;
@@ -432,27 +439,32 @@
             }
             records.clear();
             for waiter in waiters.drain(..) {
-                // Whoever has given up waiting needs no word.
-                let _ = <oneshot::Sender<bool>>::send(waiter, good);
+                // A caller that no longer waits has dropped its receiver.
+                let _ = <oneshot::Sender<bool>>::send(waiter, confirmed);
             }
             if closed && self.shared.queue().waiting.is_empty() {
                 break;
             }
         }
-        if let Err(fault) = self.journal.close() {
-            tracing::warn!(target: "ledger", "at the end: {fault}");
+        if let Err(error) = self.journal.close() {
+            tracing::warn!(target: "ledger", "could not write the orderly end: {error}");
         }
     }
 
-    /// Waits for records, or until there is something else to do. True once the node ends.
+    /// Waits for records or for the next periodic check, and moves a batch out of the queue. Returns whether
+    /// the node is shutting down.
     fn gather(&mut self, records: &mut Vec<Record>, waiters: &mut Vec<oneshot::Sender<bool>>) -> bool {
         let mut queue = self.shared.queue();
         if queue.waiting.is_empty() && !queue.closed {
-            let most = if self.journal.is_up() { IDLE } else { self.wait.min(IDLE) };
-            let woken = self.shared.wake.wait_timeout(queue, most);
+            let timeout = if self.journal.is_up() {
+                IDLE_CHECK_INTERVAL
+            } else {
+                self.retry_delay.min(IDLE_CHECK_INTERVAL)
+            };
+            let woken = self.shared.wake.wait_timeout(queue, timeout);
             queue = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
-        let count = queue.waiting.len().min(BATCH);
+        let count = queue.waiting.len().min(BATCH_RECORDS_MAX);
         for queued in queue.waiting.drain(..count) {
             match queued {
                 Queued::Intent(intent, to) => {
@@ -462,24 +474,24 @@
                 Queued::Other(record) => records.push(record),
             }
         }
-        queue.writes_since = Some(Instant::now());
+        queue.batch_started = Some(Instant::now());
         queue.closed
     }
 
-    /// True where each intent among them has its promise.
+    /// Writes a batch. Returns whether its intents are confirmed.
     fn write(&mut self, records: &[Record]) -> bool {
         let now = self.shared.now();
-        if !self.journal.is_up() && self.tried.elapsed() >= self.wait {
-            self.tried = Instant::now();
+        if !self.journal.is_up() && self.last_try.elapsed() >= self.retry_delay {
+            self.last_try = Instant::now();
             match self.journal.ensure_segment(now) {
                 Ok(()) => {
-                    tracing::info!(target: "ledger", "up again");
-                    self.wait = HEAL.0;
+                    tracing::info!(target: "ledger", "the disk works again; the ledger is up");
+                    self.retry_delay = RETRY_DELAY.0;
                     self.shared.queue().down = None;
                 }
-                Err(fault) => {
-                    self.wait = (self.wait * 2).min(HEAL.1);
-                    self.fails(&fault.to_string());
+                Err(error) => {
+                    self.retry_delay = (self.retry_delay * 2).min(RETRY_DELAY.1);
+                    self.record_failure(&error.to_string());
                 }
             }
         }
@@ -490,19 +502,19 @@
         };
         match result {
             Ok(()) => true,
-            Err(CommitError::Disk(fault)) => {
-                tracing::error!(target: "ledger", "down: {fault}; what must not run twice is refused");
-                (self.wait, self.tried) = (HEAL.0, Instant::now());
-                self.fails(&fault.to_string());
+            Err(CommitError::Disk(error)) => {
+                tracing::error!(target: "ledger", "down: {error}; requests that must not run twice are rejected");
+                (self.retry_delay, self.last_try) = (RETRY_DELAY.0, Instant::now());
+                self.record_failure(&error.to_string());
                 false
             }
             Err(CommitError::Down) => false,
         }
     }
 
-    fn fails(&self, words: &str) {
+    fn record_failure(&self, error: &str) {
         let mut queue = self.shared.queue();
         queue.stats.faults += 1;
-        queue.down = Some(words.to_string());
+        queue.down = Some(error.to_string());
     }
 }
