--- a/crates/ledger/src/open_intents/tests.rs
+++ b/crates/ledger/src/open_intents/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_outcome_that_overtakes_its_intent_closes_it_all_the_same() {
+fn an_outcome_recorded_before_its_intent_closes_it() {
     let mut open_intents = OpenIntents::new(8);
     for record in [outcome(2), intent(1), intent(2), intent(3), outcome(1)] {
         open_intents.apply(&record, true);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_not_trusted_closes_nothing() {
+fn an_untrusted_outcome_closes_nothing() {
     let mut open_intents = OpenIntents::new(8);
     open_intents.apply(&intent(1), true);
     open_intents.apply(&outcome(1), false);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn more_than_there_is_room_for_are_counted() {
+fn intents_and_outcomes_beyond_the_limits_are_counted() {
     let mut open_intents = OpenIntents::new(2);
     (0..5).for_each(|n| open_intents.apply(&intent(n), true));
     assert_eq!((numbers(&open_intents), open_intents.overflow()), (vec![0, 1], 3));
--- a/crates/ledger/src/reconcile/tests.rs
+++ b/crates/ledger/src/reconcile/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::{Final, Outcome, Timestamp};
 use crate::segment::SegmentNo;
 
-fn seen(seq: u64, record: Record) -> LocatedRecord {
+fn located(seq: u64, record: Record) -> LocatedRecord {
     LocatedRecord { segment: SegmentNo(1), seq, trusted: true, record }
 }
 
@@ -11,7 +11,7 @@
     let (class, tenant) = (String::new(), String::new());
     let (id, server, at) = (id.to_string(), server.to_string(), Timestamp::default());
     let (attempt, server_start_ms, left_us, boot) = (0, 0, 0, 1);
-    seen(
+    located(
         number,
         Record::Intent(Intent {
             number,
@@ -30,7 +30,7 @@
 }
 
 fn outcome(intent: u64, how: AttemptOutcome) -> LocatedRecord {
-    seen(1000 + intent, Record::Outcome(Outcome { intent, how, at: Timestamp::default() }))
+    located(1000 + intent, Record::Outcome(Outcome { intent, how, at: Timestamp::default() }))
 }
 
 fn run(id: &str, server: &str, key: Option<&str>) -> ServerRun {
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn each_kind_of_difference_is_found_and_what_agrees_is_none() {
-    let mut books = LedgerIndex::new();
-    let told = |intent, id: &str, told| {
+fn each_kind_of_difference_is_found_and_matching_records_are_none() {
+    let mut index = LedgerIndex::new();
+    let final_outcome = |intent, id: &str, told| {
         let id = id.to_string();
-        seen(2000 + intent, Record::Final(Final { intent, id, told, at: Timestamp::default() }))
+        located(2000 + intent, Record::Final(Final { intent, id, told, at: Timestamp::default() }))
     };
     for record in [
         intent(1, "good", "a", None),
@@ -51,7 +51,7 @@
         intent(3, "unknown-not", "b", None),
         intent(4, "never-ran", "b", None),
         outcome(4, AttemptOutcome::Done),
-        // A repeat that its server dropped: the first one ran elsewhere, under another id.
+        // A repeat that its server dropped: the first one ran elsewhere under another id.
         intent(5, "repeat", "b", Some("k")),
         outcome(5, AttemptOutcome::Done),
         intent(6, "first", "a", Some("k")),
@@ -60,17 +60,17 @@
         intent(7, "proven", "a", None),
         intent(8, "refused", "a", None),
         outcome(8, AttemptOutcome::TimedOut),
-        told(8, "refused", FinalOutcome::Refused),
+        final_outcome(8, "refused", FinalOutcome::Refused),
         intent(9, "other-box", "a", None),
         outcome(9, AttemptOutcome::Reset),
         intent(10, "failed-write", "b", None),
-        seen(3000, Record::Doubt { segment: 1, from: 10 }),
+        located(3000, Record::Doubt { segment: 1, from: 10 }),
     ] {
-        books.add(0, &record);
+        index.add(0, &record);
     }
-    // Numbers are each ledger's own.
-    books.add(1, &intent(1, "elsewhere", "c", None));
-    books.add(1, &outcome(1, AttemptOutcome::Reset));
+    // Each ledger has its own intent numbers.
+    index.add(1, &intent(1, "elsewhere", "c", None));
+    index.add(1, &outcome(1, AttemptOutcome::Reset));
     let runs = [
         run("good", "a", None),
         run("unknown-ran", "a", None),
@@ -81,9 +81,9 @@
         run("stranger", "b", None),
         run("stranger", "c", None),
     ];
-    let words: Vec<String> = books.compare(&runs).iter().map(Difference::to_string).collect();
+    let differences: Vec<String> = index.compare(&runs).iter().map(Difference::to_string).collect();
     assert_eq!(
-        words,
+        differences,
         [
             "other-box: ran at b, but not in the ledger",
             "stranger: ran at b, but not in the ledger",
--- a/crates/ledger/src/record/tests.rs
+++ b/crates/ledger/src/record/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn every_record_comes_back_as_it_was_and_the_longest_fits() {
+fn every_record_survives_a_round_trip_and_the_longest_fits() {
     let at = Timestamp { wall_us: 1_800_000_000_000_000, mono_us: 5 };
     let intent = Intent {
         number: 7,
@@ -20,7 +20,7 @@
         at,
         boot: 9,
     };
-    let mut all: Vec<Record> = AttemptOutcome::ALL
+    let mut records: Vec<Record> = AttemptOutcome::ALL
         .into_iter()
         .map(|how| Record::Outcome(Outcome { intent: 7, how, at }))
         .chain([
@@ -32,9 +32,9 @@
             Record::Closed { last: true },
         ])
         .collect();
-    all.push(Record::Carried(Carried { intent, trusted: false }));
+    records.push(Record::Carried(Carried { intent, trusted: false }));
     let salt = Salt::of([3; 16], 1);
-    for (seq, record) in all.iter().enumerate() {
+    for (seq, record) in records.iter().enumerate() {
         let mut bytes = Vec::new();
         encode(record, seq as u64, salt, &mut bytes);
         assert!(bytes.len() <= FRAME_MAX_BYTES, "{} bytes", bytes.len());
@@ -42,8 +42,8 @@
             panic!("{record:?}")
         };
         assert_eq!((read, Record::read(kind, payload).as_ref()), (seq as u64, Some(record)));
-        assert_eq!(parse(&bytes, Salt::of([3; 16], 2)), ParsedFrame::Invalid, "another segment's");
-        assert_eq!(parse(&bytes, Salt::of([4; 16], 1)), ParsedFrame::Invalid, "another node's");
+        assert_eq!(parse(&bytes, Salt::of([3; 16], 2)), ParsedFrame::Invalid, "frame of another segment");
+        assert_eq!(parse(&bytes, Salt::of([4; 16], 1)), ParsedFrame::Invalid, "frame of another node");
         for cut in 0..bytes.len() {
             assert_eq!(parse(&bytes[..cut], salt), ParsedFrame::Incomplete, "cut at {cut}");
         }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_cut_at_a_whole_character() {
+fn a_text_that_is_too_long_is_truncated_at_a_whole_character() {
     let mut to = Vec::new();
     write_text(&mut to, &format!("a{}", long(100)), NAME_MAX_BYTES);
     assert_eq!(PayloadReader(&to).text(), Some(format!("a{}", long(63))));
--- a/crates/ledger/src/recovery.rs
+++ b/crates/ledger/src/recovery.rs
@@ -153,10 +153,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Torn { segment, from, length } => {
-                write!(f, "{segment}: torn at byte {from}, {length} bytes cut")
+                write!(f, "{segment}: torn write at byte {from}, {length} bytes ignored")
             }
             Self::Damaged { segment, from, to } => {
-                write!(f, "{segment}: bytes {from} to {to} are damaged; what follows in it is not trusted")
+                write!(
+                    f,
+                    "{segment}: bytes {from} to {to} are damaged; the rest of the segment is not trusted"
+                )
             }
             Self::Gap { segment, expected, found } => {
                 write!(f, "{segment}: records {expected} to {} are missing", found - 1)
@@ -164,25 +167,29 @@
             Self::Doubted { segment, from } => {
                 write!(
                     f,
-                    "{segment}: a write or a sync failed from record {from} on; nothing of it was promised"
+                    "{segment}: a write or a sync failed from record {from} on; those records were never confirmed"
                 )
             }
-            Self::BadHeader { segment } => write!(f, "{segment}: its header is damaged; it is not trusted"),
-            Self::NotOurs { segment } => write!(f, "{segment}: this file is no segment"),
+            Self::BadHeader { segment } => {
+                write!(f, "{segment}: its header is damaged; the segment is not trusted")
+            }
+            Self::NotOurs { segment } => write!(f, "{segment}: not a segment file"),
             Self::Later { segment, version } => {
-                write!(f, "{segment}: version {version} of the format, later than this program's")
+                write!(f, "{segment}: format version {version} is later than this program's")
+            }
+            Self::Foreign { segment, owner } => {
+                write!(f, "{segment}: belongs to another node's ledger ({owner})")
             }
-            Self::Foreign { segment, owner } => write!(f, "{segment}: from another node's ledger ({owner})"),
             Self::Misnamed { segment, says } => write!(f, "{segment}: its header says that it is {says}"),
-            Self::Doubled { file } => write!(f, "{file}: a second copy of a segment, not read"),
-            Self::Missing { segment } => write!(f, "{segment}: missing between others"),
+            Self::Doubled { file } => write!(f, "{file}: looks like a copy of a segment; not read"),
+            Self::Missing { segment } => write!(f, "{segment}: missing, although a later segment exists"),
             Self::Unreadable { segment, from, why } => {
-                write!(f, "{segment}: can't be read from byte {from} on: {why}")
+                write!(f, "{segment}: cannot be read from byte {from} on: {why}")
             }
             Self::Strange { segment, seq, kind } => {
-                write!(f, "{segment}: record {seq} is of kind {kind}, which this program does not know")
+                write!(f, "{segment}: record {seq} is of unknown kind {kind}")
             }
-            Self::BadCheckpoint { segment } => write!(f, "{segment}: its checkpoint does not hold together"),
+            Self::BadCheckpoint { segment } => write!(f, "{segment}: its checkpoint is inconsistent"),
         }
     }
 }
--- a/crates/ledger/src/segment/tests.rs
+++ b/crates/ledger/src/segment/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_header_comes_back_and_each_flipped_bit_is_seen() {
+fn a_header_survives_a_round_trip_and_each_flipped_bit_is_detected() {
     let header =
         Header { owner: Owner::random(), number: 3, first_seq: 90, boot: 4, wall_us: 17, synced: true };
     let mut bytes = Vec::new();
@@ -9,15 +9,15 @@
     assert_eq!(bytes.len(), HEADER_BYTES);
     assert_eq!(Header::read(&bytes), Ok(header));
     for bit in 0..8 * HEADER_BYTES {
-        let mut bent = bytes.clone();
-        bent[bit / 8] ^= 1 << (bit % 8);
-        assert!(Header::read(&bent).is_err(), "bit {bit}");
+        let mut damaged = bytes.clone();
+        damaged[bit / 8] ^= 1 << (bit % 8);
+        assert!(Header::read(&damaged).is_err(), "bit {bit}");
     }
     assert_eq!(Header::read(&bytes[..HEADER_BYTES - 1]), Err(HeaderError::Short));
 }
 
 #[test]
-fn names_sort_as_numbers_do_and_copies_are_known_for_what_they_are() {
+fn file_names_sort_by_number_and_copies_are_recognized() {
     assert_eq!((parse_file_name(&file_name(7)), parse_file_name(&file_name(u64::MAX))), (Some(7), None));
     assert!(file_name(99) < file_name(100));
     for copy in ["00000000000000000003.seg.bak", "00000000000000000003 (1).seg", "3.seg"] {
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn an_identity_comes_back_and_a_bad_line_is_named() {
-    let own = Identity { node: "lahore 1".into(), owner: Owner::random() };
-    assert_eq!(Identity::read(&own.text()), Ok(own.clone()));
+fn an_identity_survives_a_round_trip_and_errors_name_the_line() {
+    let identity = Identity { node: "lahore 1".into(), owner: Owner::random() };
+    assert_eq!(Identity::read(&identity.text()), Ok(identity.clone()));
     for (from, to, line) in [
         ("ledger 1", "ledger 2", "line 1: version 2"),
         ("magpie", "gnu", "line 1"),
         ("node ", "nod", "line 2"),
         ("owner ", "owner x", "line 3"),
     ] {
-        let told = Identity::read(&own.text().replace(from, to)).expect_err(to);
-        assert!(told.starts_with(line), "{told}");
+        let error = Identity::read(&identity.text().replace(from, to)).expect_err(to);
+        assert!(error.starts_with(line), "{error}");
     }
 }
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A scripted life of a ledger on a simulated disk, and what must hold after a crash at any point of it.
+//! A scripted workload of a ledger on a simulated disk, and the checks that must hold after a crash at any
+//! point of it.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,12 +14,12 @@
 use magpietally_ledger::sim::{files_after_crash, DiskFault, Loss, Op, SimDisk, PAGE_BYTES};
 
 pub const OWNER: Owner = Owner([9; 16]);
-/// Batches of the script.
+/// The number of batches of the workload.
 pub const BATCHES: u64 = 16;
 
-pub fn journal_options(promise: Durability, segments: usize) -> JournalOptions {
+pub fn journal_options(durability: Durability, segments: usize) -> JournalOptions {
     JournalOptions {
-        durability: promise,
+        durability,
         segment_bytes: 600,
         segment_age_us: 1_000_000,
         segments,
@@ -29,7 +30,7 @@
 }
 
 pub fn now(step: u64) -> Timestamp {
-    // The wall's clock steps back by a minute half way.
+    // The wall clock steps back by a minute half way.
     let back = if step > BATCHES / 2 { 60_000_000 } else { 0 };
     Timestamp { wall_us: 1_800_000_000_000_000 + step * 1000 - back, mono_us: step * 1000 }
 }
@@ -54,18 +55,18 @@
     Record::Outcome(Outcome { intent, how: AttemptOutcome::Done, at: now(step) })
 }
 
-/// The batches: each brings two intents, ends one of the batch before, and leaves every fourth one open for long.
+/// The batches. Each records two intents and ends one of the previous batch; every fourth intent stays open.
 pub fn batches() -> Vec<Vec<Record>> {
     (0..BATCHES)
         .map(|step| {
             let mut batch = vec![intent(2 * step, step), intent(2 * step + 1, step)];
             if step > 0 {
-                let over = 2 * (step - 1);
-                batch.push(outcome(over, step));
-                let (id, told, at) = (format!("txn-{over}"), FinalOutcome::Served, now(step));
-                batch.push(Record::Final(Final { intent: over, id, told, at }));
+                let ended = 2 * (step - 1);
+                batch.push(outcome(ended, step));
+                let (id, told, at) = (format!("txn-{ended}"), FinalOutcome::Served, now(step));
+                batch.push(Record::Final(Final { intent: ended, id, told, at }));
                 if step % 2 == 0 {
-                    batch.push(outcome(over + 1, step));
+                    batch.push(outcome(ended + 1, step));
                 }
             }
             batch
@@ -73,12 +74,13 @@
         .collect()
 }
 
-/// Plays the script; each batch that holds is marked on the disk. Which ones did not.
-pub fn play(disk: &SimDisk, journal_options: JournalOptions) -> Vec<u64> {
-    let (mut journal, _) = Journal::open(disk.clone(), OWNER, journal_options).expect("names can be read");
+/// Runs the workload and marks each confirmed batch on the disk. Returns the batches that failed.
+pub fn run_workload(disk: &SimDisk, journal_options: JournalOptions) -> Vec<u64> {
+    let (mut journal, _) =
+        Journal::open(disk.clone(), OWNER, journal_options).expect("file names are readable");
     let mut failed = Vec::new();
     for (step, batch) in (0..).zip(batches()) {
-        // While the disk is away this fails, and is tried again at the next step.
+        // This fails while the disk is down, and is retried with the next batch.
         let _ = journal.ensure_segment(now(step));
         match journal.commit(&batch, now(step)) {
             Ok(()) => disk.mark(step as usize),
@@ -88,22 +90,22 @@
     failed
 }
 
-pub fn read(files: &BTreeMap<String, Vec<u8>>, reach: ReadScope) -> (Recovered, Vec<LocatedRecord>) {
+pub fn read(files: &BTreeMap<String, Vec<u8>>, scope: ReadScope) -> (Recovered, Vec<LocatedRecord>) {
     let mut seen = Vec::new();
     let mut disk = SimDisk::with_files(files.clone());
-    let recovered = recover(&mut disk, OWNER, RecoveryLimits::default(), reach, &mut |s| seen.push(s));
-    (recovered.expect("names can be read"), seen)
+    let recovered = recover(&mut disk, OWNER, RecoveryLimits::default(), scope, &mut |s| seen.push(s));
+    (recovered.expect("file names are readable"), seen)
 }
 
-/// Which batches had been promised.
-fn marks(ops: &[Op]) -> BTreeSet<usize> {
+/// The batches that were confirmed.
+fn confirmed_batches(ops: &[Op]) -> BTreeSet<usize> {
     ops.iter().filter_map(|op| if let Op::Mark(n) = op { Some(*n) } else { None }).collect()
 }
 
-/// What must hold of the files after a crash behind these operations; `whole` where nothing was removed yet.
+/// Checks the files after a crash that follows these operations; `whole` if no segment was removed yet.
 pub fn check(ops: &[Op], files: &BTreeMap<String, Vec<u8>>, whole: bool, point: &dyn Fn() -> String) {
     let all = batches();
-    let confirmed = marks(ops);
+    let confirmed = confirmed_batches(ops);
     let (recovered, _) = read(files, ReadScope::Checkpoint);
     let open: BTreeMap<u64, bool> = recovered.open.iter().map(|o| (o.intent.number, o.trusted)).collect();
     for o in &recovered.open {
@@ -124,12 +126,12 @@
                 assert_eq!(is, None, "{}: {} has its outcome", point(), intent.id);
             } else if !ended_at_all || confirmed.last().is_some_and(|last| !(0..=last + 1).any(|n| ended(&n)))
             {
-                assert_eq!(is, Some(&true), "{}: {} was promised", point(), intent.id);
+                assert_eq!(is, Some(&true), "{}: {} was confirmed", point(), intent.id);
             }
         }
     }
-    let (everything, seen) = read(files, ReadScope::All);
-    assert!(everything.findings.len() < 20, "{}: {:?}", point(), everything.findings);
+    let (all_records, seen) = read(files, ReadScope::All);
+    assert!(all_records.findings.len() < 20, "{}: {:?}", point(), all_records.findings);
     let mut last = None;
     for s in &seen {
         assert!(last < Some(s.seq), "{}: out of order", point());
@@ -143,26 +145,28 @@
     if whole {
         for record in confirmed.iter().flat_map(|step| &all[*step]) {
             let there = seen.iter().any(|s| s.trusted && s.record == *record);
-            assert!(there, "{}: {record:?} was promised", point());
+            assert!(there, "{}: {record:?} was confirmed", point());
         }
     }
 }
 
-/// A new life from these files: it must take the old one's open intents over and write behind them.
-pub fn live_on(files: &BTreeMap<String, Vec<u8>>, journal_options: JournalOptions) {
+/// Starts a new incarnation on these files: it must take over the open intents and write after them.
+pub fn restart(files: &BTreeMap<String, Vec<u8>>, journal_options: JournalOptions) {
     let (before, _) = read(files, ReadScope::Checkpoint);
     let disk = SimDisk::with_files(files.clone());
-    let (mut journal, _) = Journal::open(disk.clone(), OWNER, journal_options).expect("names can be read");
-    journal.ensure_segment(now(100)).expect("nothing is wrong with the disk");
-    journal.commit(&[intent(1000, 100)], now(100)).expect("nothing is wrong with the disk");
+    let (mut journal, _) =
+        Journal::open(disk.clone(), OWNER, journal_options).expect("file names are readable");
+    journal.ensure_segment(now(100)).expect("the disk works");
+    journal.commit(&[intent(1000, 100)], now(100)).expect("the disk works");
     let (after, _) = read(&disk.files(), ReadScope::Checkpoint);
     let numbers = |r: &Recovered| r.open.iter().map(|o| o.intent.number).collect::<Vec<_>>();
     assert_eq!(numbers(&after), [numbers(&before), vec![1000]].concat());
 }
 
-/// Crashes at every operation, with every write torn at every byte, and with power for each thing that may be lost. How
-/// many crashes that were.
-pub fn crash_everywhere(ops: &[Op], promise: Durability, whole: bool, bytes: bool) -> u64 {
+/// Crashes after every operation and with every write torn at every byte. For power loss also with none, a
+/// prefix, one page, all pages but one, or random pages of the unsynced data on disk. Returns the number of
+/// crashes.
+pub fn crash_everywhere(ops: &[Op], durability: Durability, whole: bool, bytes: bool) -> u64 {
     let mut points = 0;
     for n in 0..=ops.len() {
         let done = &ops[..n];
@@ -170,7 +174,7 @@
             points += 1;
             check(done, files, whole, &|| format!("after {n} operations, {what}"));
         };
-        crash(&files_after_crash(done, None, Loss::Process), "process");
+        crash(&files_after_crash(done, None, Loss::Process), "process crash");
         let length = match done.last() {
             Some(Op::Write(_, bytes)) => bytes.len(),
             _ => 0,
@@ -180,10 +184,10 @@
                 crash(&files_after_crash(done, Some(torn), Loss::Process), &format!("torn at {torn}"));
             }
         }
-        if promise == Durability::ProcessCrash {
+        if durability == Durability::ProcessCrash {
             continue;
         }
-        crash(&files_after_crash(done, None, Loss::All), "all that was not synced");
+        crash(&files_after_crash(done, None, Loss::All), "all unsynced data lost");
         if !bytes {
             continue;
         }
@@ -209,10 +213,11 @@
             );
         }
         for seed in 0..8u64 {
-            let mut roll = (n as u64) << 8 | seed;
+            let mut random = (n as u64) << 8 | seed;
             let mut some = |_: &str, _: usize| {
-                roll = roll.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-                roll >> 63 == 1
+                random =
+                    random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                random >> 63 == 1
             };
             crash(
                 &files_after_crash(done, None, Loss::Pages(&mut some)),
@@ -223,33 +228,37 @@
     points
 }
 
-/// The script with each call failing in each way, alone and five in a row, and a crash at every operation of it. How many
-/// lives, and how many crashes.
-pub fn fail_everywhere(promise: Durability, every: usize, bytes: bool) -> (u64, u64) {
-    let calm = SimDisk::default();
-    assert_eq!(play(&calm, journal_options(promise, 100)), [0u64; 0], "a calm disk fails no batch");
-    let (mut lives, mut points) = (0, 0);
-    for call in (0..calm.calls()).step_by(every) {
-        for trouble in [DiskFault::NoSpace, DiskFault::Io, DiskFault::ShortWrite, DiskFault::ReadOnly] {
+/// Runs the workload with each call failing in each way, once and five times in a row, and crashes at every
+/// operation. Returns the number of runs and the number of crashes.
+pub fn fail_everywhere(durability: Durability, every: usize, bytes: bool) -> (u64, u64) {
+    let healthy = SimDisk::default();
+    assert_eq!(
+        run_workload(&healthy, journal_options(durability, 100)),
+        [0u64; 0],
+        "a healthy disk fails no batch"
+    );
+    let (mut runs, mut points) = (0, 0);
+    for call in (0..healthy.calls()).step_by(every) {
+        for fault in [DiskFault::NoSpace, DiskFault::Io, DiskFault::ShortWrite, DiskFault::ReadOnly] {
             for long in [1, 5] {
                 let disk = SimDisk::default();
-                disk.fail(call..call + long, trouble);
-                let failed = play(&disk, journal_options(promise, 100));
-                assert!(trouble != DiskFault::ShortWrite || failed.is_empty(), "a short write is no failure");
+                disk.fail(call..call + long, fault);
+                let failed = run_workload(&disk, journal_options(durability, 100));
+                assert!(fault != DiskFault::ShortWrite || failed.is_empty(), "a short write is no failure");
                 let late = disk.calls() > call + long + 4;
-                assert!(!late || !failed.contains(&(BATCHES - 1)), "call {call}, {trouble:?}: not healed");
+                assert!(!late || !failed.contains(&(BATCHES - 1)), "call {call}, {fault:?}: did not recover");
                 let ops = disk.ops();
-                never_trusts_a_failed_sync(&ops);
-                lives += 1;
-                points += crash_everywhere(&ops, promise, true, bytes);
+                check_no_use_after_failed_sync(&ops);
+                runs += 1;
+                points += crash_everywhere(&ops, durability, true, bytes);
             }
         }
     }
-    (lives, points)
+    (runs, points)
 }
 
-/// A file whose sync has failed is neither written nor synced again.
-fn never_trusts_a_failed_sync(ops: &[Op]) {
+/// Checks that a file is neither written nor synced again after a failed sync.
+fn check_no_use_after_failed_sync(ops: &[Op]) {
     let mut failed = BTreeSet::new();
     for op in ops {
         match op {
