--- a/crates/ledger/src/directory.rs
+++ b/crates/ledger/src/directory.rs
@@ -49,12 +49,12 @@
     disk: &mut D,
     owner: Owner,
     limits: RecoveryLimits,
-    reach: ReadScope,
+    scope: ReadScope,
     sink: &mut impl FnMut(LocatedRecord),
 ) -> io::Result<Recovered> {
     let (found, copies) = segments(disk)?;
     let mut piece = vec![0; READ_BYTES];
-    let from = match reach {
+    let from = match scope {
         ReadScope::All => 0,
         ReadScope::Checkpoint => {
             let has_whole_checkpoint =
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -180,7 +180,7 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Directory(why) => write!(f, "{why}"),
+            Self::Directory(error) => write!(f, "{error}"),
             Self::Later(finding) => write!(f, "{finding}"),
             Self::Io(what, error) => write!(f, "{what}: {error}"),
         }
@@ -196,12 +196,12 @@
     /// # Errors
     /// If the directory is in use or belongs to another node, or cannot be read.
     pub fn start(node: &str, options: Options) -> Result<(Self, WriterHandle, Recovered), StartError> {
-        let folder = &options.directory;
-        retry::at_start(Call::File, "directory", || std::fs::create_dir_all(folder))
+        let directory = &options.directory;
+        retry::at_start(Call::File, "directory", || std::fs::create_dir_all(directory))
             .map_err(|e| StartError::Io("directory", e))?;
-        let lock = Lock::acquire(folder).map_err(|why| StartError::Directory(why.into()))?;
-        let owner = load_or_create_identity(folder, node).map_err(StartError::Directory)?;
-        let opened = Journal::open(Folder::new(folder), owner, options.journal_options);
+        let lock = Lock::acquire(directory).map_err(|error| StartError::Directory(error.into()))?;
+        let owner = load_or_create_identity(directory, node).map_err(StartError::Directory)?;
+        let opened = Journal::open(Folder::new(directory), owner, options.journal_options);
         let (journal, recovered) = opened.map_err(|e| StartError::Io("directory", e))?;
         let later = recovered.findings.iter().find(|f| matches!(f, Finding::Later { .. }));
         if let Some(finding) = later {
