--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -18,27 +18,27 @@
 use crate::view::{Liveness, View};
 
 /// A room whose peers are addresses, on a network whose nodes are names.
-struct Named {
-    room: Membership,
+struct SimNode {
+    membership: Membership,
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
 }
 
-impl magpietally_transport::Protocol for Named {
+impl magpietally_transport::Protocol for SimNode {
     fn on_message(&mut self, now: Now, _from: &Peer, bytes: &[u8]) {
-        self.room.on_datagram(now.boot, bytes);
+        self.membership.on_datagram(now.boot, bytes);
     }
 
     fn tick(&mut self, now: Now) {
-        self.room.tick(now.boot);
+        self.membership.tick(now.boot);
     }
 
     fn next_due(&self) -> Option<Duration> {
-        self.room.next_due()
+        self.membership.next_due()
     }
 
     fn take_outgoing(&mut self) -> Option<Outgoing> {
         loop {
-            let (to, bytes) = self.room.take_outgoing()?;
+            let (to, bytes) = self.membership.take_outgoing()?;
             // An address that is nobody's swallows what is sent there.
             if let Some(to) = self.names.get(&to) {
                 return Some(Outgoing { to: to.clone(), kind: Kind::Datagram, bytes });
@@ -50,7 +50,7 @@
 /// The fleet.
 pub struct Fleet {
     settings: Settings,
-    world: World<Named>,
+    world: World<SimNode>,
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
     seed: u64,
 }
@@ -145,9 +145,9 @@
             let mut id = id(i, &peer);
             id.generation = id.generation.saturating_add(by);
             let seed = seed ^ ((i as u64) << 20) ^ u64::from(id.generation);
-            let mut room = Membership::new(id, settings, seed);
-            room.join(now.boot, seeds);
-            Named { room, names: Rc::clone(names) }
+            let mut membership = Membership::new(id, settings, seed);
+            membership.join(now.boot, seeds);
+            SimNode { membership, names: Rc::clone(names) }
         });
     }
 
@@ -162,17 +162,17 @@
 
     /// Node `i` leaves on purpose.
     pub fn leave(&mut self, i: usize) {
-        self.world.act(i, |named, now| named.room.leave(now.boot));
+        self.world.act(i, |node, now| node.membership.leave(now.boot));
     }
 
     /// Node `i`'s view, if it runs.
     pub fn view(&mut self, i: usize) -> Option<&View> {
-        self.world.room_mut(i).map(|named| named.room.view())
+        self.world.room_mut(i).map(|node| node.membership.view())
     }
 
     /// The stats of node `i`, if it runs.
     pub fn membership(&self, i: usize) -> Option<&Membership> {
-        self.world.room(i).map(|named| &named.room)
+        self.world.room(i).map(|node| &node.membership)
     }
 
     /// Runs the fleet for `d`.
--- a/crates/membership/src/view_text.rs
+++ b/crates/membership/src/view_text.rs
@@ -13,7 +13,7 @@
 /// The largest part, in bytes: what one datagram can be.
 pub const VIEW_PART_MAX_BYTES: usize = 65_507;
 /// Kept free for what stands around the nodes, in bytes: a kind, an identity of the longest name, the line of counts.
-const AROUND: usize = 512;
+const RESERVED_BYTES: usize = 512;
 
 /// The view from behind `after` on, or all of it: the datagram to answer with, [`VIEW_PART_MAX_BYTES`] bytes at the most.
 pub fn encode_view_part(view: &View, stats: &Stats, after: Option<&NodeId>) -> Vec<u8> {
@@ -36,14 +36,14 @@
     }
     let mut last = None;
     for e in &entries[from..] {
-        let before = text.len();
+        let len_before = text.len();
         let _ = writeln!(
             text,
             "{} {} generation {} incarnation {} {}",
             e.id.name, e.id.addr, e.id.generation, e.incarnation, e.liveness
         );
-        if let Some(last) = last.filter(|_| text.len() + AROUND > VIEW_PART_MAX_BYTES) {
-            text.truncate(before);
+        if let Some(last) = last.filter(|_| text.len() + RESERVED_BYTES > VIEW_PART_MAX_BYTES) {
+            text.truncate(len_before);
             let mut part = Vec::with_capacity(1 + id_len(last) + text.len());
             part.push(KIND_VIEW_PART);
             put_id(&mut part, last);
