--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,16 +1,16 @@
-//! What a node does with its view: its share of a budget that is meant for the whole fleet.
+//! A node's share of a budget that applies to the whole fleet.
 //!
-//! A cold server bears only so much from all nodes together, and the retry budget is the fleet's; a node that keeps the
-//! whole of either for itself pushes N times as much when N nodes do so.
+//! The load a cold server can take and the retry budget are totals over all nodes. If each of N nodes used the whole
+//! budget, the fleet would use N times as much.
 
 use crate::view::Counts;
 
-/// By how many nodes a fleet-wide budget is divided now.
+/// Returns the number of nodes by which a fleet-wide budget is divided.
 ///
-/// The active nodes (alive and suspect, the node itself counted) when they are more than half of those known; else all
-/// that are known, dead ones included: a node in a minority cannot tell whether the others died or are cut off from it,
-/// and two halves of a cut fleet that each took the whole would push twice what a server bears. Who left on purpose
-/// is not counted in either.
+/// This is the number of active nodes (alive and suspect, including the node itself) if they are more than half of the
+/// known ones, and otherwise the number of all known nodes, including dead ones. A node in a minority cannot tell
+/// whether the others died or are only partitioned from it, and two halves of a partitioned fleet that each used the
+/// whole budget would send twice the load a server can take. Nodes that left on purpose are not counted in either case.
 pub fn budget_divisor(counts: &Counts) -> u32 {
     let active = counts.active().max(1);
     let known = counts.known().max(active);
@@ -21,7 +21,8 @@
     }
 }
 
-/// This node's part of `total`, never below `floor` (so that a node alone still serves) nor above `total`.
+/// Returns this node's share of `total`: at least `floor`, so that each node can still serve requests, and at most
+/// `total`.
 pub fn budget_share(total: f64, counts: &Counts, floor: f64) -> f64 {
     let part = total / f64::from(budget_divisor(counts));
     part.max(floor).min(total)
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,7 +1,7 @@
-//! The datagrams between nodes: one byte of kind, then what that kind carries, in network byte order.
+//! Encoding of the datagrams between nodes: one byte for the kind, then the fields of that kind, in network byte order.
 //!
-//! Every read is checked against what is left, so that a short, long or bent datagram is an error and never a panic;
-//! every write is checked against the room left, as `foca` hands us a buffer limited to one datagram.
+//! Every read checks the remaining length, so that a truncated, overlong or malformed datagram is an error and never a
+//! panic. Every write checks the remaining space, since `foca` passes a buffer limited to one datagram.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,76 +12,78 @@
 use crate::id::NodeId;
 use magpietally_transport::{Name, NAME_MAX_BYTES};
 
-/// The largest datagram a node sends or takes, in bytes: within one Ethernet frame, so no datagram is fragmented.
+/// Maximum size of a datagram that a node sends or accepts. It fits into one Ethernet frame, so that no datagram is
+/// fragmented.
 pub const DATAGRAM_MAX_BYTES: usize = 1400;
 
 /// A datagram of the SWIM protocol, for `foca`.
 pub const KIND_SWIM: u8 = 0x53;
-/// A node leaves the fleet on purpose (SIGTERM, a drain): its identity follows.
+/// A node leaves the fleet on purpose (SIGTERM, a drain). The node's identity follows.
 pub const KIND_LEAVE: u8 = 0x4c;
-/// Somebody asks for the view (`magpietally members`); the identity behind which the answer is to go on follows, or nothing.
+/// A query for the view (`magpietally members`). The identity after which the response continues follows, or nothing
+/// to start from the first node.
 pub const KIND_QUERY: u8 = 0x51;
-/// The answer to [`KIND_QUERY`]: the view's last or only part as text follows. Only `magpietally members` reads it.
+/// Response to [`KIND_QUERY`]: the last or only part of the view follows as text. Only `magpietally members` reads it.
 pub const KIND_VIEW: u8 = 0x56;
-/// The same where there is more: the identity at which this part ends, then the part.
+/// Response to [`KIND_QUERY`] when more parts follow: the last identity in this part, then the text.
 pub const KIND_VIEW_PART: u8 = 0x50;
 
-/// What a datagram is.
+/// A decoded datagram.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Datagram<'a> {
-    /// SWIM's bytes, to be handed to `foca` as they are.
+    /// The bytes of a SWIM message, passed to `foca` unchanged.
     Swim(&'a [u8]),
-    /// The sender leaves the fleet on purpose.
+    /// The node with this identity leaves the fleet on purpose.
     Leave(NodeId),
-    /// The sender asks for the view, or for what stands behind this identity in it; the carrier answers it.
+    /// The sender queries the view, or the part of it after this identity. The caller sends the response.
     Query(Option<NodeId>),
 }
 
-/// Why a datagram was not taken. Each is counted by the room that dropped it.
+/// Why a datagram could not be decoded. The receiving node drops and counts such datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Nothing at all.
+    /// The datagram is empty.
     Empty,
-    /// Larger than [`DATAGRAM_MAX_BYTES`].
+    /// The datagram is larger than [`DATAGRAM_MAX_BYTES`].
     TooLarge,
-    /// A first byte that is no kind of ours.
+    /// The first byte is not a known kind.
     UnknownKind,
-    /// It ended inside a field.
+    /// The datagram ends inside a field.
     Truncated,
-    /// Bytes after the last field.
+    /// There are bytes after the last field.
     TrailingBytes,
-    /// A field out of its range: a message, a state or a name.
+    /// A field has an invalid value: a message, a state or a name.
     InvalidField,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Empty => "an empty datagram",
-            Self::TooLarge => "a datagram larger than 1400 bytes",
-            Self::UnknownKind => "a datagram of no known kind",
-            Self::Truncated => "a datagram that ends inside a field",
-            Self::TrailingBytes => "bytes after a datagram's last field",
-            Self::InvalidField => "a field out of its range",
+            Self::Empty => "datagram is empty",
+            Self::TooLarge => "datagram is larger than 1400 bytes",
+            Self::UnknownKind => "datagram has an unknown kind",
+            Self::Truncated => "datagram ends inside a field",
+            Self::TrailingBytes => "datagram has bytes after its last field",
+            Self::InvalidField => "datagram has an invalid field",
         })
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// The room left in the datagram did not hold the field; `foca` then stops adding updates.
+/// The field does not fit into the remaining space of the datagram. `foca` then stops adding updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BufferFull;
 
 impl fmt::Display for BufferFull {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no room left in the datagram")
+        f.write_str("no space left in the datagram")
     }
 }
 
 impl std::error::Error for BufferFull {}
 
-/// What a datagram is, without taking more than its kind's fields.
+/// Decodes a datagram's kind and fields. The content of a SWIM message is left to `foca`.
 pub fn decode(bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
     if bytes.len() > DATAGRAM_MAX_BYTES {
         return Err(DecodeError::TooLarge);
@@ -104,7 +106,7 @@
     Ok(id)
 }
 
-/// The datagram that asks for the view, or for what stands behind `after` in it.
+/// Encodes a query for the view, or for the part of it after `after`.
 pub fn encode_query(after: Option<&NodeId>) -> Vec<u8> {
     let mut out = vec![KIND_QUERY];
     if let Some(id) = after {
@@ -113,7 +115,7 @@
     out
 }
 
-/// The datagram that says `id` leaves.
+/// Encodes the notice that `id` leaves the fleet.
 pub fn encode_leave(id: &NodeId) -> Vec<u8> {
     let mut out = Vec::with_capacity(1 + id_len(id));
     out.put_u8(KIND_LEAVE);
@@ -121,10 +123,10 @@
     out
 }
 
-/// A SWIM datagram of our own making, as `foca` reads it: the header, the number of updates, the updates.
+/// Encodes a SWIM datagram in the layout that `foca` reads: the header, the number of updates, the updates.
 ///
 /// # Errors
-/// It would be larger than [`DATAGRAM_MAX_BYTES`].
+/// The datagram would be larger than [`DATAGRAM_MAX_BYTES`].
 pub(crate) fn encode_swim(
     header: &Header<NodeId>,
     updates: &[Member<NodeId>],
@@ -145,7 +147,7 @@
     Ok(buf.into_inner())
 }
 
-/// `foca`'s codec: the header and the updates of a SWIM datagram.
+/// The codec for `foca`: encodes and decodes the header and the updates of a SWIM datagram.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct WireCodec;
 
@@ -199,12 +201,12 @@
     }
 }
 
-/// What the codec says to `foca`.
+/// An error of [`WireCodec`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CodecError {
-    /// Reading: see [`DecodeError`].
+    /// Decoding failed.
     Decode(DecodeError),
-    /// Writing: no room left.
+    /// Encoding failed: no space left in the datagram.
     BufferFull(BufferFull),
 }
 
@@ -234,14 +236,14 @@
     buf.put_u16(id.addr.port());
     buf.put_u32(id.generation);
     let name = id.name.as_str().as_bytes();
-    // A Name holds at most NAME_MAX_BYTES (64) bytes, so its length fits a byte.
+    // A Name has at most NAME_MAX_BYTES (64) bytes, so its length fits into one byte.
     buf.put_u8(name.len() as u8);
     buf.put_slice(name);
 }
 
 pub(crate) fn get_id(buf: &mut impl Buf) -> Result<NodeId, DecodeError> {
     let mut ip = [0u8; 4];
-    take(buf, &mut ip)?;
+    read_exact(buf, &mut ip)?;
     let port = get_u16(buf)?;
     let generation = get_u32(buf)?;
     let len = usize::from(get_u8(buf)?);
@@ -249,7 +251,7 @@
         return Err(DecodeError::InvalidField);
     }
     let mut name = [0u8; NAME_MAX_BYTES];
-    take(buf, &mut name[..len])?;
+    read_exact(buf, &mut name[..len])?;
     let name = std::str::from_utf8(&name[..len]).map_err(|_| DecodeError::InvalidField)?;
     Ok(NodeId {
         addr: SocketAddrV4::new(Ipv4Addr::from(ip), port),
@@ -316,7 +318,7 @@
     })
 }
 
-fn take(buf: &mut impl Buf, out: &mut [u8]) -> Result<(), DecodeError> {
+fn read_exact(buf: &mut impl Buf, out: &mut [u8]) -> Result<(), DecodeError> {
     if buf.remaining() < out.len() {
         return Err(DecodeError::Truncated);
     }
@@ -326,18 +328,18 @@
 
 fn get_u8(buf: &mut impl Buf) -> Result<u8, DecodeError> {
     let mut b = [0u8; 1];
-    take(buf, &mut b)?;
+    read_exact(buf, &mut b)?;
     Ok(b[0])
 }
 
 fn get_u16(buf: &mut impl Buf) -> Result<u16, DecodeError> {
     let mut b = [0u8; 2];
-    take(buf, &mut b)?;
+    read_exact(buf, &mut b)?;
     Ok(u16::from_be_bytes(b))
 }
 
 fn get_u32(buf: &mut impl Buf) -> Result<u32, DecodeError> {
     let mut b = [0u8; 4];
-    take(buf, &mut b)?;
+    read_exact(buf, &mut b)?;
     Ok(u32::from_be_bytes(b))
 }
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -6,23 +6,23 @@
 use foca::Identity;
 use magpietally_transport::Name;
 
-/// Who a node is: where its membership datagrams go, its name, and which start of it this is.
+/// A node's identity: its membership address, its name and the generation, which distinguishes its starts.
 ///
-/// The generation is taken by the carrier at start (seconds of the wall clock), so a node restarted under its old name
-/// and address is a later identity that wins against the one the fleet remembers; `foca` adds one to it when a node
-/// that was declared dead rejoins.
+/// The caller derives the generation from the wall clock at start. A node restarted under its old name and address
+/// therefore has a later identity, which replaces the one the fleet remembers. `foca` increments the generation when a
+/// node that was declared dead rejoins.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId {
-    /// The membership address; two identities at one address are two starts of one node.
+    /// The membership address. Two identities with the same address are two starts of one node.
     pub addr: SocketAddrV4,
-    /// The node's name, as the platform gives it (`BALANCER_NAME`).
+    /// The node's name, as set by the platform (`BALANCER_NAME`).
     pub name: Name,
-    /// Which start of the node this is; later is greater.
+    /// Distinguishes the starts of a node; a later start has a greater value.
     pub generation: u32,
 }
 
 impl NodeId {
-    /// Who is at `addr` before anything else is known of it: the identity a node announces itself to.
+    /// The placeholder identity of a node of which only the address is known, used to announce to it.
     pub fn unknown_at(addr: SocketAddrV4) -> Self {
         Self { addr, name: Name::default(), generation: 0 }
     }
@@ -40,8 +40,8 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        // The later start is the one that runs now; a tie (two processes started in one second at one address) is
-        // broken by name so that both sides agree.
+        // The later start is the one that is running now. A tie (two processes started at one address with the same
+        // generation) is broken by name so that both sides agree.
         (self.generation, &self.name) > (adversary.generation, &adversary.name)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which nodes of a fleet are alive, and what a node does with that: SWIM with suspicion and incarnation numbers, by
-//! the sans-I/O crate `foca`, behind a codec of our own; a view with a version; shares of budgets meant for the fleet.
+//! Fleet membership: SWIM with suspicion and incarnation numbers, provided by the sans-I/O crate `foca`, with its own
+//! codec, a versioned view of the fleet, and each node's share of fleet-wide budgets.
 //!
-//! Nothing here does I/O or reads a clock: a carrier (UDP in the program, the emulated site in virtual time) hands a
-//! [`Membership`] its datagrams and the time, and sends what it gives back. `docs/design/membership.md` says what was weighed.
+//! Nothing here does I/O or reads a clock. The caller (UDP in the program, the emulated site in virtual time) passes
+//! datagrams and the time to a [`Membership`] and sends the datagrams it returns. `docs/design/membership.md` explains
+//! the design and its alternatives.
 //!
 //! ```
 //! use std::time::Duration;
-//! use magpietally_membership::{Liveness, Name, NodeId, Membership, Settings};
+//! use magpietally_membership::{Liveness, Membership, Name, NodeId, Settings};
 //!
 //! let id = |port| NodeId { addr: format!("127.0.0.1:{port}").parse().unwrap(), name: Name::new(&format!("n{port}")).unwrap(), generation: 1 };
 //! let (mut a, mut b) = (Membership::new(id(1), &Settings::default(), 1), Membership::new(id(2), &Settings::default(), 2));
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -1,7 +1,7 @@
-//! A fleet of rooms in virtual time, on the network that all rooms share (`magpietally_simnet`), with the faults of a
-//! real one between them: loss, delay, duplication, links cut one way or both, nodes killed, paused and restarted. Pure
-//! and seeded: the same seed gives the same run on every machine. The tests and the measurements of
-//! `docs/measurements/membership.md` play on it.
+//! A simulated fleet of membership nodes in virtual time, on the simulated network `magpietally_simnet`. It injects
+//! loss, delay, duplication, one-way and two-way link failures, and kills, pauses and restarts nodes. It does no I/O
+//! and is deterministic: the same seed gives the same run on every machine. The tests and the measurements in
+//! `docs/measurements/membership.md` use it.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -17,7 +17,8 @@
 use crate::protocol::{Membership, Settings};
 use crate::view::{Liveness, View};
 
-/// A room whose peers are addresses, on a network whose nodes are names.
+/// A simulated node: maps between the membership protocol, which addresses peers by socket address, and the network,
+/// which addresses them by name.
 struct SimNode {
     membership: Membership,
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
@@ -39,7 +40,7 @@
     fn take_outgoing(&mut self) -> Option<Outgoing> {
         loop {
             let (to, bytes) = self.membership.take_outgoing()?;
-            // An address that is nobody's swallows what is sent there.
+            // Datagrams to an address without a node are dropped.
             if let Some(to) = self.names.get(&to) {
                 return Some(Outgoing { to: to.clone(), kind: Kind::Datagram, bytes });
             }
@@ -47,7 +48,7 @@
     }
 }
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
     settings: Settings,
     world: World<SimNode>,
@@ -56,8 +57,8 @@
 }
 
 impl Fleet {
-    /// `n` nodes named `n0`…, each joining through node 0, on a network with `faults`. At most
-    /// [`magpietally_simnet::NODES_MAX`]; what is over is not there.
+    /// Creates `n` nodes, at most [`magpietally_simnet::NODES_MAX`], named `n0`, `n1` and so on, on a network with
+    /// `faults`. Each node joins through node 0, and node 0 through node 1.
     pub fn new(n: usize, settings: &Settings, faults: Faults, seed: u64) -> Self {
         let limits = Limits { datagram: DATAGRAM_MAX_BYTES, ..Limits::default() };
         let mut world = World::new(seed, faults, limits, 0);
@@ -72,68 +73,68 @@
         fleet
     }
 
-    /// The identity of node `i` at its current start.
+    /// Returns the identity of node `i` at its current start.
     pub fn id(&self, i: usize) -> NodeId {
         id(i, &self.world.net().peer(i))
     }
 
-    /// The clock.
+    /// Returns the virtual time.
     pub fn now(&self) -> Duration {
         self.world.now()
     }
 
-    /// How many nodes there are, dead or alive.
+    /// Returns the number of nodes, running or not.
     pub fn len(&self) -> usize {
         self.world.len()
     }
 
-    /// No node at all.
+    /// Returns whether the fleet has no nodes.
     pub fn is_empty(&self) -> bool {
         self.world.is_empty()
     }
 
-    /// Bytes sent by all nodes, for the cost a node and second.
+    /// Returns the number of bytes sent by all nodes, from which the cost per node and second is computed.
     pub fn sent_bytes(&self) -> u64 {
         self.world.net().sent_bytes()
     }
 
-    /// A number for the whole run so far: equal for the same seed and calls.
+    /// Returns a hash of the run so far, which is equal for the same seed and calls.
     pub fn trace(&self) -> u64 {
         self.world.trace()
     }
 
-    /// The network's faults from now on.
+    /// Sets the network's faults from now on.
     pub fn set_faults(&mut self, faults: Faults) {
         self.world.net_mut().set_faults(faults);
     }
 
-    /// Datagrams from `from` to `to` are lost from now on (one way).
+    /// Drops all datagrams from `from` to `to` from now on, in this direction only.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.world.net_mut().cut(from, to);
     }
 
-    /// Every link between a node of `a` and one of `b` is cut both ways.
+    /// Cuts every link between a node of `a` and a node of `b` in both directions.
     pub fn partition(&mut self, a: &[usize], b: &[usize]) {
         self.world.net_mut().partition(a, b);
     }
 
-    /// All links work again.
+    /// Restores all links.
     pub fn heal(&mut self) {
         self.world.net_mut().heal();
     }
 
-    /// Node `i` is killed: it says nothing, and what comes to it is lost.
+    /// Kills node `i`: it sends nothing, and datagrams to it are lost.
     pub fn kill(&mut self, i: usize) {
         self.world.kill(i);
     }
 
-    /// Node `i` starts again from nothing, under its name and address, with a later generation.
+    /// Starts node `i` with empty state under its name and address, with a later generation.
     pub fn start(&mut self, i: usize) {
         self.start_with_clock_ahead(i, 0);
     }
 
-    /// The same while its wall clock, which generations are taken from, is ahead by so many of their units: the next life's
-    /// generation is an earlier one.
+    /// Starts node `i` as [`Fleet::start`] does, with its generation ahead by `by`, as if its wall clock were ahead. The
+    /// generation of its next start is then an earlier one.
     pub fn start_with_clock_ahead(&mut self, i: usize, by: u32) {
         let (settings, names, seed) = (&self.settings, &self.names, self.seed);
         let seeds: &[SocketAddrV4] = match i {
@@ -151,7 +152,7 @@
         });
     }
 
-    /// Node `i` stops running (SIGSTOP) or runs again (SIGCONT); what came meanwhile waits in its socket.
+    /// Pauses (SIGSTOP) or resumes (SIGCONT) node `i`. Datagrams received meanwhile wait in its socket.
     pub fn set_paused(&mut self, i: usize, paused: bool) {
         if paused {
             self.world.pause(i);
@@ -160,17 +161,17 @@
         }
     }
 
-    /// Node `i` leaves on purpose.
+    /// Makes node `i` leave on purpose.
     pub fn leave(&mut self, i: usize) {
         self.world.act(i, |node, now| node.membership.leave(now.boot));
     }
 
-    /// Node `i`'s view, if it runs.
+    /// Returns the view of node `i`, if it is running.
     pub fn view(&mut self, i: usize) -> Option<&View> {
         self.world.room_mut(i).map(|node| node.membership.view())
     }
 
-    /// The stats of node `i`, if it runs.
+    /// Returns the membership of node `i`, if it is running.
     pub fn membership(&self, i: usize) -> Option<&Membership> {
         self.world.room(i).map(|node| &node.membership)
     }
@@ -180,8 +181,8 @@
         self.world.run(d);
     }
 
-    /// Runs until `done` holds, checked every [`magpietally_simnet::LOOK`], for at most `limit`; the time it took, if it
-    /// came.
+    /// Runs until `done` returns true, checked every [`magpietally_simnet::LOOK`], for at most `limit`. Returns the time
+    /// it took, or `None` if the limit was reached.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -198,8 +199,8 @@
         Some(self.now() - start)
     }
 
-    /// Whether every running, unpaused node among `who` takes each of `who` for `liveness` and each of `others` for
-    /// neither alive nor suspect.
+    /// Returns whether every running, unpaused node in `who` sees each node in `who` as `liveness` and each node in
+    /// `others` as neither alive nor suspect.
     pub fn all_see(&mut self, who: &[usize], liveness: Liveness, others: &[usize]) -> bool {
         for &i in who {
             if self.world.is_paused(i) || self.membership(i).is_none() {
@@ -221,7 +222,7 @@
         true
     }
 
-    /// How many running nodes take node `j` for `liveness`.
+    /// Returns the number of other running nodes that see node `j` as `liveness`.
     pub fn count_seeing(&mut self, j: usize, liveness: Liveness) -> usize {
         let name = name(j);
         (0..self.len())
@@ -232,17 +233,17 @@
 }
 
 fn id(i: usize, peer: &Peer) -> NodeId {
-    // No test starts a node four billion times.
+    // No test starts a node 2^32 times.
     let generation = u32::try_from(peer.session.0).unwrap_or(u32::MAX);
     NodeId { addr: addr(i), name: peer.name.clone(), generation }
 }
 
 fn addr(i: usize) -> SocketAddrV4 {
-    // Loopback addresses that no socket is bound to: the simulation only needs them unique.
+    // Addresses in the loopback range; no socket is bound to them. They only need to be unique.
     SocketAddrV4::new(Ipv4Addr::new(127, 1, (i / 250) as u8, (i % 250) as u8 + 1), 7000)
 }
 
 fn name(i: usize) -> Name {
-    // "n" and a number is always a valid name.
+    // "n" followed by a number is always a valid name.
     Name::new_or_empty(&format!("n{i}")).unwrap_or_default()
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,29 +1,30 @@
-//! The view: whom a node takes for alive, suspect, dead or gone on purpose, with a version that grows at each change.
+//! A node's view of the fleet: which nodes it considers alive, suspect, dead or left, with a version that is
+//! incremented at each change.
 
 use std::fmt;
 
 use crate::id::NodeId;
 
-/// What a node takes another for.
+/// State of a node as seen by another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It answers probes, or somebody it answered says so.
+    /// It answers probes, or another member that it answered reported so.
     Alive,
-    /// A probe went unanswered and the suspicion is not yet refuted nor timed out; still counted as a member.
+    /// A probe went unanswered and the suspicion is neither refuted nor timed out. The node still counts as a member.
     Suspect,
-    /// Suspected for longer than the suspicion lasts, or said to be dead by a member that knew so.
+    /// The suspicion timed out, or another member reported the node dead.
     Dead,
-    /// It said it leaves (SIGTERM, a drain).
+    /// It announced that it leaves (SIGTERM, a drain).
     Left,
 }
 
 impl Liveness {
-    /// Counted as a member of the fleet now.
+    /// Returns whether the node currently counts as a member of the fleet.
     pub fn is_active(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// The word the view is printed with.
+    /// The name under which the state is printed.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -40,43 +41,44 @@
     }
 }
 
-/// One node as the view has it.
+/// One node in a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Who.
+    /// The node's identity.
     pub id: NodeId,
-    /// Its incarnation: how often it refuted a suspicion since its start.
+    /// Number of suspicions the node has refuted since its start.
     pub incarnation: u16,
-    /// What it is taken for.
+    /// The node's state.
     pub liveness: Liveness,
 }
 
-/// How many of each.
+/// Number of nodes in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Alive, the node itself counted.
+    /// Alive, including the node itself.
     pub alive: u32,
     /// Suspect.
     pub suspect: u32,
-    /// Dead and not yet forgotten.
+    /// Dead and not yet removed from the view.
     pub dead: u32,
-    /// Left on purpose and not yet forgotten.
+    /// Left on purpose and not yet removed from the view.
     pub left: u32,
 }
 
 impl Counts {
-    /// Alive and suspect: the members now.
+    /// Returns the number of current members: alive and suspect.
     pub fn active(&self) -> u32 {
         self.alive + self.suspect
     }
 
-    /// All that are or may be members: the active and the dead, who may only be cut off. Who left is not.
+    /// Returns the number of nodes that are or may be members: the active ones, and the dead ones, which may only be
+    /// partitioned from this node. Nodes that left are not counted.
     pub fn known(&self) -> u32 {
         self.active() + self.dead
     }
 }
 
-/// A node's view of the fleet, itself included, in the order of addresses.
+/// A node's view of the fleet, including itself, ordered by address.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     version: u64,
@@ -84,19 +86,19 @@
 }
 
 impl View {
-    /// Grows by one at each change of who is in it or what they are taken for.
+    /// Returns the version, which is incremented at each change of the entries.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Everyone, in the order of addresses.
+    /// Returns all nodes, ordered by address.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// What `name` is taken for, if it is in the view.
+    /// Returns the state of the node named `name`, or `None` if the view has no such node.
     pub fn liveness_of(&self, name: &str) -> Option<Liveness> {
-        // Several entries can carry one name while a restart is told around; the active one speaks for the node.
+        // While the news of a restart spreads, several entries can have the same name; the active one takes precedence.
         let mut found = None;
         for e in self.entries.iter().filter(|e| e.id.name.as_str() == name) {
             if e.liveness.is_active() {
@@ -107,7 +109,7 @@
         found
     }
 
-    /// How many of each.
+    /// Counts the nodes in each state.
     pub fn counts(&self) -> Counts {
         let mut c = Counts::default();
         for e in &self.entries {
@@ -121,8 +123,8 @@
         c
     }
 
-    /// Another active node under `me`'s name at another address that started before `me` (or, started in the same
-    /// second, has the lower address): `me` must stop, as two nodes may not share a name.
+    /// Returns another active node with `me`'s name, a different address and an earlier generation (or the same
+    /// generation and a lower address), if there is one. `me` must then stop, since two nodes must not share a name.
     pub fn name_conflict(&self, me: &NodeId) -> Option<&NodeId> {
         self.entries
             .iter()
@@ -131,7 +133,8 @@
             .find(|other| (other.generation, other.addr) < (me.generation, me.addr))
     }
 
-    /// Takes `entries` (in any order) as the view; the version grows when they differ from what was there.
+    /// Replaces the entries with `entries`, given in any order. If they differ from the current ones, increments the
+    /// version and returns true.
     pub(crate) fn replace(&mut self, mut entries: Vec<Entry>) -> bool {
         entries.sort_by(|a, b| a.id.cmp(&b.id));
         if entries == self.entries {
--- a/crates/membership/src/view_text.rs
+++ b/crates/membership/src/view_text.rs
@@ -1,6 +1,6 @@
-//! What a node answers to `magpietally members`: its view as text, in as many parts as it takes. A datagram holds a few hundred
-//! nodes, and a fleet may have more; whoever asks goes on behind the last node of a part, so that a view which changes meanwhile
-//! names no node twice and leaves out none that stays.
+//! The response to `magpietally members`: a node's view as text, paginated. A datagram holds a few hundred nodes, and a
+//! fleet may have more. Each query continues after the last node of the previous part, so that a view that changes
+//! meanwhile lists no node twice and omits no node that remains in it.
 
 use std::fmt::Write as _;
 
@@ -10,17 +10,19 @@
 use crate::protocol::Stats;
 use crate::view::View;
 
-/// The largest part, in bytes: what one datagram can be.
+/// Maximum size of a part: the largest UDP payload over IPv4.
 pub const VIEW_PART_MAX_BYTES: usize = 65_507;
-/// Kept free for what stands around the nodes, in bytes: a kind, an identity of the longest name, the line of counts.
+/// Bytes reserved for everything other than the lines of nodes: the kind, one identity with a name of maximum length, the line
+/// of counters.
 const RESERVED_BYTES: usize = 512;
 
-/// The view from behind `after` on, or all of it: the datagram to answer with, [`VIEW_PART_MAX_BYTES`] bytes at the most.
+/// Encodes the nodes after `after`, or all nodes from the first on, into a response datagram of at most
+/// [`VIEW_PART_MAX_BYTES`] bytes.
 pub fn encode_view_part(view: &View, stats: &Stats, after: Option<&NodeId>) -> Vec<u8> {
     let entries = view.entries();
     let mut text = String::new();
     let from = after.map_or(0, |id| entries.partition_point(|e| e.id <= *id));
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     if after.is_none() {
         let c = view.counts();
         let _ = writeln!(
@@ -66,7 +68,8 @@
     [&[KIND_VIEW], text.as_bytes()].concat()
 }
 
-/// Reads a part: the identity behind which to go on, where there is more, and the text. `None` where it is no part.
+/// Decodes a part: the identity after which to continue if there are more parts, and the text. Returns `None` if
+/// `bytes` is not a part of a view.
 pub fn decode_view_part(bytes: &[u8]) -> Option<(Option<NodeId>, &[u8])> {
     let (&kind, mut rest) = bytes.split_first()?;
     match kind {
