--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,7 +1,9 @@
-//! Encoding of the datagrams between nodes: one byte for the kind, then the fields of that kind, in network byte order.
+//! Encoding of the datagrams between nodes: one byte for the kind, then the fields of that kind, in network
+//! byte order.
 //!
-//! Every read checks the remaining length, so that a truncated, overlong or malformed datagram is an error and never a
-//! panic. Every write checks the remaining space, since `foca` passes a buffer limited to one datagram.
+//! Every read checks the remaining length, so that a truncated, overlong or malformed datagram is an error
+//! and never a panic. Every write checks the remaining space, since `foca` passes a buffer limited to one
+//! datagram.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,18 +14,19 @@
 use crate::id::NodeId;
 use magpietally_transport::{Name, NAME_MAX_BYTES};
 
-/// Maximum size of a datagram that a node sends or accepts. It fits into one Ethernet frame, so that no datagram is
-/// fragmented.
+/// Maximum size of a datagram that a node sends or accepts. It fits into one Ethernet frame, so that no
+/// datagram is fragmented.
 pub const DATAGRAM_MAX_BYTES: usize = 1400;
 
 /// A datagram of the SWIM protocol, for `foca`.
 pub const KIND_SWIM: u8 = 0x53;
 /// A node leaves the fleet on purpose (SIGTERM, a drain). The node's identity follows.
 pub const KIND_LEAVE: u8 = 0x4c;
-/// A query for the view (`magpietally members`). The identity after which the response continues follows, or nothing
-/// to start from the first node.
+/// A query for the view (`magpietally members`). The identity after which the response continues follows, or
+/// nothing to start from the first node.
 pub const KIND_QUERY: u8 = 0x51;
-/// Response to [`KIND_QUERY`]: the last or only part of the view follows as text. Only `magpietally members` reads it.
+/// Response to [`KIND_QUERY`]: the last or only part of the view follows as text. Only `magpietally members`
+/// reads it.
 pub const KIND_VIEW: u8 = 0x56;
 /// Response to [`KIND_QUERY`] when more parts follow: the last identity in this part, then the text.
 pub const KIND_VIEW_PART: u8 = 0x50;
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -8,9 +8,9 @@
 
 /// A node's identity: its membership address, its name and the generation, which distinguishes its starts.
 ///
-/// The caller derives the generation from the wall clock at start. A node restarted under its old name and address
-/// therefore has a later identity, which replaces the one the fleet remembers. `foca` increments the generation when a
-/// node that was declared dead rejoins.
+/// The caller derives the generation from the wall clock at start. A node restarted under its old name and
+/// address therefore has a later identity, which replaces the one the fleet remembers. `foca` increments the
+/// generation when a node that was declared dead rejoins.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId {
     /// The membership address. Two identities with the same address are two starts of one node.
@@ -40,8 +40,8 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        // The later start is the one that is running now. A tie (two processes started at one address with the same
-        // generation) is broken by name so that both sides agree.
+        // The later start is the one that is running now. A tie (two processes started at one address with
+        // the same generation) is broken by name so that both sides agree.
         (self.generation, &self.name) > (adversary.generation, &adversary.name)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,21 @@
-//! Fleet membership: SWIM with suspicion and incarnation numbers, provided by the sans-I/O crate `foca`, with its own
-//! codec, a versioned view of the fleet, and each node's share of fleet-wide budgets.
+//! Fleet membership: SWIM with suspicion and incarnation numbers, provided by the sans-I/O crate `foca`, with
+//! its own codec, a versioned view of the fleet, and each node's share of fleet-wide budgets.
 //!
-//! Nothing here does I/O or reads a clock. The caller (UDP in the program, the emulated site in virtual time) passes
-//! datagrams and the time to a [`Membership`] and sends the datagrams it returns. `docs/design/membership.md` explains
-//! the design and its alternatives.
+//! Nothing here does I/O or reads a clock. The caller (UDP in the program, the emulated site in virtual time)
+//! passes datagrams and the time to a [`Membership`] and sends the datagrams it returns.
+//! `docs/design/membership.md` explains the design and its alternatives.
 //!
 //! ```
 //! use std::time::Duration;
 //! use magpietally_membership::{Liveness, Membership, Name, NodeId, Settings};
 //!
-//! let id = |port| NodeId { addr: format!("127.0.0.1:{port}").parse().unwrap(), name: Name::new(&format!("n{port}")).unwrap(), generation: 1 };
-//! let (mut a, mut b) = (Membership::new(id(1), &Settings::default(), 1), Membership::new(id(2), &Settings::default(), 2));
+//! let id = |port| NodeId {
+//!     addr: format!("127.0.0.1:{port}").parse().unwrap(),
+//!     name: Name::new(&format!("n{port}")).unwrap(),
+//!     generation: 1,
+//! };
+//! let mut a = Membership::new(id(1), &Settings::default(), 1);
+//! let mut b = Membership::new(id(2), &Settings::default(), 2);
 //! a.join(Duration::ZERO, &[id(2).addr]);
 //! for ms in 0..3000 {
 //!     let now = Duration::from_millis(ms);
--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The membership protocol of one node, without I/O or a clock. The inputs are received datagrams and the time;
-//! the outputs are datagrams to send and the node's view of the fleet.
+//! The membership protocol of one node, without I/O or a clock. The inputs are received datagrams and the
+//! time; the outputs are datagrams to send and the node's view of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -18,11 +18,11 @@
 use crate::suspicion::SuspicionTracker;
 use crate::view::{Entry, Liveness, View};
 
-/// Maximum number of datagrams queued for sending. When the queue is full, new datagrams are dropped and counted;
-/// SWIM tolerates the loss.
+/// Maximum number of datagrams queued for sending. When the queue is full, new datagrams are dropped and
+/// counted; SWIM tolerates the loss.
 pub const OUTBOX_MAX: usize = 4096;
-/// Maximum number of pending timers. `foca` keeps a few per member (suspicion, removal) and a few of its own, so this
-/// is enough for a fleet of a few thousand nodes. Timers beyond it are dropped and counted.
+/// Maximum number of pending timers. `foca` keeps a few per member (suspicion, removal) and a few of its own,
+/// so this is enough for a fleet of a few thousand nodes. Timers beyond it are dropped and counted.
 pub const TIMERS_MAX: usize = 16_384;
 /// Maximum number of remembered leave notices. A notice is removed together with the member it names.
 pub const LEAVE_NOTICES_MAX: usize = 4096;
@@ -38,17 +38,17 @@
     pub suspicion_min: Duration,
     /// How long dead members and members that left stay in the view.
     pub forget_after: Duration,
-    /// Interval at which the node announces itself again to seeds that are not members. This reunites a partitioned
-    /// fleet.
+    /// Interval at which the node announces itself again to seeds that are not members. This reunites a
+    /// partitioned fleet.
     pub reannounce_interval: Duration,
-    /// Approximate number of nodes in the fleet. It determines how often an update is retransmitted and how long a
-    /// suspicion lasts.
+    /// Approximate number of nodes in the fleet. It determines how often an update is retransmitted and how
+    /// long a suspicion lasts.
     pub fleet_size: u32,
 }
 
 impl Settings {
-    /// Duration of a suspicion at the node whose probe failed: `suspicion_min`, or longer in a large fleet, where a
-    /// refutation needs more gossip rounds to spread.
+    /// Duration of a suspicion at the node whose probe failed: `suspicion_min`, or longer in a large fleet,
+    /// where a refutation needs more gossip rounds to spread.
     pub(crate) fn suspicion(&self) -> Duration {
         self.suspicion_min.max(Config::new_lan(self.size()).suspect_to_down_after)
     }
@@ -84,8 +84,8 @@
     pub sent_bytes: u64,
     /// Datagrams that could not be decoded (malformed, truncated, too long, of an unknown kind).
     pub malformed: u64,
-    /// Datagrams that were decoded but rejected by the protocol (sent by this node itself, addressed to another
-    /// identity, or unexpected in the current state).
+    /// Datagrams that were decoded but rejected by the protocol (sent by this node itself, addressed to
+    /// another identity, or unexpected in the current state).
     pub rejected: u64,
     /// Datagrams dropped because the outbox was full.
     pub outbox_dropped: u64,
@@ -99,8 +99,8 @@
     pub suspects_notified: u64,
 }
 
-/// The membership protocol of one node. The caller passes in received datagrams and the time, and sends the datagrams
-/// from [`Membership::take_outgoing`].
+/// The membership protocol of one node. The caller passes in received datagrams and the time, and sends the
+/// datagrams from [`Membership::take_outgoing`].
 pub struct Membership {
     foca: Foca<NodeId, WireCodec, Pcg64, NoCustomBroadcast>,
     output: Output,
@@ -115,15 +115,16 @@
     renewals: IdentityRenewals,
 }
 
-/// Renewals of the identity that are less than this apart count as consecutive: far longer than a round trip, far
-/// shorter than the time it takes to be declared dead twice.
+/// Renewals of the identity that are less than this apart count as consecutive: far longer than a round trip,
+/// far shorter than the time it takes to be declared dead twice.
 const RENEWAL_GAP_MAX: Duration = Duration::from_secs(2);
-/// Exponent of the largest generation step: 2 to this power, in units of the generation. That is more units than a
-/// year has.
+/// Exponent of the largest generation step: 2 to this power, in units of the generation. That is more units
+/// than a year has.
 const GENERATION_STEP_EXPONENT_MAX: u32 = 29;
 
-/// Counts consecutive renewals of the node's identity. A single renewal answers a false death. Several in a row occur
-/// when an earlier incarnation of the process had a later generation because the clock has since been set back.
+/// Counts consecutive renewals of the node's identity. A single renewal answers a false death. Several in a
+/// row occur when an earlier incarnation of the process had a later generation because the clock has since
+/// been set back.
 #[derive(Default)]
 struct IdentityRenewals {
     consecutive: u32,
@@ -131,8 +132,9 @@
 }
 
 impl IdentityRenewals {
-    /// Returns how far the generation is to be advanced beyond the renewed one: 0 for the first renewal of a row, then
-    /// twice as much each time, so that the generation passes any earlier one within a few round trips.
+    /// Returns how far the generation is to be advanced beyond the renewed one: 0 for the first renewal of a
+    /// row, then twice as much each time, so that the generation passes any earlier one within a few round
+    /// trips.
     fn generation_step(&mut self, now: Duration) -> u32 {
         let follows = self.last.is_some_and(|last| now.saturating_sub(last) < RENEWAL_GAP_MAX);
         self.last = Some(now);
@@ -144,7 +146,8 @@
     }
 }
 
-/// Output of `foca`: timers, datagrams, counters. Separate from `foca` so that both can be borrowed at the same time.
+/// Output of `foca`: timers, datagrams, counters. Separate from `foca` so that both can be borrowed at the
+/// same time.
 #[derive(Default)]
 struct Output {
     timers: BTreeMap<(Duration, u64), Timer<NodeId>>,
@@ -154,8 +157,8 @@
 }
 
 impl Membership {
-    /// Creates the membership of the node `me`, which knows no other node yet. `seed` seeds the random choice of probe
-    /// targets.
+    /// Creates the membership of the node `me`, which knows no other node yet. `seed` seeds the random choice
+    /// of probe targets.
     pub fn new(me: NodeId, settings: &Settings, seed: u64) -> Self {
         let mut config = Config::new_lan(settings.size());
         config.probe_period = settings.probe_period;
@@ -169,8 +172,9 @@
             frequency: settings.reannounce_interval,
             num_members: NonZeroUsize::new(2).unwrap_or(NonZeroUsize::MIN),
         });
-        // Updates about a join are retransmitted only a few times, and in a large fleet a few nodes miss them.
-        // Periodic announcements to random members, which answer with a feed, close such gaps before probes would.
+        // Updates about a join are retransmitted only a few times, and in a large fleet a few nodes miss
+        // them. Periodic announcements to random members, which answer with a feed, close such gaps before
+        // probes would.
         config.periodic_announce = Some(PeriodicParams {
             frequency: settings.reannounce_interval * 2,
             num_members: NonZeroUsize::MIN,
@@ -192,13 +196,14 @@
         membership
     }
 
-    /// Returns the node's current identity. Its generation grows when the node rejoins after being declared dead.
+    /// Returns the node's current identity. Its generation grows when the node rejoins after being declared
+    /// dead.
     pub fn local_id(&self) -> &NodeId {
         self.foca.identity()
     }
 
-    /// Starts to join the fleet through `seeds`. The announcement is repeated every `reannounce_interval` to each seed
-    /// that is not a member.
+    /// Starts to join the fleet through `seeds`. The announcement is repeated every `reannounce_interval` to
+    /// each seed that is not a member.
     pub fn join(&mut self, now: Duration, seeds: &[SocketAddrV4]) {
         let me = self.local_id().addr;
         self.seeds = seeds.iter().copied().filter(|s| *s != me).collect();
@@ -245,7 +250,8 @@
         }
     }
 
-    /// Called after the identity was renewed. If the previous renewal was recent, advances the generation further.
+    /// Called after the identity was renewed. If the previous renewal was recent, advances the generation
+    /// further.
     fn advance_generation(&mut self, now: Duration) {
         let step = self.renewals.generation_step(now);
         if step == 0 {
@@ -300,9 +306,10 @@
             .map(|m| (m.id().clone(), m.incarnation()));
         let due = self.suspicions.check(suspects);
         for (id, incarnation) in due.notify {
-            // A ping that carries the suspicion: the suspect refutes it before it replies, and its ack, with the later
-            // incarnation, ends the suspicion here within one round trip. If the probe number happens to equal that of
-            // a running probe of the same node, the ack correctly counts for that probe.
+            // A ping that carries the suspicion: the suspect refutes it before it replies, and its ack, with
+            // the later incarnation, ends the suspicion here within one round trip. If the probe number
+            // happens to equal that of a running probe of the same node, the ack correctly counts for that
+            // probe.
             self.send_swim(&id, Message::Ping(0), &[Member::new(id.clone(), incarnation, State::Suspect)]);
             self.output.stats.suspects_notified += 1;
         }
@@ -337,8 +344,8 @@
         [timer, announce, self.suspicions.next_due()].into_iter().flatten().min()
     }
 
-    /// Leaves the fleet on purpose: sends a notice to every active member and `foca`'s own leave message. After this
-    /// the node sends nothing and ignores incoming SWIM messages and timers.
+    /// Leaves the fleet on purpose: sends a notice to every active member and `foca`'s own leave message.
+    /// After this the node sends nothing and ignores incoming SWIM messages and timers.
     pub fn leave(&mut self, now: Duration) {
         if self.leaving {
             return;
@@ -390,7 +397,8 @@
             incarnation: 0,
             id: me,
         });
-        // Leave notices are dropped together with their members, so there are never more notices than members.
+        // Leave notices are dropped together with their members, so there are never more notices than
+        // members.
         let named: BTreeSet<&NodeId> = entries.iter().map(|e| &e.id).collect();
         self.leave_notices.retain(|id| named.contains(id));
         self.view.replace(entries);
@@ -398,8 +406,8 @@
 }
 
 impl Output {
-    /// Postpones the timers that end a suspicion by `stalled`, the time in which the node did not run: the refutations
-    /// may be waiting unread in the socket's receive buffer.
+    /// Postpones the timers that end a suspicion by `stalled`, the time in which the node did not run: the
+    /// refutations may be waiting unread in the socket's receive buffer.
     fn postpone_suspicions(&mut self, stalled: Duration) {
         if stalled.is_zero() {
             return;
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -1,7 +1,7 @@
-//! A simulated fleet of membership nodes in virtual time, on the simulated network `magpietally_simnet`. It injects
-//! loss, delay, duplication, one-way and two-way link failures, and kills, pauses and restarts nodes. It does no I/O
-//! and is deterministic: the same seed gives the same run on every machine. The tests and the measurements in
-//! `docs/measurements/membership.md` use it.
+//! A simulated fleet of membership nodes in virtual time, on the simulated network `magpietally_simnet`. It
+//! injects loss, delay, duplication, one-way and two-way link failures, and kills, pauses and restarts nodes.
+//! It does no I/O and is deterministic: the same seed gives the same run on every machine. The tests and the
+//! measurements in `docs/measurements/membership.md` use it.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -17,8 +17,8 @@
 use crate::protocol::{Membership, Settings};
 use crate::view::{Liveness, View};
 
-/// A simulated node: maps between the membership protocol, which addresses peers by socket address, and the network,
-/// which addresses them by name.
+/// A simulated node: maps between the membership protocol, which addresses peers by socket address, and the
+/// network, which addresses them by name.
 struct SimNode {
     membership: Membership,
     names: Rc<BTreeMap<SocketAddrV4, Name>>,
@@ -57,8 +57,8 @@
 }
 
 impl Fleet {
-    /// Creates `n` nodes, at most [`magpietally_simnet::NODES_MAX`], named `n0`, `n1` and so on, on a network with
-    /// `faults`. Each node joins through node 0, and node 0 through node 1.
+    /// Creates `n` nodes, at most [`magpietally_simnet::NODES_MAX`], named `n0`, `n1` and so on, on a network
+    /// with `faults`. Each node joins through node 0, and node 0 through node 1.
     pub fn new(n: usize, settings: &Settings, faults: Faults, seed: u64) -> Self {
         let limits = Limits { datagram: DATAGRAM_MAX_BYTES, ..Limits::default() };
         let mut world = World::new(seed, faults, limits, 0);
@@ -133,8 +133,8 @@
         self.start_with_clock_ahead(i, 0);
     }
 
-    /// Starts node `i` as [`Fleet::start`] does, with its generation ahead by `by`, as if its wall clock were ahead. The
-    /// generation of its next start is then an earlier one.
+    /// Starts node `i` as [`Fleet::start`] does, with its generation ahead by `by`, as if its wall clock were
+    /// ahead. The generation of its next start is then an earlier one.
     pub fn start_with_clock_ahead(&mut self, i: usize, by: u32) {
         let (settings, names, seed) = (&self.settings, &self.names, self.seed);
         let seeds: &[SocketAddrV4] = match i {
@@ -181,8 +181,8 @@
         self.world.run(d);
     }
 
-    /// Runs until `done` returns true, checked every [`magpietally_simnet::LOOK`], for at most `limit`. Returns the time
-    /// it took, or `None` if the limit was reached.
+    /// Runs until `done` returns true, checked every [`magpietally_simnet::LOOK`], for at most `limit`.
+    /// Returns the time it took, or `None` if the limit was reached.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -199,8 +199,8 @@
         Some(self.now() - start)
     }
 
-    /// Returns whether every running, unpaused node in `who` sees each node in `who` as `liveness` and each node in
-    /// `others` as neither alive nor suspect.
+    /// Returns whether every running, unpaused node in `who` sees each node in `who` as `liveness` and each
+    /// node in `others` as neither alive nor suspect.
     pub fn all_see(&mut self, who: &[usize], liveness: Liveness, others: &[usize]) -> bool {
         for &i in who {
             if self.world.is_paused(i) || self.membership(i).is_none() {
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,14 +1,15 @@
 //! Tracks how long each suspicion has lasted and bounds its duration.
 //!
-//! `foca` ends a suspicion by a timer at the node whose own probe failed. Three cases remain uncovered: a node that
-//! learned of the suspicion by gossip has no timer; a node that renews its identity loses its timer, whose token
-//! belongs to the old identity; and the suspect itself learns of the suspicion only while the update is still being
-//! retransmitted, a few times after it was made. A suspicion to which all three apply would never end. The tracker
-//! therefore measures how long each suspicion has lasted, has the suspect notified directly so that it can refute the
-//! suspicion, and has it declared dead when the limit is reached.
+//! `foca` ends a suspicion by a timer at the node whose own probe failed. Three cases remain uncovered: a
+//! node that learned of the suspicion by gossip has no timer; a node that renews its identity loses its
+//! timer, whose token belongs to the old identity; and the suspect itself learns of the suspicion only while
+//! the update is still being retransmitted, a few times after it was made. A suspicion to which all three
+//! apply would never end. The tracker therefore measures how long each suspicion has lasted, has the suspect
+//! notified directly so that it can refute the suspicion, and has it declared dead when the limit is reached.
 //!
-//! The tracker's clock counts only time in which the node ran. A node that was stopped while it held suspicions
-//! resumes with their remaining time unchanged, so the suspects' refutations can be received first.
+//! The tracker's clock counts only time in which the node ran. A node that was stopped while it held
+//! suspicions resumes with their remaining time unchanged, so the suspects' refutations can be received
+//! first.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,28 +17,28 @@
 use crate::id::NodeId;
 use crate::protocol::Settings;
 
-/// Maximum number of suspicions tracked at the same time, which covers a fleet of this many nodes. Further suspicions
-/// are tracked once others have ended.
+/// Maximum number of suspicions tracked at the same time, which covers a fleet of this many nodes. Further
+/// suspicions are tracked once others have ended.
 pub const TRACKED_SUSPICIONS_MAX: usize = 4096;
-/// Maximum number of suspects notified in one check, so that a node that suspects the whole other side of a partition
-/// does not send a burst.
+/// Maximum number of suspects notified in one check, so that a node that suspects the whole other side of a
+/// partition does not send a burst.
 pub const SUSPICION_NOTICES_MAX: usize = 32;
-/// Checks per probe period: often enough that the wait for a check hardly lengthens a suspicion, rare enough to cost
-/// almost nothing.
+/// Checks per probe period: often enough that the wait for a check hardly lengthens a suspicion, rare enough
+/// to cost almost nothing.
 const CHECKS_PER_PERIOD: u32 = 4;
-/// The tracker's limit exceeds the prober's suspicion timeout by this many probe periods: one for the prober's
-/// announcement of the death to arrive, and one for a late refutation to arrive before it.
+/// The tracker's limit exceeds the prober's suspicion timeout by this many probe periods: one for the
+/// prober's announcement of the death to arrive, and one for a late refutation to arrive before it.
 const PERIODS_AFTER_PROBER: u32 = 2;
-/// Probe periods by which the guaranteed maximum exceeds the tracker's limit: one check until the suspicion is noticed
-/// and one until it is ended, and the same again in case ticks are late.
+/// Probe periods by which the guaranteed maximum exceeds the tracker's limit: one check until the suspicion
+/// is noticed and one until it is ended, and the same again in case ticks are late.
 const PERIODS_FOR_CHECKS: u32 = 1;
-/// A suspect is notified directly after the suspicion timeout divided by this. Gossip refutes most suspicions earlier,
-/// and in a large fleet not every node that suspects it has to contact the suspect.
+/// A suspect is notified directly after the suspicion timeout divided by this. Gossip refutes most suspicions
+/// earlier, and in a large fleet not every node that suspects it has to contact the suspect.
 const NOTICE_DELAY_DIVISOR: u32 = 4;
 
 impl Settings {
-    /// Returns the maximum time for which a view lists an identity as suspect under one incarnation. Only time in which
-    /// the view's node ran counts.
+    /// Returns the maximum time for which a view lists an identity as suspect under one incarnation. Only
+    /// time in which the view's node ran counts.
     pub fn suspicion_max(&self) -> Duration {
         self.suspicion() + self.probe_period * (PERIODS_AFTER_PROBER + PERIODS_FOR_CHECKS)
     }
@@ -86,9 +87,9 @@
         }
     }
 
-    /// Records that the node runs at `now`. Returns the part of the time since the last call in which it cannot have
-    /// run. A running node calls this at least once per check interval, so of a longer gap two intervals count, the
-    /// second to allow for a late tick.
+    /// Records that the node runs at `now`. Returns the part of the time since the last call in which it
+    /// cannot have run. A running node calls this at least once per check interval, so of a longer gap two
+    /// intervals count, the second to allow for a late tick.
     pub(crate) fn advance(&mut self, now: Duration) -> Duration {
         let gap = self.last_tick.map_or(Duration::ZERO, |last| now.saturating_sub(last));
         self.last_tick = Some(self.last_tick.map_or(now, |last| last.max(now)));
@@ -112,8 +113,8 @@
         true
     }
 
-    /// Updates the tracked suspicions to `suspects`, the current ones, and returns which suspects to notify and which to
-    /// declare dead.
+    /// Updates the tracked suspicions to `suspects`, the current ones, and returns which suspects to notify
+    /// and which to declare dead.
     pub(crate) fn check(&mut self, suspects: impl Iterator<Item = (NodeId, u16)>) -> DueActions {
         let mut previous = std::mem::take(&mut self.tracked);
         for key in suspects.take(TRACKED_SUSPICIONS_MAX) {
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -6,7 +6,7 @@
     (NodeId::unknown_at(std::net::SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 1)), 0)
 }
 
-/// Looks each 250 ms from `from` to `to` with `suspects` held; when each thing was first due.
+/// Checks `suspects` every 250 ms from `from` to `to`. Returns when a notice and when a death were first due.
 fn run_checks(
     tracker: &mut SuspicionTracker,
     from: Duration,
@@ -17,7 +17,7 @@
     let mut now = from;
     while now <= to {
         tracker.advance(now);
-        assert!(tracker.is_due(now), "a look a quarter of a period after the last is due");
+        assert!(tracker.is_due(now), "no check is due a quarter of a period after the last one");
         let due = tracker.check(suspects.iter().cloned());
         notified = notified.or((!due.notify.is_empty()).then_some(now));
         dead = dead.or((!due.declare_dead.is_empty()).then_some(now));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_suspect_is_told_first_and_given_up_within_the_bound() {
+fn a_suspect_is_notified_first_and_declared_dead_within_the_bound() {
     let settings = Settings::default();
     let mut tracker = SuspicionTracker::new(&settings);
     let [notified, dead] = run_checks(&mut tracker, S, 20 * S, &[suspect()]);
@@ -46,22 +46,22 @@
 }
 
 #[test]
-fn time_in_which_the_room_did_not_run_is_not_held_against_the_suspect() {
+fn time_in_which_the_node_did_not_run_does_not_count() {
     let mut tracker = SuspicionTracker::new(&Settings::default());
     assert_eq!(run_checks(&mut tracker, S, 3 * S, &[suspect()])[1], None);
-    // An hour's stop, or a clock that jumps: two looks of it count.
+    // After a stop of an hour, or a jump of the clock, two check intervals count.
     assert_eq!(tracker.advance(3600 * S), 3597 * S - S / 2);
     assert_eq!(run_checks(&mut tracker, 3600 * S, 3604 * S, &[suspect()])[1], None);
     assert!(
         run_checks(&mut tracker, 3604 * S + S / 4, 3608 * S, &[suspect()])[1].is_some(),
-        "never given up"
+        "never declared dead"
     );
-    // A clock that goes back counts nothing and breaks nothing.
+    // When the clock goes back, no time counts.
     assert_eq!(tracker.advance(10 * S), Duration::ZERO);
 }
 
 #[test]
-fn a_look_tells_a_bounded_number_and_the_rest_in_the_next_ones() {
+fn a_check_notifies_a_bounded_number_and_later_checks_the_rest() {
     let mut tracker = SuspicionTracker::new(&Settings::default());
     let many: Vec<(NodeId, u16)> = (0..100).map(|i| (suspect().0, i)).collect();
     tracker.advance(S);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -10,7 +10,8 @@
 pub enum Liveness {
     /// It answers probes, or another member that it answered reported so.
     Alive,
-    /// A probe went unanswered and the suspicion is neither refuted nor timed out. The node still counts as a member.
+    /// A probe went unanswered and the suspicion is neither refuted nor timed out. The node still counts as a
+    /// member.
     Suspect,
     /// The suspicion timed out, or another member reported the node dead.
     Dead,
@@ -71,8 +72,8 @@
         self.alive + self.suspect
     }
 
-    /// Returns the number of nodes that are or may be members: the active ones, and the dead ones, which may only be
-    /// partitioned from this node. Nodes that left are not counted.
+    /// Returns the number of nodes that are or may be members: the active ones, and the dead ones, which may
+    /// only be partitioned from this node. Nodes that left are not counted.
     pub fn known(&self) -> u32 {
         self.active() + self.dead
     }
@@ -98,7 +99,8 @@
 
     /// Returns the state of the node named `name`, or `None` if the view has no such node.
     pub fn liveness_of(&self, name: &str) -> Option<Liveness> {
-        // While the news of a restart spreads, several entries can have the same name; the active one takes precedence.
+        // While the news of a restart spreads, several entries can have the same name; the active one takes
+        // precedence.
         let mut found = None;
         for e in self.entries.iter().filter(|e| e.id.name.as_str() == name) {
             if e.liveness.is_active() {
@@ -123,8 +125,9 @@
         c
     }
 
-    /// Returns another active node with `me`'s name, a different address and an earlier generation (or the same
-    /// generation and a lower address), if there is one. `me` must then stop, since two nodes must not share a name.
+    /// Returns another active node with `me`'s name, a different address and an earlier generation (or the
+    /// same generation and a lower address), if there is one. `me` must then stop, since two nodes must not
+    /// share a name.
     pub fn name_conflict(&self, me: &NodeId) -> Option<&NodeId> {
         self.entries
             .iter()
@@ -133,8 +136,8 @@
             .find(|other| (other.generation, other.addr) < (me.generation, me.addr))
     }
 
-    /// Replaces the entries with `entries`, given in any order. If they differ from the current ones, increments the
-    /// version and returns true.
+    /// Replaces the entries with `entries`, given in any order. If they differ from the current ones,
+    /// increments the version and returns true.
     pub(crate) fn replace(&mut self, mut entries: Vec<Entry>) -> bool {
         entries.sort_by(|a, b| a.id.cmp(&b.id));
         if entries == self.entries {
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn of_two_nodes_with_one_name_the_later_one_stops() {
+fn of_two_nodes_with_the_same_name_the_later_one_stops() {
     let mut v = View::default();
     v.replace(vec![entry(1, "a", 10, Liveness::Alive), entry(2, "a", 20, Liveness::Alive)]);
     let first = v.entries()[0].id.clone();
@@ -35,5 +35,5 @@
     assert_eq!(v.name_conflict(&second), Some(&first));
     assert_eq!(v.name_conflict(&first), None);
     v.replace(vec![entry(1, "a", 10, Liveness::Dead), entry(2, "a", 20, Liveness::Alive)]);
-    assert_eq!(v.name_conflict(&second), None, "a dead node holds no name");
+    assert_eq!(v.name_conflict(&second), None, "a dead node does not hold its name");
 }
--- a/crates/membership/src/view_text.rs
+++ b/crates/membership/src/view_text.rs
@@ -1,6 +1,6 @@
-//! The response to `magpietally members`: a node's view as text, paginated. A datagram holds a few hundred nodes, and a
-//! fleet may have more. Each query continues after the last node of the previous part, so that a view that changes
-//! meanwhile lists no node twice and omits no node that remains in it.
+//! The response to `magpietally members`: a node's view as text, paginated. A datagram holds a few hundred
+//! nodes, and a fleet may have more. Each query continues after the last node of the previous part, so that a
+//! view that changes meanwhile lists no node twice and omits no node that remains in it.
 
 use std::fmt::Write as _;
 
@@ -12,8 +12,8 @@
 
 /// Maximum size of a part: the largest UDP payload over IPv4.
 pub const VIEW_PART_MAX_BYTES: usize = 65_507;
-/// Bytes reserved for everything other than the lines of nodes: the kind, one identity with a name of maximum length, the line
-/// of counters.
+/// Bytes reserved for everything other than the lines of nodes: the kind, one identity with a name of maximum
+/// length, the line of counters.
 const RESERVED_BYTES: usize = 512;
 
 /// Encodes the nodes after `after`, or all nodes from the first on, into a response datagram of at most
@@ -68,8 +68,8 @@
     [&[KIND_VIEW], text.as_bytes()].concat()
 }
 
-/// Decodes a part: the identity after which to continue if there are more parts, and the text. Returns `None` if
-/// `bytes` is not a part of a view.
+/// Decodes a part: the identity after which to continue if there are more parts, and the text. Returns `None`
+/// if `bytes` is not a part of a view.
 pub fn decode_view_part(bytes: &[u8]) -> Option<(Option<NodeId>, &[u8])> {
     let (&kind, mut rest) = bytes.split_first()?;
     match kind {
--- a/crates/membership/src/view_text/tests.rs
+++ b/crates/membership/src/view_text/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::view::{Entry, Liveness};
 
-/// Nodes with the longest lines there can be.
+/// `count` nodes whose lines have the maximum length.
 fn entries(count: u16) -> Vec<Entry> {
     let entry = |n: u16| Entry {
         id: NodeId {
@@ -19,8 +19,9 @@
     (0..count).map(entry).collect()
 }
 
-/// All parts, one behind the other, as `magpietally members` asks for them; how many there were.
-fn asked(view: &mut View, mut between: impl FnMut(&mut View)) -> (String, usize) {
+/// Queries all parts as `magpietally members` does. Returns the concatenated text and the number of parts.
+/// `between` is called before each part but the first.
+fn query_all(view: &mut View, mut between: impl FnMut(&mut View)) -> (String, usize) {
     let (mut all, mut after, mut parts) = (String::new(), None, 0);
     loop {
         let part = encode_view_part(view, &Stats::default(), after.as_ref());
@@ -28,7 +29,10 @@
         let (next, text) = decode_view_part(&part).expect("a part");
         all += std::str::from_utf8(text).expect("text");
         parts += 1;
-        assert!(parts < 100 && (next.is_none() || next > after), "it goes on behind the last");
+        assert!(
+            parts < 100 && (next.is_none() || next > after),
+            "each part continues after the previous one"
+        );
         match next {
             None => return (all, parts),
             next => after = next,
@@ -38,13 +42,13 @@
 }
 
 #[test]
-fn a_view_of_any_size_is_told_whole_and_each_node_once() {
+fn a_view_of_any_size_lists_each_node_once() {
     for count in [0, 1, 300, 1024, 3000] {
         let mut view = View::default();
         view.replace(entries(count));
-        let (all, parts) = asked(&mut view, |_| {});
+        let (all, parts) = query_all(&mut view, |_| {});
         let lines: Vec<&str> = all.lines().collect();
-        assert_eq!(lines.len(), usize::from(count) + 2, "{count} nodes, the first line and the last");
+        assert_eq!(lines.len(), usize::from(count) + 2, "{count} nodes, with the first and the last line");
         assert!(lines[0].starts_with("version ") && lines[lines.len() - 1].starts_with("datagrams: "));
         for (n, line) in lines[1..=usize::from(count)].iter().enumerate() {
             assert!(line.starts_with(&format!("{n:0>NAME_MAX_BYTES$} ")), "{count}, {n}: {line}");
@@ -54,11 +58,12 @@
 }
 
 #[test]
-fn a_view_that_changes_between_two_parts_leaves_out_none_that_stays() {
+fn a_view_that_changes_between_two_parts_omits_no_node_that_remains() {
     let mut view = View::default();
     view.replace(entries(1024));
-    // The node at which the first part ends is gone before the second is asked for, and every third with it.
-    let (all, _) = asked(&mut view, |view| {
+    // Before the second part is queried, two of three nodes are removed, the last one of the first part among
+    // them.
+    let (all, _) = query_all(&mut view, |view| {
         view.replace(
             entries(1024).into_iter().enumerate().filter(|(n, _)| n % 3 == 0).map(|e| e.1).collect(),
         );
@@ -70,7 +75,7 @@
 }
 
 #[test]
-fn what_is_no_part_is_no_part() {
+fn bytes_that_are_not_a_part_are_rejected() {
     for bytes in [&b""[..], b"Q", b"P", b"P\x7f\0\0\x01", b"S1"] {
         assert_eq!(decode_view_part(bytes), None, "{bytes:?}");
     }
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The datagram decoder against any bytes, and against every cut of a datagram it wrote.
+//! Property tests of the datagram codec: arbitrary bytes, round trips, and every truncation of an encoded
+//! datagram.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -44,48 +45,48 @@
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read_back_and_any_cut_of_it_is_refused(
+    fn encoded_messages_decode_to_themselves_and_truncated_ones_are_rejected(
         src in id(), dst in id(), src_incarnation in any::<u16>(), message in message(), members in proptest::collection::vec(member(), 0..8)
     ) {
         let header = Header { src, src_incarnation, dst, message };
         let mut bytes = Vec::new();
-        WireCodec.encode_header(&header, &mut bytes).expect("a Vec has room");
+        WireCodec.encode_header(&header, &mut bytes).expect("a Vec has space");
         let header_len = bytes.len();
         for m in &members {
-            WireCodec.encode_member(m, &mut bytes).expect("a Vec has room");
+            WireCodec.encode_member(m, &mut bytes).expect("a Vec has space");
         }
         let mut rest = &bytes[..];
-        prop_assert_eq!(WireCodec.decode_header(&mut rest).expect("its own header"), header.clone());
+        prop_assert_eq!(WireCodec.decode_header(&mut rest).expect("an encoded header"), header.clone());
         for m in &members {
-            prop_assert_eq!(&WireCodec.decode_member(&mut rest).expect("its own member"), m);
+            prop_assert_eq!(&WireCodec.decode_member(&mut rest).expect("an encoded member"), m);
         }
         prop_assert!(rest.is_empty());
-        for cut in 0..header_len {
-            prop_assert!(WireCodec.decode_header(&bytes[..cut]).is_err(), "a header cut at {} was taken", cut);
+        for len in 0..header_len {
+            prop_assert!(WireCodec.decode_header(&bytes[..len]).is_err(), "a header truncated at {} was accepted", len);
         }
     }
 
     #[test]
-    fn a_full_buffer_is_an_error_and_not_a_panic(m in member(), room in 0usize..80) {
+    fn a_full_buffer_is_an_error_and_not_a_panic(m in member(), space in 0usize..80) {
         let mut buf = [0u8; 80];
-        let mut limited = (&mut buf[..]).limit(room);
-        let fits = room >= 14 + m.id().name.as_str().len();
+        let mut limited = (&mut buf[..]).limit(space);
+        let fits = space >= 14 + m.id().name.as_str().len();
         prop_assert_eq!(WireCodec.encode_member(&m, &mut limited).is_ok(), fits);
     }
 
     #[test]
-    fn any_bytes_are_refused_or_read_but_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
+    fn arbitrary_bytes_never_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
         let _ = decode(&bytes);
         let _ = WireCodec.decode_header(&bytes[..]);
         let _ = WireCodec.decode_member(&bytes[..]);
     }
 
     #[test]
-    fn a_leave_is_read_back_and_its_cuts_and_extensions_refused(who in id(), extra in 1usize..4) {
-        let bytes = encode_leave(&who);
-        prop_assert_eq!(decode(&bytes), Ok(Datagram::Leave(who.clone())));
-        for cut in 1..bytes.len() {
-            prop_assert!(decode(&bytes[..cut]).is_err());
+    fn a_leave_decodes_to_itself_and_any_other_length_is_rejected(id in id(), extra in 1usize..4) {
+        let bytes = encode_leave(&id);
+        prop_assert_eq!(decode(&bytes), Ok(Datagram::Leave(id.clone())));
+        for len in 1..bytes.len() {
+            prop_assert!(decode(&bytes[..len]).is_err());
         }
         let mut longer = bytes.clone();
         longer.extend(std::iter::repeat_n(0u8, extra));
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The hard cases of membership on a fleet in virtual time: each has a stated bound, and a fixed seed.
+//! Failure scenarios of the membership protocol on a simulated fleet, each with a time bound and a fixed
+//! seed.
 
 use std::time::Duration;
 
@@ -16,13 +17,13 @@
 }
 
 #[test]
-fn a_killed_node_is_dead_to_all_others_within_its_bound() {
+fn all_others_see_a_killed_node_as_dead_within_the_bound() {
     let mut f = fleet(10, 1);
     f.kill(3);
     let rest: Vec<usize> = (0..10).filter(|&i| i != 3).collect();
     let took = f.run_until(20 * S, |f| f.count_seeing(3, Liveness::Dead) == rest.len());
-    let took = took.expect("the dead node was not dead to all within 20 s");
-    assert!(took >= 6 * S, "declared dead after {took:?}, before the suspicion could end");
+    let took = took.expect("not all nodes saw the killed node as dead within 20 s");
+    assert!(took >= 6 * S, "declared dead after {took:?}, before the suspicion timed out");
     assert!(f.all_see(&rest, Liveness::Alive, &[3]));
 }
 
@@ -40,7 +41,7 @@
         f.run(Duration::from_millis(10));
         assert_eq!(f.count_seeing(4, Liveness::Dead), 0, "declared dead after the pause at {:?}", f.now());
     }
-    assert!(f.all_see(&all, Liveness::Alive, &[]), "the paused node is not alive to all 10 s after");
+    assert!(f.all_see(&all, Liveness::Alive, &[]), "not all nodes see the paused node as alive 10 s later");
 }
 
 #[test]
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn halves_cut_apart_each_see_the_other_dead_and_agree_again_after_the_heal() {
+fn partitioned_halves_see_each_other_as_dead_and_agree_again_after_the_heal() {
     let mut f = fleet(10, 4);
     let a: Vec<usize> = (0..5).collect();
     let b: Vec<usize> = (5..10).collect();
@@ -67,10 +68,14 @@
     assert!(f
         .run_until(30 * S, |f| f.all_see(&a, Liveness::Alive, &b) && f.all_see(&b, Liveness::Alive, &a))
         .is_some());
-    // Each half is no majority of all it knows.
+    // Neither half is a majority of the nodes it knows.
     for i in [0, 7] {
         let counts = f.view(i).map(|v| v.counts()).expect("a running node");
-        assert_eq!(magpietally_membership::budget_divisor(&counts), 10, "node {i} took a half for the fleet");
+        assert_eq!(
+            magpietally_membership::budget_divisor(&counts),
+            10,
+            "node {i} took its half for the whole fleet"
+        );
     }
     f.heal();
     let all: Vec<usize> = (0..10).collect();
@@ -79,14 +84,14 @@
 }
 
 #[test]
-fn one_node_cut_from_all_and_a_link_that_works_one_way() {
+fn a_one_way_link_causes_no_death_and_an_isolated_node_returns() {
     let mut f = fleet(8, 5);
     let rest: Vec<usize> = (1..8).collect();
-    // A link that works one way costs no death: indirect probes go round it.
+    // A link that works in one direction only causes no death, since indirect probes bypass it.
     f.cut(2, 3);
     f.run(30 * S);
     let all: Vec<usize> = (0..8).collect();
-    assert!(f.all_see(&all, Liveness::Alive, &[]), "a one-way link cost a death");
+    assert!(f.all_see(&all, Liveness::Alive, &[]), "a one-way link caused a death");
     f.heal();
     f.partition(&[0], &rest);
     assert!(f.run_until(30 * S, |f| f.all_see(&rest, Liveness::Alive, &[0])).is_some());
@@ -95,7 +100,7 @@
 }
 
 #[test]
-fn thirty_percent_loss_and_duplicates_cost_no_lasting_death() {
+fn thirty_percent_loss_and_duplicates_cause_no_lasting_death() {
     let mut f = fleet(10, 6);
     f.set_faults(Faults {
         loss: 0.3,
@@ -118,9 +123,9 @@
     let replaced = |f: &mut Fleet| {
         (0..6).all(|i| {
             let Some(view) = f.view(i) else { return false };
-            let of_two: Vec<_> = view.entries().iter().filter(|e| e.id.name == id.name).collect();
-            of_two.iter().any(|e| e.id == id && e.liveness == Liveness::Alive)
-                && of_two.iter().all(|e| e.id == id || !e.liveness.is_active())
+            let same_name: Vec<_> = view.entries().iter().filter(|e| e.id.name == id.name).collect();
+            same_name.iter().any(|e| e.id == id && e.liveness == Liveness::Alive)
+                && same_name.iter().all(|e| e.id == id || !e.liveness.is_active())
         })
     };
     let took = f.run_until(20 * S, replaced);
@@ -138,24 +143,28 @@
     assert_eq!(magpietally_membership::budget_divisor(&counts), 5);
 }
 
-/// A node's wall clock was an hour ahead (tenths of a second are counted) and is set right before it starts again: its generation
-/// is one that the others take for the earlier life's past. It is told so, and outbids it within a few round trips.
+/// A node's wall clock is an hour ahead (generations count tenths of a second) and is corrected before the
+/// node starts again, so the other nodes treat its new generation as outdated. They report this to the node,
+/// which must advance its generation past the earlier one within a few round trips.
 #[test]
-fn a_node_that_starts_again_after_its_clock_was_set_back_is_taken_for_itself() {
+fn a_node_restarted_after_its_clock_was_set_back_replaces_its_earlier_identity() {
     for seed in 20..25 {
         let mut f = fleet(8, seed);
         f.kill(5);
         f.start_with_clock_ahead(5, 36_000);
         let all: Vec<usize> = (0..8).collect();
-        assert!(f.run_until(30 * S, |f| f.all_see(&all, Liveness::Alive, &[])).is_some(), "it is not there");
+        assert!(
+            f.run_until(30 * S, |f| f.all_see(&all, Liveness::Alive, &[])).is_some(),
+            "the node did not join"
+        );
         f.kill(5);
         f.run(2 * S);
         f.start(5);
         let took = f.run_until(15 * S, |f| {
-            let now_is = f.membership(5).is_some_and(|r| r.local_id().generation > 36_000);
-            now_is && f.all_see(&all, Liveness::Alive, &[])
+            let advanced = f.membership(5).is_some_and(|r| r.local_id().generation > 36_000);
+            advanced && f.all_see(&all, Liveness::Alive, &[])
         });
-        let took = took.expect("the others still hold to the earlier life");
+        let took = took.expect("the other nodes still keep the earlier identity");
         let rejoined = f.membership(5).map_or(0, |r| r.stats().rejoined);
         assert!(rejoined < 40, "rejoined {rejoined} times in {took:?}");
     }
--- a/crates/membership/tests/merge.rs
+++ b/crates/membership/tests/merge.rs
@@ -1,9 +1,10 @@
-//! The view's merge: the same updates in any order, and any of them again, give the same view.
+//! Merging updates into the view: neither their order nor repeated delivery changes the result.
 //!
-//! SWIM's precedence (a later incarnation wins; at one incarnation suspect beats alive; dead is final for an identity)
-//! is a maximum, so the order of arrival and a replayed datagram must not matter. Timers are not fired here, so
-//! nothing but the updates moves the view. The incarnation of a dead identity is whichever it was declared dead at
-//! first, as dead is final: it is left out of the comparison, its state is not.
+//! SWIM's precedence is a maximum: a later incarnation wins, at the same incarnation suspect overrides alive,
+//! and dead is final for an identity. The order of arrival and replayed datagrams therefore must not matter.
+//! Timers are not fired here, so only the updates change the view. The incarnation of a dead identity depends
+//! on which update declared it dead first, since dead is final; it is left out of the comparison, the state
+//! is compared.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -25,16 +26,16 @@
 fn datagram(src: &NodeId, dst: &NodeId, updates: &[Member<NodeId>]) -> Vec<u8> {
     let mut bytes = vec![0x53];
     let header = Header { src: src.clone(), src_incarnation: 0, dst: dst.clone(), message: Message::Gossip };
-    WireCodec.encode_header(&header, &mut bytes).expect("a Vec has room");
+    WireCodec.encode_header(&header, &mut bytes).expect("a Vec has space");
     bytes.put_u16(updates.len() as u16);
     for m in updates {
-        WireCodec.encode_member(m, &mut bytes).expect("a Vec has room");
+        WireCodec.encode_member(m, &mut bytes).expect("a Vec has space");
     }
     bytes
 }
 
 fn update() -> impl Strategy<Value = Member<NodeId>> {
-    // Five peers (1..=5), two starts each, small incarnations: collisions are the point.
+    // Five peers (1..=5) with two starts each and small incarnations, so that updates often conflict.
     (1u8..=5, 1u32..=2, 0u16..4, 0u8..3).prop_map(|(i, generation, incarnation, state)| {
         Member::new(
             node(i, generation),
@@ -44,13 +45,14 @@
     })
 }
 
-/// The view of a room that took `datagrams` in this order, all at one instant.
+/// Returns the view of a node that received `datagrams` in this order, all at the same time.
 fn view_after(me: &NodeId, datagrams: &[Vec<u8>]) -> Vec<(String, u32, Option<u16>, String)> {
-    let mut room = Membership::new(me.clone(), &Settings::default(), 7);
+    let mut membership = Membership::new(me.clone(), &Settings::default(), 7);
     for d in datagrams {
-        room.on_datagram(Duration::from_secs(1), d);
+        membership.on_datagram(Duration::from_secs(1), d);
     }
-    room.view()
+    membership
+        .view()
         .entries()
         .iter()
         .filter(|e| &e.id != me)
@@ -71,7 +73,7 @@
         replays in proptest::collection::vec(any::<proptest::sample::Index>(), 0..4),
     ) {
         let me = node(0, 1);
-        // Each datagram comes from a sender that is not among the updates, so that its header adds nothing.
+        // The sender is not among the updated nodes, so that the headers do not change their state.
         let sender = node(9, 1);
         let datagrams: Vec<Vec<u8>> = batches.iter().map(|b| datagram(&sender, &me, b)).collect();
         let first = view_after(&me, &datagrams);
--- a/crates/membership/tests/same_run.rs
+++ b/crates/membership/tests/same_run.rs
@@ -1,4 +1,4 @@
-//! The fleet in virtual time is the same run for the same seed.
+//! The simulated fleet is deterministic: the same seed gives the same run.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use magpietally_membership::Settings;
 
 #[test]
-fn the_same_seed_gives_the_same_fleet_and_another_seed_another() {
-    let play = |seed| {
+fn the_same_seed_gives_the_same_run_and_another_seed_another() {
+    let run = |seed| {
         let mut f = Fleet::new(8, &Settings::default(), Faults { loss: 0.1, ..Faults::default() }, seed);
         f.run(Duration::from_secs(10));
         f.kill(3);
@@ -18,6 +18,6 @@
         f.run(Duration::from_secs(15));
         (f.trace(), f.sent_bytes())
     };
-    assert_eq!(play(1), play(1));
-    assert_ne!(play(1).0, play(2).0);
+    assert_eq!(run(1), run(1));
+    assert_ne!(run(1).0, run(2).0);
 }
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -1,7 +1,9 @@
-//! No suspicion outlives its bound, in any view, whatever happened to the holder: renewals, loss, one-way links, pauses.
+//! No suspicion lasts longer than its bound in any view, regardless of what happens to the node that
+//! suspects: renewed identities, loss, one-way links, pauses.
 //!
-//! Played over seeds in virtual time. Each 100 ms every view of a node that runs is looked at: how long has it held this
-//! identity under this incarnation for suspect, counted only while the holder ran. In the end all agree again.
+//! The scenarios run in virtual time over many seeds. Every 100 ms the test reads the view of every running
+//! node and measures for how long it has listed an identity as suspect under one incarnation, counting only
+//! time in which the suspecting node ran. At the end, all nodes must see each other as alive again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,56 +16,57 @@
 use rand_pcg::Pcg64;
 
 const S: Duration = Duration::from_secs(1);
-/// How often the views are looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the views are read.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 const SEEDS: u64 = 200;
 
-/// How long each view has held whom for suspect.
-struct Suspicions {
-    most: Duration,
-    held: BTreeMap<(NodeId, NodeId, u16), Duration>,
+/// How long each view has listed each suspect.
+struct SuspicionTimes {
+    limit: Duration,
+    durations: BTreeMap<(NodeId, NodeId, u16), Duration>,
     longest: Duration,
 }
 
-impl Suspicions {
+impl SuspicionTimes {
     fn new(settings: &Settings) -> Self {
-        Self { most: settings.suspicion_max(), held: BTreeMap::new(), longest: Duration::ZERO }
+        Self { limit: settings.suspicion_max(), durations: BTreeMap::new(), longest: Duration::ZERO }
     }
 
-    /// `holder` ran for [`LOOK`] and holds `suspects` now; an error names the suspicion that outlived the bound.
-    fn look(&mut self, holder: &NodeId, suspects: &[(NodeId, u16)]) -> Result<(), String> {
-        self.held.retain(|(h, id, incarnation), _| {
+    /// Records that `holder` ran for another [`SAMPLE_INTERVAL`] and now lists `suspects`. The error names a
+    /// suspicion that exceeded the limit.
+    fn record(&mut self, holder: &NodeId, suspects: &[(NodeId, u16)]) -> Result<(), String> {
+        self.durations.retain(|(h, id, incarnation), _| {
             h.addr != holder.addr || h == holder && suspects.iter().any(|s| s.0 == *id && s.1 == *incarnation)
         });
         for (id, incarnation) in suspects {
-            let age = self.held.entry((holder.clone(), id.clone(), *incarnation)).or_default();
-            *age += LOOK;
+            let age = self.durations.entry((holder.clone(), id.clone(), *incarnation)).or_default();
+            *age += SAMPLE_INTERVAL;
             self.longest = self.longest.max(*age);
-            if *age > self.most {
-                return Err(format!("{holder} held {id} incarnation {incarnation} for suspect for {age:?}"));
+            if *age > self.limit {
+                return Err(format!("{holder} suspected {id} incarnation {incarnation} for {age:?}"));
             }
         }
         Ok(())
     }
 }
 
-/// A fleet that is watched while it runs.
-struct Watched {
+/// A fleet whose suspicions are checked while it runs.
+struct CheckedFleet {
     fleet: Fleet,
     paused: Vec<bool>,
     killed: Vec<bool>,
-    suspicions: Suspicions,
+    suspicions: SuspicionTimes,
     seed: u64,
 }
 
-impl Watched {
+impl CheckedFleet {
     fn new(n: usize, seed: u64) -> Self {
         let settings = Settings { fleet_size: n as u32, ..Settings::default() };
         Self {
             fleet: Fleet::new(n, &settings, Faults::default(), seed),
             paused: vec![false; n],
             killed: vec![false; n],
-            suspicions: Suspicions::new(&settings),
+            suspicions: SuspicionTimes::new(&settings),
             seed,
         }
     }
@@ -71,7 +74,7 @@
     fn run(&mut self, d: Duration) -> Result<(), String> {
         let end = self.fleet.now() + d;
         while self.fleet.now() < end {
-            self.fleet.run(LOOK);
+            self.fleet.run(SAMPLE_INTERVAL);
             for i in (0..self.paused.len()).filter(|&i| !self.paused[i]) {
                 let holder = self.fleet.id(i);
                 let Some(view) = self.fleet.view(i) else { continue };
@@ -82,7 +85,7 @@
                     .map(|e| (e.id.clone(), e.incarnation))
                     .collect();
                 self.suspicions
-                    .look(&holder, &suspects)
+                    .record(&holder, &suspects)
                     .map_err(|e| format!("seed {} at {:?}: {e}", self.seed, self.fleet.now()))?;
             }
         }
@@ -105,7 +108,8 @@
         self.fleet.start(i);
     }
 
-    /// All healed, awake and started, `d` later everyone takes everyone for alive.
+    /// Heals all links, resumes and starts all nodes, and checks that `d` later all nodes see each other as
+    /// alive.
     fn settle(&mut self, d: Duration) -> Result<(), String> {
         let all: Vec<usize> = (0..self.paused.len()).collect();
         self.fleet.heal();
@@ -118,7 +122,10 @@
         }
         self.run(d)?;
         if !self.fleet.all_see(&all, Liveness::Alive, &[]) {
-            return Err(format!("seed {}: {d:?} after the heal not all are alive to all", self.seed));
+            return Err(format!(
+                "seed {}: {d:?} after the heal not all nodes see each other as alive",
+                self.seed
+            ));
         }
         Ok(())
     }
@@ -128,20 +135,20 @@
     }
 }
 
-/// Plays `scenario` over the seeds; every seed that misses is told.
-fn over_seeds(n: usize, scenario: impl Fn(&mut Watched, u64) -> Result<(), String>) -> u64 {
-    let mut missed = Vec::new();
+/// Runs `scenario` for each seed and reports every seed that fails. Returns the number of renewed identities.
+fn over_seeds(n: usize, scenario: impl Fn(&mut CheckedFleet, u64) -> Result<(), String>) -> u64 {
+    let mut failed = Vec::new();
     let (mut rejoined, mut longest) = (0, Duration::ZERO);
     for seed in 0..SEEDS {
-        let mut w = Watched::new(n, seed);
+        let mut w = CheckedFleet::new(n, seed);
         if let Err(e) = scenario(&mut w, seed) {
-            missed.push(e);
+            failed.push(e);
         }
         rejoined += w.rejoined();
         longest = longest.max(w.suspicions.longest);
     }
     eprintln!("{rejoined} renewals over {SEEDS} seeds, the longest suspicion {longest:?}");
-    assert!(missed.is_empty(), "{} of {SEEDS} seeds missed:\n{}", missed.len(), missed.join("\n"));
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds failed:\n{}", failed.len(), failed.join("\n"));
     rejoined
 }
 
@@ -166,11 +173,11 @@
         w.run(10 * S)?;
         w.settle(120 * S)
     });
-    assert!(rejoined > 0, "no node was renewed: the scenario lost what it is for");
+    assert!(rejoined > 0, "no node was renewed: the scenario no longer exercises renewal");
 }
 
 #[test]
-fn no_member_stays_suspect_past_the_bound_whatever_breaks_meanwhile() {
+fn no_member_stays_suspect_past_the_bound_under_random_faults() {
     const N: usize = 6;
     let rejoined = over_seeds(N, |w, seed| {
         let mut rng = Pcg64::seed_from_u64(seed);
@@ -195,7 +202,8 @@
                 _ => w.fleet.heal(),
             }
             w.run(Duration::from_millis(rng.random_range(500..9000)))?;
-            // What was stopped or killed mostly comes back within a round or two, so that it is one fleet's story.
+            // Paused and killed nodes usually return within a round or two, so that most of the fleet keeps
+            // running.
             for i in 0..N {
                 if w.killed[i] && rng.random_bool(0.6) {
                     w.start(i);
@@ -207,16 +215,17 @@
         }
         w.settle(90 * S)
     });
-    assert!(rejoined > 0, "no node was renewed: the scenario lost what it is for");
+    assert!(rejoined > 0, "no node was renewed: the scenario no longer exercises renewal");
 }
 
-/// Node 0 is cut off for less than a suspicion lasts, so that it suspects some and some suspect it; then `stopped` are
-/// stopped for 30 s, in which the cut heals, and wake. How many `stopped` declared dead, over 50 seeds.
-fn declared_after_a_stop(stopped: &[usize]) -> u64 {
+/// Cuts node 0 off for less than a suspicion lasts, so that it suspects some nodes and some suspect it. Then
+/// pauses `stopped` for 30 s, during which the links are healed, and resumes them. Returns how many deaths
+/// the `stopped` nodes declared over 50 seeds.
+fn deaths_declared_after_a_stop(stopped: &[usize]) -> u64 {
     let (mut suspected, mut declared) = (0, 0);
     for seed in 0..50 {
-        let mut w = Watched::new(5, seed);
-        w.run(20 * S).expect("calm");
+        let mut w = CheckedFleet::new(5, seed);
+        w.run(20 * S).expect("no faults yet");
         w.fleet.partition(&[0], &[1, 2, 3, 4]);
         w.run(5 * S).expect("within the bound");
         suspected += w.fleet.view(0).map_or(0, |v| v.counts().suspect);
@@ -230,40 +239,47 @@
             .map(|r| r.stats().declared_dead)
             .sum::<u64>();
     }
-    assert!(suspected > 50, "only {suspected} suspicions in 50 runs: the scenario lost what it is for");
+    assert!(
+        suspected > 50,
+        "only {suspected} suspicions in 50 runs: the scenario no longer exercises suspicion"
+    );
     declared
 }
 
 #[test]
-fn a_holder_that_was_stopped_declares_nobody_dead_out_of_its_own_stop() {
-    assert_eq!(declared_after_a_stop(&[0]), 0, "one node stopped");
-    assert_eq!(declared_after_a_stop(&[0, 1, 2, 3, 4]), 0, "all stopped, as when their machine sleeps");
+fn a_stopped_node_declares_nobody_dead_because_of_its_own_stop() {
+    assert_eq!(deaths_declared_after_a_stop(&[0]), 0, "one node stopped");
+    assert_eq!(
+        deaths_declared_after_a_stop(&[0, 1, 2, 3, 4]),
+        0,
+        "all stopped, as when their host is suspended"
+    );
 }
 
 #[test]
-fn a_suspect_that_nobody_gossips_of_any_more_is_told_and_refutes_in_one_round_trip() {
+fn a_suspect_no_longer_in_gossip_is_notified_and_refutes_in_one_round_trip() {
     let id = |port| NodeId {
         addr: std::net::SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, port),
         name: Name::new(&format!("n{port}")).expect("a plain name"),
         generation: 1,
     };
-    let (teller, suspect, third) = (id(1), id(2), id(3));
-    let mut holder = Membership::new(teller.clone(), &Settings::default(), 1);
+    let (holder_id, suspect, third) = (id(1), id(2), id(3));
+    let mut holder = Membership::new(holder_id.clone(), &Settings::default(), 1);
     let mut suspected = Membership::new(suspect.clone(), &Settings::default(), 2);
-    // The third says that it suspects the second; the holder has only heard of it.
+    // The third node gossips that it suspects the second; the holder knows of the suspicion only from gossip.
     let mut gossip = vec![0x53];
-    let header = Header { src: third, src_incarnation: 0, dst: teller, message: Message::Gossip };
-    WireCodec.encode_header(&header, &mut gossip).expect("a Vec has room");
+    let header = Header { src: third, src_incarnation: 0, dst: holder_id, message: Message::Gossip };
+    WireCodec.encode_header(&header, &mut gossip).expect("a Vec has space");
     gossip.put_u16(1);
     WireCodec
         .encode_member(&Member::new(suspect.clone(), 0, State::Suspect), &mut gossip)
-        .expect("a Vec has room");
+        .expect("a Vec has space");
     holder.on_datagram(S, &gossip);
-    // All that the holder says is lost, until it tells the suspected directly.
+    // All datagrams of the holder are lost until it notifies the suspect directly.
     let mut now = S;
     while holder.stats().suspects_notified == 0 {
         assert_eq!(holder.view().liveness_of("n2"), Some(Liveness::Suspect));
-        assert!(now < 5 * S, "not told within 4 s");
+        assert!(now < 5 * S, "not notified within 4 s");
         while holder.take_outgoing().is_some() {}
         now += S / 100;
         holder.tick(now);
@@ -276,26 +292,26 @@
     while let Some((_, bytes)) = suspected.take_outgoing() {
         holder.on_datagram(now, &bytes);
     }
-    let entry = holder.view().entries().iter().find(|e| e.id == suspect).cloned().expect("known");
+    let entry = holder.view().entries().iter().find(|e| e.id == suspect).cloned().expect("in the view");
     assert_eq!((entry.liveness, entry.incarnation), (Liveness::Alive, 1));
 }
 
 #[test]
-fn the_check_names_a_suspicion_that_outlives_the_bound() {
+fn the_check_reports_a_suspicion_that_exceeds_the_limit() {
     let settings = Settings::default();
-    let looks = (settings.suspicion_max().as_millis() / LOOK.as_millis()) as usize;
+    let samples = (settings.suspicion_max().as_millis() / SAMPLE_INTERVAL.as_millis()) as usize;
     let f = Fleet::new(2, &settings, Faults::default(), 1);
     let (holder, suspect) = (f.id(0), f.id(1));
-    // Two suspicions with a refutation between them are two.
-    let mut refuted = Suspicions::new(&settings);
-    for i in 0..2 * looks {
-        assert_eq!(refuted.look(&holder, &[(suspect.clone(), (i / looks) as u16)]), Ok(()));
+    // Two suspicions separated by a refutation are counted separately.
+    let mut refuted = SuspicionTimes::new(&settings);
+    for i in 0..2 * samples {
+        assert_eq!(refuted.record(&holder, &[(suspect.clone(), (i / samples) as u16)]), Ok(()));
     }
-    // One that stays is named at the first look past the bound.
-    let mut stays = Suspicions::new(&settings);
-    for _ in 0..looks {
-        assert_eq!(stays.look(&holder, &[(suspect.clone(), 0)]), Ok(()));
+    // A suspicion that does not end is reported by the first sample past the limit.
+    let mut stays = SuspicionTimes::new(&settings);
+    for _ in 0..samples {
+        assert_eq!(stays.record(&holder, &[(suspect.clone(), 0)]), Ok(()));
     }
-    let named = stays.look(&holder, &[(suspect.clone(), 0)]).expect_err("past the bound");
-    assert!(named.contains(&format!("held {suspect} incarnation 0 for suspect")), "{named}");
+    let named = stays.record(&holder, &[(suspect.clone(), 0)]).expect_err("past the limit");
+    assert!(named.contains(&format!("suspected {suspect} incarnation 0 for")), "{named}");
 }
