--- a/crates/membership/examples/cold_fleet.rs
+++ b/crates/membership/examples/cold_fleet.rs
@@ -1,11 +1,12 @@
-//! Fifty nodes that start together in front of servers that have just started: how many attempts are out at
-//! a cold server at the worst, when each node divides its first limits by the count of nodes it believes in.
+//! Many nodes that start together in front of servers that have just started: the maximum number of attempts
+//! in progress at a cold server, when each node divides its initial limits by the number of nodes it counts
+//! in the fleet.
 //!
 //! `cargo run --release -p magpietally-membership --example cold_fleet -- 50`
 //!
-//! Three counts are compared: each node alone (a fleet that is not told of its peers), the count each node's
-//! view holds a moment after the start (before the join has spread), and the count after the join. The view
-//! comes from the crate's own fleet in virtual time; the policy is the node's own, driven in virtual time.
+//! Compares three counts: each node counts only itself (it knows no peers), the count in each node's view
+//! shortly after the start (before the join has spread), and the count after the join. The views come from
+//! this crate's simulated fleet. The policy is the one that nodes run, driven in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,13 +17,13 @@
 use magpietally_policy::*;
 
 const SERVERS: u64 = 4;
-const SERVICE_MS: u64 = 50; // Each attempt takes this long at any server.
-const EVERY_MS: u64 = 20; // Each node gets one request this often: 50 a second, 2,500 for 50 nodes.
+const SERVICE_MS: u64 = 50; // Duration of each attempt on a server that is not overloaded.
+const REQUEST_INTERVAL_MS: u64 = 20; // Per node: 50 requests a second, 2,500 for 50 nodes.
 const WINDOW_MS: u64 = 3_000;
 const SEED: u64 = 7;
 
-/// An attempt's end: when, node, request, attempt, server.
-type End = Reverse<(u64, usize, u64, usize, u64)>;
+/// The end of an attempt: time, node, request, attempt, server.
+type AttemptEnd = Reverse<(u64, usize, u64, usize, u64)>;
 
 fn settings(number: usize, nodes: usize) -> Settings {
     let class = Class { aim: 500.0, worth: 1.0, late_worth: 0.0, effect: Effect::Safe };
@@ -56,13 +57,14 @@
     }
 }
 
-/// The most attempts out at one server at once over the window, in parts of what it bears then, and the
-/// requests refused or failed.
-fn play(n_warm: f64, divisors: &[usize]) -> (f64, usize) {
-    // What a server bears at once by the time since its start, as the nodes are told it warms up.
+/// Simulates the window. Returns the maximum number of attempts in progress at one server, as a fraction of
+/// its capacity at that time, and the number of requests refused or failed.
+fn simulate(warm_capacity: f64, divisors: &[usize]) -> (f64, usize) {
+    // Concurrent attempts that a server can take by the time since its start, under the warm-up in the nodes'
+    // settings.
     let Rules { cold_share, warm_within, .. } = settings(0, 1).rules;
     let capacity =
-        |now: u64| n_warm * (cold_share + (1.0 - cold_share) * (now as f64 / warm_within).min(1.0));
+        |now: u64| warm_capacity * (cold_share + (1.0 - cold_share) * (now as f64 / warm_within).min(1.0));
     let n = divisors.len();
     let entries: Vec<ServerEntry> = (0..SERVERS)
         .map(|s| ServerEntry {
@@ -79,17 +81,18 @@
         .iter()
         .enumerate()
         .map(|(i, &d)| {
-            // Its place among the count it believes in; the offset in the cycle comes from it and the seed.
+            // The node's number within the count it assumes; its initial offset follows from this and the
+            // seed.
             let d = d.max(1);
-            Balancer::new(settings(i % d, d), SEED + i as u64).expect("settings of the example are good")
+            Balancer::new(settings(i % d, d), SEED + i as u64).expect("the settings are valid")
         })
         .collect();
     let mut timers = vec![u64::MAX; n];
-    let mut ends: BinaryHeap<End> = BinaryHeap::new();
+    let mut ends: BinaryHeap<AttemptEnd> = BinaryHeap::new();
     let mut attempts: BTreeMap<(usize, u64), usize> = BTreeMap::new();
     let mut sent: BTreeMap<(usize, u64, usize), u64> = BTreeMap::new();
-    let mut out = vec![0usize; SERVERS as usize];
-    let (mut worst, mut lost, mut next_id) = (0.0f64, 0, 0u64);
+    let mut in_progress = vec![0usize; SERVERS as usize];
+    let (mut peak_load, mut failed, mut next_id) = (0.0f64, 0, 0u64);
     let mut actions = Vec::new();
     for now in 0..WINDOW_MS {
         for (i, node) in nodes.iter_mut().enumerate() {
@@ -97,13 +100,13 @@
             if now == 0 {
                 node.handle(t, Event::List { entries: entries.clone(), saved: false }, &mut actions);
             }
-            while let Some(Reverse((at, who, id, attempt, server))) = ends.peek().copied() {
-                if at > now || who != i {
+            while let Some(Reverse((at, node_index, id, attempt, server))) = ends.peek().copied() {
+                if at > now || node_index != i {
                     break;
                 }
                 ends.pop();
-                let since = sent.remove(&(i, id, attempt)).unwrap_or(now); // Each end has its send.
-                out[server as usize] -= 1;
+                let since = sent.remove(&(i, id, attempt)).unwrap_or(now); // Each attempt that ends was sent.
+                in_progress[server as usize] -= 1;
                 let ended = Event::Ended {
                     id: RequestId(id),
                     attempt,
@@ -118,7 +121,7 @@
                 timers[i] = u64::MAX;
                 node.handle(t, Event::Timer, &mut actions);
             }
-            if (now + i as u64).is_multiple_of(EVERY_MS) {
+            if (now + i as u64).is_multiple_of(REQUEST_INTERVAL_MS) {
                 next_id += 1;
                 let request = Event::Request {
                     id: RequestId(next_id),
@@ -133,10 +136,10 @@
                 match action {
                     Action::Send { id, server, .. } => {
                         let attempt = attempts.entry((i, id.0)).or_insert(0);
-                        out[server.0 as usize] += 1;
-                        let load = out[server.0 as usize] as f64 / capacity(now);
-                        worst = worst.max(load);
-                        // Past what it bears, a server slows down in proportion: that is all a node can see of it.
+                        in_progress[server.0 as usize] += 1;
+                        let load = in_progress[server.0 as usize] as f64 / capacity(now);
+                        peak_load = peak_load.max(load);
+                        // Beyond its capacity, a server slows down in proportion; nodes observe only this.
                         let took = (SERVICE_MS as f64 * load.max(1.0)).ceil() as u64;
                         ends.push(Reverse((now + took, i, id.0, *attempt, server.0)));
                         sent.insert((i, id.0, *attempt), now);
@@ -146,37 +149,37 @@
                         let due = now + after.max(1.0).ceil() as u64;
                         timers[i] = timers[i].min(due);
                     }
-                    Action::Refuse { .. } | Action::Fail(_) => lost += 1,
+                    Action::Refuse { .. } | Action::Fail(_) => failed += 1,
                     _ => {}
                 }
             }
         }
     }
-    (worst, lost)
+    (peak_load, failed)
 }
 
 fn main() {
     let n: usize = std::env::args().nth(1).and_then(|a| a.parse().ok()).unwrap_or(50);
-    let room = MembershipSettings { fleet_size: n as u32, ..MembershipSettings::default() };
-    let mut fleet = Fleet::new(n, &room, Faults::default(), SEED);
-    let seen = |fleet: &mut Fleet| -> Vec<usize> {
+    let settings = MembershipSettings { fleet_size: n as u32, ..MembershipSettings::default() };
+    let mut fleet = Fleet::new(n, &settings, Faults::default(), SEED);
+    let divisors = |fleet: &mut Fleet| -> Vec<usize> {
         (0..n).map(|i| fleet.view(i).map_or(1, |v| budget_divisor(&v.counts()) as usize)).collect()
     };
     fleet.run(Duration::from_millis(100));
-    let early = seen(&mut fleet);
+    let early = divisors(&mut fleet);
     fleet.run(Duration::from_secs(30));
-    let joined = seen(&mut fleet);
-    // What a warm server of this size answers at once: the fleet's traffic spread over the servers.
-    let warm = (n as u64 * SERVICE_MS / EVERY_MS).div_ceil(SERVERS);
-    println!("{n} nodes, {SERVERS} servers just started, {} requests a second; a warm server has {warm} out, a cold one 15% of it ({:.1})", n as u64 * 1000 / EVERY_MS, warm as f64 * 0.15);
-    println!("| count believed | least and most divisor | most out at one server in {WINDOW_MS} ms, in parts of what it bears | refused or failed |");
+    let joined = divisors(&mut fleet);
+    // Concurrent attempts at a warm server: the fleet's traffic spread evenly over the servers.
+    let warm = (n as u64 * SERVICE_MS / REQUEST_INTERVAL_MS).div_ceil(SERVERS);
+    println!("{n} nodes, {SERVERS} servers just started, {} requests a second; capacity of a warm server {warm} attempts in progress, of a cold one 15% of it ({:.1})", n as u64 * 1000 / REQUEST_INTERVAL_MS, warm as f64 * 0.15);
+    println!("| node count from | min and max divisor | peak load of one server in {WINDOW_MS} ms, as a fraction of its capacity | refused or failed |");
     println!("| --- | ---: | ---: | ---: |");
     for (name, divisors) in
         [("each alone", vec![1; n]), ("view at 0.1 s", early), ("view after the join", joined)]
     {
-        let (least, most) =
+        let (min, max) =
             (divisors.iter().min().copied().unwrap_or(1), divisors.iter().max().copied().unwrap_or(1));
-        let (worst, lost) = play(warm as f64, &divisors);
-        println!("| {name} | {least} to {most} | {worst:.1} | {lost} |");
+        let (peak_load, failed) = simulate(warm as f64, &divisors);
+        println!("| {name} | {min} to {max} | {peak_load:.1} | {failed} |");
     }
 }
