--- a/crates/membership/src/protocol.rs
+++ b/crates/membership/src/protocol.rs
@@ -123,7 +123,7 @@
 const GENERATION_STEP_EXPONENT_MAX: u32 = 29;
 
 /// Counts consecutive renewals of the node's identity. A single renewal answers a false death. Several in a
-/// row occur when an earlier incarnation of the process had a later generation because the clock has since
+/// row occur when an earlier start of the node had a later generation because the clock has since
 /// been set back.
 #[derive(Default)]
 struct IdentityRenewals {
