--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -51,7 +51,6 @@
     }
 
     /// Appends a piece. Pieces are copied into one buffer, as a small one would keep alive the whole buffer
-
     /// that it was read into.
     pub fn push(&mut self, data: Bytes) {
         if self.len() == 0 {
@@ -67,6 +66,7 @@
         }
         self.joined.extend_from_slice(&data);
     }
+
     pub fn into_bytes(self) -> Bytes {
         if self.joined.is_empty() {
             self.first
@@ -366,7 +366,6 @@
     }
 
     /// Ready when a response of unknown length receives less than [`MIN_PROGRESS_BYTES`] in an interval after
-
     /// the client's deadline; never ready for one of known length or one that has proved to be large.
     fn poll_stall(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         while self.length.is_none() && self.rest.received_bytes <= BUFFERED_BODY_MAX_BYTES {
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -97,7 +97,6 @@
     }
 
     /// Returns whether a request that was found late is no longer overdue, once the bytes in the socket have
-
     /// been read.
     async fn completes_late_request(&self) -> bool {
         for _ in 0..LATE_READ_ITERATIONS {
@@ -143,7 +142,6 @@
     }
 
     /// Closes connections that have been silent or idle for too long, whose request is too slow, or whose
-
     /// response is not read.
     pub fn close_overdue(&self) {
         self.reduction.ease();
@@ -184,7 +182,6 @@
     }
 
     /// Closes connections that are between requests and have nothing to read, if the node is draining or
-
     /// stopping.
     pub fn close_idle(&self) {
         let Some(min_idle) = self.node.process().lifecycle().idle_close_after(Instant::now()) else { return };
@@ -233,7 +230,6 @@
     }
 
     /// Returns whether so many connections are idle that a new one should close with its first response. A
-
     /// client that reuses connections opens another only if none is free, so one that connects while many are
     /// idle probably sends one request and leaves the connection open. Hundreds of those use up all the
     /// connections that clients and node may have, and the next client finds none. It also guards against
--- a/crates/http/src/clients/close_races.rs
+++ b/crates/http/src/clients/close_races.rs
@@ -1,4 +1,5 @@
-//! Races between closing a connection, or the end of a request's time, and bytes that arrive in the same//! iteration of the event loop.
+//! Races between closing a connection, or the end of a request's time, and bytes that arrive in the same
+//! iteration of the event loop.
 
 use std::io::Write;
 
@@ -31,7 +32,6 @@
 }
 
 /// A request that was in the socket when idle connections were closed, and is read afterwards, makes its
-
 /// connection busy: it must not be closed as idle.
 #[test]
 fn a_request_that_was_read_is_not_closed_as_idle() {
--- a/crates/http/src/clients/request.rs
+++ b/crates/http/src/clients/request.rs
@@ -56,7 +56,6 @@
 /// The value of a header that may appear once, if present.
 ///
 /// # Errors
-
 /// Bad request if it appears more than once or its value is not visible ASCII.
 fn header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
@@ -75,7 +74,6 @@
 
 /// Reads a request up to the end of its body, or up to the point from which the body is streamed. Returns it
 /// with the time that its client gives it.
-
 pub(super) async fn read_request(
     node: &Node,
     stream: &Rc<WatchedStream>,
--- a/crates/http/src/clients/response.rs
+++ b/crates/http/src/clients/response.rs
@@ -1,4 +1,5 @@
-//! The single final response to a request: waits for the core's answer and builds the response for the//! client.
+//! The single final response to a request: waits for the core's answer and builds the response for the
+//! client.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/http/src/clients/shutdown_races.rs
+++ b/crates/http/src/clients/shutdown_races.rs
@@ -37,7 +37,6 @@
 }
 
 /// A request that arrives after the node has failed its open requests is refused at once: if it were sent, it
-
 /// would run with no client left to receive the result. A request that arrived before is failed with the
 /// others.
 #[test]
@@ -66,7 +65,6 @@
 }
 
 /// A node that had no processor time until its end is due has not yet failed its open requests: they must
-
 /// still be answered.
 #[test]
 fn open_requests_are_answered_before_the_node_ends() {
--- a/crates/http/src/clients/test_node.rs
+++ b/crates/http/src/clients/test_node.rs
@@ -18,7 +18,6 @@
 pub(super) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The client connections of a node that may use `sockets` descriptors and whose classes `look` and `slip`
-
 /// have a deadline of `deadline_ms`.
 pub(super) fn new_clients(sockets: usize, deadline_ms: f64) -> Rc<ClientConnections> {
     let class = |name: &str, effect: &str| json!({"Name": name, "Slo": deadline_ms, "Deadline": deadline_ms, "Idempotency": effect, "Value": 1.0, "LateValue": 0.0});
--- a/crates/http/src/discovery.rs
+++ b/crates/http/src/discovery.rs
@@ -26,7 +26,6 @@
 // MAX_SILENCE therefore count from the moment the call's connection is open: steps that each take just under
 // their limit do not add up to more, and a slow connect takes nothing from the time that the call may wait in
 // the service's queue. A failed call is followed by the policy's pause, at most 0.1 s after a call that took
-
 // long and else 0.4 s, and by the next call, which has the rest: 3 s in the queue, if nothing but the
 // response had to be waited for.
 
@@ -180,14 +179,17 @@
                 WatchItem::EmptyLine => {}
             }
             if !std::mem::replace(&mut received_any, true) {
-                tracing::info!(target: "list", "first line of the watch after {:.1} ms", call.connected_at.elapsed().as_secs_f64() * 1e3);
+                tracing::info!(
+                    target: "list",
+                    "first line of the watch after {:.1} ms",
+                    call.connected_at.elapsed().as_secs_f64() * 1e3
+                );
             }
         }
     }
 }
 
 /// Applies a line of a watch. Changes of an older version than the node has would restore a state that is
-
 /// over.
 fn apply_update(consumer: &impl ListConsumer, listing: ServerListing) -> Result<(), CallError> {
     match consumer.version() {
@@ -297,7 +299,10 @@
             Some((Err(_), _)) => (earlier, link_down) = (None, false),
             None => {
                 if !std::mem::replace(&mut link_down, true) {
-                    tracing::info!(target: "list", "{to}: connecting takes long; trying another connection beside it");
+                    tracing::info!(
+                        target: "list",
+                        "{to}: connecting takes long; trying another connection beside it"
+                    );
                 }
                 earlier = Some((newest, started));
             }
--- a/crates/http/src/discovery/fleet_tests.rs
+++ b/crates/http/src/discovery/fleet_tests.rs
@@ -1,4 +1,5 @@
-//! A fleet of nodes that fetches the list from one service, in virtual time. The pauses are the policy's own;//! the service is a model that handles calls in turn. The measured behaviour of the platform's service is in
+//! A fleet of nodes that fetches the list from one service, in virtual time. The pauses are the policy's own;
+//! the service is a model that handles calls in turn. The measured behaviour of the platform's service is in
 //! `docs/findings/throng.md`.
 
 use std::cmp::Reverse;
@@ -243,7 +244,6 @@
 const SEEDS: u64 = if cfg!(debug_assertions) { 2 } else { 10 };
 
 /// The fleet sizes. Three nodes are served within 3 s at most, as a call would otherwise last longer than a
-
 /// node waits.
 const FLEET_SIZES: [usize; 7] = [3, 20, 30, 100, 300, 350, 1024];
 
@@ -260,7 +260,6 @@
 }
 
 /// Without communicating, and without knowing how fast the service is, all nodes have the list within one and
-
 /// a half times the time in which it could have served them in turn, so within 6 s where that time is 4 s or
 /// less, with at most four calls per node.
 #[test]
--- a/crates/http/src/discovery/timing_tests.rs
+++ b/crates/http/src/discovery/timing_tests.rs
@@ -18,7 +18,6 @@
 use super::*;
 
 /// When changes missed by calls count as received, however the calls failed, and when those of a new
-
 /// discovery address do after a reload.
 const RECEIVED_WITHIN_MS: u64 = 6000;
 const RECEIVED_AFTER_RELOAD_MS: u64 = 4000;
@@ -32,7 +31,6 @@
 const CHANGED_LIST: &str = r#"{"seq":2,"whole":true,"hosts":[]}"#;
 
 /// The bytes sent on a connection after its request, each after a delay in milliseconds. The connection stays
-
 /// open.
 type TimedWrites = Vec<(u64, String)>;
 
@@ -87,7 +85,6 @@
 }
 
 /// The service: plays the scripted connections in order, then refuses connections until `back`, then serves
-
 /// the changed list.
 struct Service {
     start: Instant,
@@ -573,7 +570,6 @@
 }
 
 /// After a reload a node counts as having the new address's list 4 s later, whatever happens to its first
-
 /// call.
 #[test]
 fn failed_first_call_after_a_reload_leaves_time_for_another() {
--- a/crates/http/src/http_transport.rs
+++ b/crates/http/src/http_transport.rs
@@ -19,7 +19,6 @@
 use crate::upstream::exchange;
 
 /// What the core needs to send requests over HTTP: configuration, connection pool and the source of the
-
 /// server list.
 pub struct HttpTransport {
     /// The node's configuration.
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -66,7 +66,6 @@
 
 /// Runs one node until a signal ends it. `lost_lines` returns the number of lines that the log has dropped so
 /// far, for the status lines.
-
 ///
 /// # Errors
 /// One line that names what could not be set up: the runtime, the listener, a signal or the policy's
@@ -134,7 +133,6 @@
 }
 
 /// Runs a worker until a signal ends it or its thread has panicked. `on_started` is called once the worker is
-
 /// set up.
 pub(crate) fn run_worker(
     config: Config,
@@ -224,7 +222,6 @@
 }
 
 /// Applies the discovery address of a new configuration, also while the node is stopping. Everything else
-
 /// takes effect at the next start, as half of the node's state depends on it. An invalid file changes
 /// nothing; one that can't be read at the moment is retried. Signals in quick succession count as one: the
 /// file is read after the last.
@@ -237,7 +234,10 @@
                 node.transport().discovery_addr.set(config.discovery);
                 node.list_source_moved();
                 if let Some(field) = node.transport().config.changed_restart_only_field(&config) {
-                    tracing::warn!(target: "reload", "{field} is another in the file; it holds from the next start on");
+                    tracing::warn!(
+                        target: "reload",
+                        "{field} is another in the file; it holds from the next start on"
+                    );
                 }
             }
             Err(message) => tracing::warn!(target: "reload", "{message}; the old configuration stays"),
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -175,7 +175,6 @@
     }
 
     /// Closes the idle connections to a server that were last used before `sent`, when an attempt was sent
-
     /// that received nothing.
     pub(crate) fn close_last_used_before(&self, server: ServerId, sent: Instant) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(&server) {
@@ -189,7 +188,6 @@
     }
 
     /// Returns a connection to the pool after a complete response of `body_bytes` bytes of body or chunks, if
-
     /// it can be reused and `current` is still its endpoint. `close_idle_to` does not close a connection that
     /// is in use while the server moves or restarts.
     pub(crate) fn give_back(
@@ -225,7 +223,6 @@
     }
 
     /// Opens a connection, or returns the outcome of the attempt that failed. A lack of descriptors or ports
-
     /// on this node is `NotSent`: it says nothing about the server, and counted as a failed connect it would
     /// eject a healthy one.
     pub(crate) async fn connect(&self, endpoint: Endpoint) -> Result<PooledConnection, Outcome> {
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -43,7 +43,6 @@
 const HEAD_VALID_FOR: Duration = Duration::from_millis(100);
 
 /// Sends one request to a server, with a deadline, and returns the outcome. `current_if_allowed` returns the
-
 /// server's endpoint if the request may still be written to it, and `current` its endpoint if it takes new
 /// work at all. `fresh` asks for a new connection: a probe must tell whether the process accepts connections,
 /// which a pooled one can't.
--- a/crates/http/src/watched_stream.rs
+++ b/crates/http/src/watched_stream.rs
@@ -150,7 +150,6 @@
     }
 
     /// Makes every close of the connection reset it until [`Self::clear_reset_on_close`]. Used where only the
-
     /// end of the connection delimits the message: an orderly close would make a truncated message look
     /// complete.
     pub fn set_reset_on_close(&self) {
@@ -198,6 +197,7 @@
     pub fn phase(&self) -> (ConnectionPhase, Instant) {
         (self.phase.get(), self.phase_since.get())
     }
+
     pub fn enter_phase(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         self.phase_since.set(Instant::now());
@@ -209,7 +209,6 @@
     }
 
     /// Notes that the head of the next request is complete, and returns whether the request's end is
-
     /// unambiguous. A request with both a length and a transfer coding allows request smuggling: what is body
     /// by one of them is the next request by the other. hyper drops a length that follows a transfer coding
     /// before the service sees it.
@@ -297,7 +296,6 @@
     }
 
     /// Returns whether nothing follows what was read last: the last read found nothing, or the kernel says
-
     /// so.
     pub fn has_no_unread_bytes(&self) -> bool {
         self.inner.is_drained() || self.is_quiet()
@@ -326,7 +324,6 @@
     }
 
     /// Returns whether exactly one response was received: a head with a body of `body_len` bytes, or with
-
     /// chunks up to the last one if `chunked`. Surplus bytes would be taken for the response to the next
     /// request.
     pub fn received_exactly(&self, body_len: usize, chunked: bool) -> bool {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reads the settings object that the platform passes to a node, and the simulator to an instance, into the//! policy's [`Settings`] and the values that only a node with sockets needs. Unknown keys are ignored. A
+//! Reads the settings object that the platform passes to a node, and the simulator to an instance, into the
+//! policy's [`Settings`] and the values that only a node with sockets needs. Unknown keys are ignored. A
 //! value that is missing, of another type, out of range or an unknown word is an error that names its path in
 //! the object. There are no defaults, so that no value of one deployment applies to another that does not set
 //! it.
