--- a/crates/policy_change/src/simulation.rs
+++ b/crates/policy_change/src/simulation.rs
@@ -302,7 +302,7 @@
             self.record(i, Event::Final { version });
         }
         // A rejection counts if it reaches the log while the change is in `Voting` and its sender is a
-        // member. It does not count if the sender was cut off before it reached the log and its lease
+        // member. It does not count if its sender was cut off before the log had it and the sender's lease
         // expired.
         let mut state = State::default();
         let log = self.model.log().to_vec();
