--- a/crates/addresses/src/check.rs
+++ b/crates/addresses/src/check.rs
@@ -10,19 +10,19 @@
 use magpietally_transport::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::health::Judgement;
-use crate::rules::{Kind, Rules};
+use crate::health::SiteHealth;
+use crate::rules::{AddressKind, Rules};
 
 /// How often bounds in time are looked at: a fiftieth of the tightest, one second.
-const GRID: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The log's milliseconds are whole, and a rule's least time may be cut by two roundings.
 const ROUNDING: Duration = Duration::from_millis(2);
 
 /// A site as somebody saw it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct SiteStatus {
     /// What it is.
-    pub judgement: Judgement,
+    pub judgement: SiteHealth,
     /// Worth asked for a second.
     pub asked: u64,
     /// Worth a second that it can answer.
@@ -33,7 +33,7 @@
 
 /// What is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Observation {
     /// Rules took hold in the log.
     Rules(Rules),
     /// What a site truly is.
@@ -41,14 +41,14 @@
         /// Which.
         site: Name,
         /// What.
-        seen: Seen,
+        seen: SiteStatus,
     },
     /// What the log says it is.
     Judged {
         /// Which.
         site: Name,
         /// What.
-        seen: Seen,
+        seen: SiteStatus,
     },
     /// The log decided that a site begins or ceases to advertise.
     Decided {
@@ -111,7 +111,7 @@
     /// When, by the checker's clock.
     pub at: Duration,
     /// What.
-    pub what: What,
+    pub what: Observation,
 }
 
 /// Bounds that the rules do not state.
@@ -122,7 +122,7 @@
     /// An exclusive address without an owner at the router, a site being well.
     pub gap: Duration,
     /// An address without a route, a site answering.
-    pub nobody: Duration,
+    pub unrouted: Duration,
     /// A route against the log's decision.
     pub stale: Duration,
 }
@@ -134,7 +134,7 @@
         Self {
             withdraw: Duration::from_secs(1),
             gap: Duration::from_secs(12),
-            nobody: Duration::from_secs(12),
+            unrouted: Duration::from_secs(12),
             stale: Duration::from_millis(2500),
         }
     }
@@ -142,26 +142,27 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct Violation {
     /// Which rule.
     pub rule: String,
     /// When it was seen.
     pub at: Duration,
     /// Of what.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub subject: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at {:?}: {}", self.rule, self.at, self.of)
+        write!(f, "{} at {:?}: {}", self.rule, self.at, self.subject)
     }
 }
 
 /// What a check found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct CheckReport {
     /// The first fault of each rule and thing.
-    pub faults: Vec<Fault>,
+    pub violations: Vec<Violation>,
     /// The longest time an exclusive address had no route after it had its first.
     pub gap: Duration,
     /// Decisions that took a site away.
@@ -170,80 +171,80 @@
     pub routes: usize,
 }
 
-impl Report {
+impl CheckReport {
     /// Whether a rule was broken.
-    pub fn broke(&self, rule: &str) -> bool {
-        self.faults.iter().any(|f| f.rule == rule)
+    pub fn has_violation(&self, rule: &str) -> bool {
+        self.violations.iter().any(|f| f.rule == rule)
     }
 }
 
 #[derive(Default)]
-struct Course {
+struct Checker {
     rules: Rules,
-    truth: BTreeMap<Name, (Seen, Duration)>,
-    judged: BTreeMap<Name, (Seen, Duration)>,
+    truth: BTreeMap<Name, (SiteStatus, Duration)>,
+    judged: BTreeMap<Name, (SiteStatus, Duration)>,
     decided: BTreeMap<String, BTreeSet<Name>>,
     routes: BTreeMap<String, BTreeSet<(Name, u32)>>,
     claims: BTreeMap<String, BTreeSet<u32>>,
-    quiet: Duration,
+    disturbed_until: Duration,
     /// Last withdrawal by (address), deaths aside, and of any kind.
-    withdrawn: BTreeMap<String, Duration>,
-    any_withdrawn: BTreeMap<String, Duration>,
+    settling_from: BTreeMap<String, Duration>,
+    last_withdrawn: BTreeMap<String, Duration>,
     /// Withdrawals by address and site, and the last of them.
     flaps: BTreeMap<(String, Name), (u32, Duration)>,
     /// Since when a bound in time runs, by rule and thing.
-    runs: BTreeMap<(&'static str, String), Duration>,
-    had: BTreeMap<String, Duration>,
+    bound_since: BTreeMap<(&'static str, String), Duration>,
+    last_routed: BTreeMap<String, Duration>,
     stopping: BTreeSet<u32>,
-    told: BTreeSet<(&'static str, String)>,
-    report: Report,
+    reported: BTreeSet<(&'static str, String)>,
+    report: CheckReport,
 }
 
 /// Checks records, in any order but for those of one moment, up to the last of them.
-pub fn check(records: &[Record], bounds: Bounds) -> Report {
+pub fn check(records: &[Record], bounds: Bounds) -> CheckReport {
     let mut order: Vec<&Record> = records.iter().collect();
     // Stable: of one moment they stay as they were recorded.
     order.sort_by_key(|r| r.at);
-    let mut course = Course::default();
+    let mut checker = Checker::default();
     let mut next = Duration::ZERO;
     for record in order {
         while next < record.at {
-            course.look(next, &bounds);
-            next += GRID;
+            checker.check_time_bounds(next, &bounds);
+            next += CHECK_INTERVAL;
         }
-        course.take(record.at, &record.what);
+        checker.apply(record.at, &record.what);
     }
-    course.look(next, &bounds);
-    course.report
+    checker.check_time_bounds(next, &bounds);
+    checker.report
 }
 
-impl Course {
-    fn fault(&mut self, rule: &'static str, at: Duration, of: impl Into<String>) {
-        let of = of.into();
-        if self.told.insert((rule, of.clone())) {
-            self.report.faults.push(Fault { rule: rule.to_owned(), at, of });
+impl Checker {
+    fn violation(&mut self, rule: &'static str, at: Duration, subject: impl Into<String>) {
+        let subject = subject.into();
+        if self.reported.insert((rule, subject.clone())) {
+            self.report.violations.push(Violation { rule: rule.to_owned(), at, subject });
         }
     }
 
-    fn kind(&self, prefix: &str) -> Option<Kind> {
-        self.rules.of(prefix).map(|r| r.kind)
+    fn address_kind(&self, prefix: &str) -> Option<AddressKind> {
+        self.rules.address(prefix).map(|r| r.kind)
     }
 
-    fn seen(&self, site: &Name) -> Seen {
+    fn site_status(&self, site: &Name) -> SiteStatus {
         self.judged.get(site).map(|j| j.0).unwrap_or_default()
     }
 
-    fn take(&mut self, at: Duration, what: &What) {
+    fn apply(&mut self, at: Duration, what: &Observation) {
         match what {
-            What::Rules(rules) => {
+            Observation::Rules(rules) => {
                 self.rules = rules.clone();
-                self.decided.retain(|p, _| rules.of(p).is_some());
+                self.decided.retain(|p, _| rules.address(p).is_some());
             }
-            What::Truth { site, seen } => put(&mut self.truth, at, site, *seen),
-            What::Judged { site, seen } => put(&mut self.judged, at, site, *seen),
-            What::Decided { prefix, site, up: true } => self.up(at, prefix, site),
-            What::Decided { prefix, site, up: false } => self.down(at, prefix, site),
-            What::Route { prefix, site, session, up } => {
+            Observation::Truth { site, seen } => record_health(&mut self.truth, at, site, *seen),
+            Observation::Judged { site, seen } => record_health(&mut self.judged, at, site, *seen),
+            Observation::Decided { prefix, site, up: true } => self.announce(at, prefix, site),
+            Observation::Decided { prefix, site, up: false } => self.withdraw(at, prefix, site),
+            Observation::Route { prefix, site, session, up } => {
                 let routes = self.routes.entry(prefix.clone()).or_default();
                 if !up {
                     routes.remove(&(site.clone(), *session));
@@ -252,11 +253,11 @@
                 routes.insert((site.clone(), *session));
                 self.report.routes += 1;
                 let speakers: BTreeSet<u32> = routes.iter().map(|r| r.1).collect();
-                if speakers.len() > 1 && self.kind(prefix) == Some(Kind::Exclusive) {
-                    self.fault("never-two-owners", at, format!("routes of {prefix}"));
+                if speakers.len() > 1 && self.address_kind(prefix) == Some(AddressKind::Exclusive) {
+                    self.violation("never-two-owners", at, format!("routes of {prefix}"));
                 }
             }
-            What::Claim { prefix, node, up } => {
+            Observation::Claim { prefix, node, up } => {
                 let claims = self.claims.entry(prefix.clone()).or_default();
                 if !up {
                     claims.remove(node);
@@ -264,38 +265,38 @@
                 }
                 claims.insert(*node);
                 if claims.len() > 1 {
-                    self.fault("never-two-owners", at, format!("claims of {prefix}"));
+                    self.violation("never-two-owners", at, format!("claims of {prefix}"));
                 }
             }
-            What::Disturbed { until } => self.quiet = self.quiet.max(*until),
-            What::End => {}
-            What::Stopping { node } => {
+            Observation::Disturbed { until } => self.disturbed_until = self.disturbed_until.max(*until),
+            Observation::End => {}
+            Observation::Stopping { node } => {
                 self.stopping.insert(*node);
             }
-            What::Stopped { node, open } => {
+            Observation::Stopped { node, open } => {
                 if self.stopping.remove(node) && *open > 0 {
-                    self.fault("stop-loses-nothing", at, format!("node {node} ended with {open} open"));
+                    self.violation("stop-loses-nothing", at, format!("node {node} ended with {open} open"));
                 }
             }
-            What::Lost { node } => {
+            Observation::Lost { node } => {
                 if self.stopping.contains(node) {
-                    self.fault("stop-loses-nothing", at, format!("a request of node {node}"));
+                    self.violation("stop-loses-nothing", at, format!("a request of node {node}"));
                 }
             }
         }
     }
 
-    fn up(&mut self, at: Duration, prefix: &str, site: &Name) {
-        let here = self.decided.get(prefix).cloned().unwrap_or_default();
-        let served = here.iter().any(|s| self.seen(s).judgement != Judgement::Dead);
+    fn announce(&mut self, at: Duration, prefix: &str, site: &Name) {
+        let announced = self.decided.get(prefix).cloned().unwrap_or_default();
+        let served = announced.iter().any(|s| self.site_status(s).judgement != SiteHealth::Down);
         if served {
-            let well = match self.judged.get(site) {
-                Some((seen, since)) if seen.judgement == Judgement::Well => at.saturating_sub(*since),
+            let healthy = match self.judged.get(site) {
+                Some((seen, since)) if seen.judgement == SiteHealth::Healthy => at.saturating_sub(*since),
                 _ => Duration::ZERO,
             } + ROUNDING;
             let ms = |n: u64| Duration::from_millis(n);
-            if well < ms(u64::from(self.rules.hold_up)) {
-                self.fault("hold-up", at, format!("{site} for {prefix}"));
+            if healthy < ms(u64::from(self.rules.hold_up)) {
+                self.violation("hold-up", at, format!("{site} for {prefix}"));
             }
             let (flaps, last) =
                 self.flaps.get(&(prefix.to_owned(), site.clone())).copied().unwrap_or_default();
@@ -303,44 +304,44 @@
             let forgiven = ((at - last).as_millis() / calm).min(u128::from(flaps)) as u32;
             let damped = (u64::from(self.rules.hold_up) << (flaps - forgiven).min(16))
                 .min(u64::from(self.rules.hold_up_max));
-            if well < ms(damped) {
-                self.fault("damped", at, format!("{site} for {prefix}"));
+            if healthy < ms(damped) {
+                self.violation("damped", at, format!("{site} for {prefix}"));
             }
         }
         self.decided.entry(prefix.to_owned()).or_default().insert(site.clone());
     }
 
-    fn down(&mut self, at: Duration, prefix: &str, site: &Name) {
+    fn withdraw(&mut self, at: Duration, prefix: &str, site: &Name) {
         self.report.withdrawals += 1;
-        let own = self.seen(site);
-        let kind = self.kind(prefix);
-        let here = self.decided.entry(prefix.to_owned()).or_default();
-        here.remove(site);
-        let here = here.clone();
-        let named = self.rules.of(prefix).is_some_and(|r| r.sites.contains(site));
-        if named && own.judgement != Judgement::Dead {
-            let rest: Vec<Seen> = here.iter().map(|s| self.seen(s)).collect();
+        let status = self.site_status(site);
+        let kind = self.address_kind(prefix);
+        let announced = self.decided.entry(prefix.to_owned()).or_default();
+        announced.remove(site);
+        let announced = announced.clone();
+        let listed = self.rules.address(prefix).is_some_and(|r| r.sites.contains(site));
+        if listed && status.judgement != SiteHealth::Down {
+            let rest: Vec<SiteStatus> = announced.iter().map(|s| self.site_status(s)).collect();
             let spare: u64 = rest
                 .iter()
-                .filter(|s| s.judgement != Judgement::Dead)
+                .filter(|s| s.judgement != SiteHealth::Down)
                 .map(|s| s.capacity.saturating_sub(s.asked))
                 .fold(0, u64::saturating_add);
             // An exclusive address is moved: who takes it is told by the record that follows.
-            if kind == Some(Kind::Shared) {
-                if rest.iter().all(|s| s.judgement == Judgement::Dead) {
-                    self.fault("never-nobody", at, format!("{site} was the last of {prefix}"));
+            if kind == Some(AddressKind::Shared) {
+                if rest.iter().all(|s| s.judgement == SiteHealth::Down) {
+                    self.violation("never-nobody", at, format!("{site} was the last of {prefix}"));
                 }
-                if spare < own.asked && own.share >= self.rules.floor {
-                    self.fault("no-cascade", at, format!("{site} for {prefix}"));
+                if spare < status.asked && status.share >= self.rules.floor {
+                    self.violation("no-cascade", at, format!("{site} for {prefix}"));
                 }
             }
             let settling = Duration::from_millis(u64::from(self.rules.settling));
-            if self.withdrawn.get(prefix).is_some_and(|last| at + ROUNDING < *last + settling) {
-                self.fault("one-a-settling-time", at, format!("{site} for {prefix}"));
+            if self.settling_from.get(prefix).is_some_and(|last| at + ROUNDING < *last + settling) {
+                self.violation("one-a-settling-time", at, format!("{site} for {prefix}"));
             }
-            self.withdrawn.insert(prefix.to_owned(), at);
+            self.settling_from.insert(prefix.to_owned(), at);
         }
-        self.any_withdrawn.insert(prefix.to_owned(), at);
+        self.last_withdrawn.insert(prefix.to_owned(), at);
         let flaps = self.flaps.entry((prefix.to_owned(), site.clone())).or_default();
         // What was forgiven before doesn't count again.
         let calm = u128::from(self.rules.calm.max(1));
@@ -349,10 +350,10 @@
     }
 
     /// Looks at the bounds in time.
-    fn look(&mut self, now: Duration, bounds: &Bounds) {
+    fn check_time_bounds(&mut self, now: Duration, bounds: &Bounds) {
         let rules = self.rules.clone();
         let truth = |site: &Name| self.truth.get(site).copied().unwrap_or_default();
-        let mut holds: Vec<(&'static str, String, Duration)> = Vec::new();
+        let mut bounded: Vec<(&'static str, String, Duration)> = Vec::new();
         let empty = BTreeSet::new();
         let mut gaps = Vec::new();
         for rule in &rules.addresses {
@@ -360,61 +361,66 @@
             let routes = self.routes.get(prefix).unwrap_or(&empty);
             let sites: BTreeSet<&Name> = routes.iter().map(|r| &r.0).collect();
             let settling = Duration::from_millis(u64::from(rules.settling + rules.settling / 50));
-            let settled = self.any_withdrawn.get(prefix).is_none_or(|at| now >= *at + settling);
+            let settled = self.last_withdrawn.get(prefix).is_none_or(|at| now >= *at + settling);
             for site in &sites {
-                let (own, since) = truth(site);
+                let (status, since) = truth(site);
                 let hold_down = Duration::from_millis(u64::from(rules.hold_down));
                 let spare: u64 = sites
                     .iter()
-                    .filter(|s| *s != site && truth(s).0.judgement == Judgement::Well)
+                    .filter(|s| *s != site && truth(s).0.judgement == SiteHealth::Healthy)
                     .map(|s| truth(s).0.capacity.saturating_sub(truth(s).0.asked))
                     .sum();
-                let other = sites.iter().any(|s| s != site && truth(s).0.judgement == Judgement::Well);
-                let may = other && settled && (spare >= own.asked || own.share < rules.floor);
-                let sick = own.judgement != Judgement::Well && now >= since + hold_down;
-                if rule.kind == Kind::Shared && may && sick {
-                    holds.push(("withdraw-in-time", format!("{site} for {prefix}"), bounds.withdraw));
+                let other = sites.iter().any(|s| s != site && truth(s).0.judgement == SiteHealth::Healthy);
+                let can_withdraw = other && settled && (spare >= status.asked || status.share < rules.floor);
+                let degraded = status.judgement != SiteHealth::Healthy && now >= since + hold_down;
+                if rule.kind == AddressKind::Shared && can_withdraw && degraded {
+                    bounded.push(("withdraw-in-time", format!("{site} for {prefix}"), bounds.withdraw));
                 }
                 if !self.decided.get(prefix).is_some_and(|d| d.contains(*site)) {
-                    holds.push(("stale-withdrawn", format!("{site} for {prefix}"), bounds.stale));
+                    bounded.push(("stale-withdrawn", format!("{site} for {prefix}"), bounds.stale));
                 }
             }
-            if sites.is_empty() && rule.sites.iter().any(|s| truth(s).0.judgement != Judgement::Dead) {
-                holds.push(("never-nobody", prefix.clone(), bounds.nobody));
+            if sites.is_empty() && rule.sites.iter().any(|s| truth(s).0.judgement != SiteHealth::Down) {
+                bounded.push(("never-nobody", prefix.clone(), bounds.unrouted));
             }
-            if rule.kind == Kind::Exclusive {
+            if rule.kind == AddressKind::Exclusive {
                 if !sites.is_empty() {
-                    self.had.insert(prefix.clone(), now);
-                } else if let Some(last) = self.had.get(prefix) {
+                    self.last_routed.insert(prefix.clone(), now);
+                } else if let Some(last) = self.last_routed.get(prefix) {
                     gaps.push(now - *last);
-                    if rule.sites.iter().any(|s| truth(s).0.judgement == Judgement::Well) {
-                        holds.push(("gap-bounded", prefix.clone(), bounds.gap));
+                    if rule.sites.iter().any(|s| truth(s).0.judgement == SiteHealth::Healthy) {
+                        bounded.push(("gap-bounded", prefix.clone(), bounds.gap));
                     }
                 }
             }
         }
         self.report.gap = gaps.into_iter().fold(self.report.gap, Duration::max);
-        if now < self.quiet {
-            holds.clear();
+        if now < self.disturbed_until {
+            bounded.clear();
         }
-        let mut runs = BTreeMap::new();
+        let mut bound_since = BTreeMap::new();
         // While something is disturbed no bound runs; after it each begins anew.
-        for (rule, of, bound) in holds {
-            let since = self.runs.get(&(rule, of.clone())).copied().unwrap_or(now);
+        for (rule, subject, bound) in bounded {
+            let since = self.bound_since.get(&(rule, subject.clone())).copied().unwrap_or(now);
             if now > since + bound {
-                self.fault(rule, now, of.clone());
+                self.violation(rule, now, subject.clone());
             }
-            runs.insert((rule, of), since);
+            bound_since.insert((rule, subject), since);
         }
-        self.runs = runs;
+        self.bound_since = bound_since;
     }
 }
 
 /// Puts what a site is, keeping since when it is well or not.
-fn put(to: &mut BTreeMap<Name, (Seen, Duration)>, at: Duration, site: &Name, seen: Seen) {
-    let well = |j: Judgement| j == Judgement::Well;
+fn record_health(
+    to: &mut BTreeMap<Name, (SiteStatus, Duration)>,
+    at: Duration,
+    site: &Name,
+    seen: SiteStatus,
+) {
+    let healthy = |j: SiteHealth| j == SiteHealth::Healthy;
     let since = match to.get(site) {
-        Some((before, since)) if well(before.judgement) == well(seen.judgement) => *since,
+        Some((before, since)) if healthy(before.judgement) == healthy(seen.judgement) => *since,
         _ => at,
     };
     to.insert(site.clone(), (seen, since));
--- a/crates/addresses/src/line.rs
+++ b/crates/addresses/src/route_command.rs
@@ -4,7 +4,7 @@
 
 /// One line, without its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Line {
+pub enum RouteCommand {
     /// The route leads here.
     Announce {
         /// As `192.0.2.10/32`.
@@ -19,7 +19,7 @@
     },
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for RouteCommand {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Announce { prefix, med } => write!(f, "announce route {prefix} next-hop self med {med}"),
@@ -28,7 +28,7 @@
     }
 }
 
-impl Line {
+impl RouteCommand {
     /// Reads a line back; none if it is not one of the two forms.
     pub fn parse(line: &str) -> Option<Self> {
         let words: Vec<&str> = line.split(' ').take(9).collect();
--- a/crates/addresses/src/rules.rs
+++ b/crates/addresses/src/rules.rs
@@ -11,12 +11,12 @@
 /// Sites an address at most; far above what a route's metric can order usefully.
 pub const SITES_MAX: usize = 64;
 /// The longest time a rule may state, in milliseconds (a day): sums of a few stay far inside `u64`.
-const TIME_MAX_MS: u32 = 86_400_000;
+const DURATION_MAX_MS: u32 = 86_400_000;
 
 /// How many sites may advertise at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum AddressKind {
     /// Any number.
     Shared,
     /// At most one, by a lease in the log.
@@ -29,7 +29,7 @@
     /// As `192.0.2.10/32`.
     pub prefix: String,
     /// How many sites at once.
-    pub kind: Kind,
+    pub kind: AddressKind,
     /// The metric said with it: the lower is preferred.
     pub med: u32,
     /// Who may advertise it, the preferred first.
@@ -98,22 +98,22 @@
     /// As `addresses[1].prefix`.
     pub field: String,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 impl fmt::Display for RulesError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.why)
+        write!(f, "{}: {}", self.field, self.reason)
     }
 }
 
 impl std::error::Error for RulesError {}
 
-fn wrong<T>(field: impl Into<String>, why: impl Into<String>) -> Result<T, RulesError> {
-    Err(RulesError { field: field.into(), why: why.into() })
+fn invalid<T>(field: impl Into<String>, reason: impl Into<String>) -> Result<T, RulesError> {
+    Err(RulesError { field: field.into(), reason: reason.into() })
 }
 
-fn prefix_ok(prefix: &str) -> bool {
+fn is_canonical_prefix(prefix: &str) -> bool {
     let Some((ip, length)) = prefix.split_once('/') else { return false };
     let (Ok(ip), Ok(bits)) = (ip.parse::<IpAddr>(), length.parse::<u8>()) else { return false };
     // Only the plain form, so that two texts never mean one prefix.
@@ -122,7 +122,7 @@
 
 impl Rules {
     /// The rule of an address.
-    pub fn of(&self, prefix: &str) -> Option<&AddressRule> {
+    pub fn address(&self, prefix: &str) -> Option<&AddressRule> {
         self.addresses.iter().find(|a| a.prefix == prefix)
     }
 
@@ -130,25 +130,25 @@
     ///
     /// # Errors
     /// The first field that can't, by name.
-    pub fn check(&self) -> Result<(), RulesError> {
+    pub fn validate(&self) -> Result<(), RulesError> {
         if self.addresses.len() > ADDRESSES_MAX {
-            return wrong("addresses", format!("at most {ADDRESSES_MAX}"));
+            return invalid("addresses", format!("at most {ADDRESSES_MAX}"));
         }
         for (i, a) in self.addresses.iter().enumerate() {
-            if !prefix_ok(&a.prefix) {
-                return wrong(format!("addresses[{i}].prefix"), "not a prefix as 192.0.2.10/32");
+            if !is_canonical_prefix(&a.prefix) {
+                return invalid(format!("addresses[{i}].prefix"), "not a prefix as 192.0.2.10/32");
             }
             if self.addresses[..i].iter().any(|b| b.prefix == a.prefix) {
-                return wrong(format!("addresses[{i}].prefix"), "named twice");
+                return invalid(format!("addresses[{i}].prefix"), "named twice");
             }
             if a.sites.is_empty() || a.sites.len() > SITES_MAX {
-                return wrong(format!("addresses[{i}].sites"), format!("from 1 to {SITES_MAX} sites"));
+                return invalid(format!("addresses[{i}].sites"), format!("from 1 to {SITES_MAX} sites"));
             }
             if a.sites.iter().enumerate().any(|(j, s)| s.as_str().is_empty() || a.sites[..j].contains(s)) {
-                return wrong(format!("addresses[{i}].sites"), "an empty name or one named twice");
+                return invalid(format!("addresses[{i}].sites"), "an empty name or one named twice");
             }
         }
-        let times = [
+        let durations = [
             ("hold_down", self.hold_down),
             ("hold_up", self.hold_up),
             ("hold_up_max", self.hold_up_max),
@@ -158,19 +158,19 @@
             ("write", self.write),
             ("keep_shared", self.keep_shared),
         ];
-        for (field, ms) in times {
-            if ms == 0 || ms > TIME_MAX_MS {
-                return wrong(field, format!("from 1 to {TIME_MAX_MS} ms"));
+        for (field, ms) in durations {
+            if ms == 0 || ms > DURATION_MAX_MS {
+                return invalid(field, format!("from 1 to {DURATION_MAX_MS} ms"));
             }
         }
         if self.hold_up_max < self.hold_up {
-            return wrong("hold_up_max", "under hold_up");
+            return invalid("hold_up_max", "under hold_up");
         }
         if self.good > 1000 || self.bad > self.good {
-            return wrong("bad", "over good, or good over 1000");
+            return invalid("bad", "over good, or good over 1000");
         }
         if self.floor > self.bad {
-            return wrong("floor", "over bad");
+            return invalid("floor", "over bad");
         }
         Ok(())
     }
--- a/crates/addresses/src/state.rs
+++ b/crates/addresses/src/state.rs
@@ -7,8 +7,8 @@
 use magpietally_transport::{Name, Peer};
 use serde::{Deserialize, Serialize};
 
-use crate::health::{Figures, Judgement, Sums};
-use crate::rules::{Kind, Rules, ADDRESSES_MAX};
+use crate::health::{NodeMetrics, SiteHealth, SiteMetrics};
+use crate::rules::{AddressKind, Rules, ADDRESSES_MAX};
 
 /// Nodes at most: twice the largest fleet measured.
 const NODES_MAX: usize = 1024;
@@ -17,11 +17,11 @@
 /// Flaps counted at most: 2^16 times any hold-up is past its upper bound.
 const FLAPS_MAX: u32 = 16;
 /// Leases one entry ends, at most: 64 of the longest keys fit a proposal many times.
-pub(crate) const ENDS_MAX: usize = 64;
+pub(crate) const LEASE_ENDS_MAX: usize = 64;
 
 /// What a lease is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Key {
+pub enum LeaseKey {
     /// This node is alive.
     Node(Name),
     /// Its holder speaks for this site.
@@ -32,60 +32,60 @@
 
 /// A node's report. It renews the node's leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct NodeReport {
     /// The sender's number for it, growing within its session.
     pub seq: u64,
     /// Its site.
     pub site: Name,
     /// What it saw.
-    pub figures: Figures,
+    pub metrics: NodeMetrics,
     /// How long its leases last from the asking, in milliseconds.
     pub term_ms: u32,
     /// It asks to speak for its site, or to go on.
-    pub speak: bool,
+    pub wants_speaker: bool,
     /// Exclusive addresses it asks to own, or to go on owning.
-    pub own: Vec<String>,
+    pub wanted_addresses: Vec<String>,
 }
 
 /// The body of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum ProposalBody {
     /// Rules of a later version.
     Rules(u64, Rules),
     /// A node's report.
-    Report(Report),
+    Report(NodeReport),
     /// The sender stops and has withdrawn.
     Leave,
     /// These leases have ended for their holders.
-    End(Vec<(Key, Index)>),
-    /// A site begins or ceases to advertise, if the address is still as it was left at `after`.
-    Decide {
+    EndLeases(Vec<(LeaseKey, Index)>),
+    /// A site begins or ceases to advertise, if the address is still as it was left at `last_change`.
+    ChangeRoute {
         /// The address.
         prefix: String,
         /// The address's last change that the proposer knew.
-        after: Index,
+        last_change: Index,
         /// The site.
         site: Name,
         /// Begins.
-        up: bool,
+        announce: bool,
         /// The site's last turn, to being well or not, that the proposer knew.
-        turn: Index,
+        last_health_change: Index,
         /// The proposer has waited all times that the rules state; if not, it may only be done for an address that nobody
         /// serves, or to a site that is dead.
-        waited: bool,
+        timers_elapsed: bool,
     },
-    /// One flap of a site is forgiven, if the address is still as it was left at `after`.
-    Calm {
+    /// One flap of a site is forgiven, if the address is still as it was left at `last_change`.
+    ForgiveFlap {
         /// The address.
         prefix: String,
         /// The address's last change that the proposer knew.
-        after: Index,
+        last_change: Index,
         /// The site.
         site: Name,
     },
 }
 
-impl Body {
+impl ProposalBody {
     pub(crate) fn encode(&self) -> Vec<u8> {
         // Plain values of bounded lists: postcard has nothing to refuse.
         postcard::to_stdvec(self).unwrap_or_default()
@@ -95,10 +95,13 @@
         let body: Self = postcard::from_bytes(bytes).ok()?;
         let fits = match &body {
             Self::Report(r) => {
-                r.own.len() <= ADDRESSES_MAX && r.term_ms > 0 && r.term_ms <= TERM_MAX_MS && r.seq > 0
+                r.wanted_addresses.len() <= ADDRESSES_MAX
+                    && r.term_ms > 0
+                    && r.term_ms <= TERM_MAX_MS
+                    && r.seq > 0
             }
-            Self::End(ends) => ends.len() <= ENDS_MAX,
-            Self::Rules(_, rules) => rules.check().is_ok(),
+            Self::EndLeases(leases) => leases.len() <= LEASE_ENDS_MAX,
+            Self::Rules(_, rules) => rules.validate().is_ok(),
             _ => true,
         };
         fits.then_some(body)
@@ -107,30 +110,30 @@
 
 /// Who advertises one address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Route {
+pub(crate) struct AddressState {
     pub sites: BTreeSet<Name>,
     /// The entry that last changed it.
-    pub last: Index,
+    pub last_change: Index,
     /// Withdrawals not yet forgiven.
     pub flaps: BTreeMap<Name, u32>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Plain {
+pub(crate) struct ReplicatedState {
     pub version: u64,
     pub rules: Rules,
-    pub nodes: BTreeMap<Name, (Name, Figures)>,
-    pub judged: BTreeMap<Name, Judgement>,
+    pub nodes: BTreeMap<Name, (Name, NodeMetrics)>,
+    pub health: BTreeMap<Name, SiteHealth>,
     /// The entry at which a site last turned to being well or not.
-    pub turned: BTreeMap<Name, Index>,
-    pub routes: BTreeMap<String, Route>,
+    pub health_changed_at: BTreeMap<Name, Index>,
+    pub routes: BTreeMap<String, AddressState>,
 }
 
 /// The state at some entry: the same at every node. Only [`Leases`] holds, beside it, when this node learnt.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    pub(crate) plain: Plain,
-    pub(crate) leases: Leases<Key>,
+    pub(crate) replicated: ReplicatedState,
+    pub(crate) leases: Leases<LeaseKey>,
 }
 
 /// What an entry did that a node counts time from.
@@ -143,97 +146,112 @@
     /// A report of this number was taken.
     pub report: Option<u64>,
     /// The rules changed.
-    pub rules: bool,
+    pub rules_changed: bool,
 }
 
 impl State {
     /// The snapshot's bytes.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(&(&self.plain, self.leases.grants())).unwrap_or_default()
+        postcard::to_stdvec(&(&self.replicated, self.leases.grants())).unwrap_or_default()
     }
 
     /// A snapshot, its leases learnt at `now`.
     pub(crate) fn decode(bytes: &[u8], now: Duration) -> Result<Self, String> {
-        let (plain, grants): (Plain, BTreeMap<Key, Grant>) =
+        let (replicated, grants): (ReplicatedState, BTreeMap<LeaseKey, Grant>) =
             postcard::from_bytes(bytes).map_err(|e| e.to_string())?;
-        plain.rules.check().map_err(|e| e.to_string())?;
-        Ok(Self { plain, leases: Leases::restored(grants, now) })
+        replicated.rules.validate().map_err(|e| e.to_string())?;
+        Ok(Self { replicated, leases: Leases::restored(grants, now) })
     }
 
     /// The rules and their version.
     pub fn rules(&self) -> (u64, &Rules) {
-        (self.plain.version, &self.plain.rules)
+        (self.replicated.version, &self.replicated.rules)
     }
 
     /// Who holds a lease.
-    pub fn holder(&self, key: &Key) -> Option<&Peer> {
+    pub fn holder(&self, key: &LeaseKey) -> Option<&Peer> {
         self.leases.get(key).map(|g| &g.holder)
     }
 
     /// The sites that advertise an address.
     pub fn sites(&self, prefix: &str) -> impl Iterator<Item = &Name> {
-        self.plain.routes.get(prefix).into_iter().flat_map(|r| r.sites.iter())
+        self.replicated.routes.get(prefix).into_iter().flat_map(|r| r.sites.iter())
     }
 
     /// What a site is.
-    pub fn judged(&self, site: &Name) -> Judgement {
-        self.plain.judged.get(site).copied().unwrap_or_default()
+    pub fn health(&self, site: &Name) -> SiteHealth {
+        self.replicated.health.get(site).copied().unwrap_or_default()
     }
 
     /// The sums over a site's live nodes.
-    pub fn sums(&self, site: &Name) -> Sums {
-        let mut sums = Sums::default();
-        self.plain.nodes.values().filter(|(s, _)| s == site).for_each(|(_, f)| sums.add(f));
-        sums
+    pub fn site_metrics(&self, site: &Name) -> SiteMetrics {
+        let mut metrics = SiteMetrics::default();
+        self.replicated.nodes.values().filter(|(s, _)| s == site).for_each(|(_, f)| metrics.add(f));
+        metrics
     }
 
     /// The live nodes of a site in the order in which they speak.
-    pub fn order<'a>(&'a self, site: &'a Name) -> impl Iterator<Item = &'a Name> {
-        self.plain.nodes.iter().filter(move |(_, (s, _))| s == site).map(|(n, _)| n)
+    pub fn speaker_order<'a>(&'a self, site: &'a Name) -> impl Iterator<Item = &'a Name> {
+        self.replicated.nodes.iter().filter(move |(_, (s, _))| s == site).map(|(n, _)| n)
     }
 
     pub(crate) fn apply(&mut self, now: Duration, decided: &DecidedEntry) -> Effect {
-        let Some(body) = Body::decode(&decided.proposal.body) else { return Effect::default() };
-        let by = &decided.proposal.proposer;
+        let Some(body) = ProposalBody::decode(&decided.proposal.body) else { return Effect::default() };
+        let proposer = &decided.proposal.proposer;
         let mut effect = Effect::default();
         match body {
-            Body::Rules(version, rules) => {
-                if version > self.plain.version {
-                    (self.plain.version, self.plain.rules) = (version, rules);
-                    let rules = &self.plain.rules;
-                    self.plain.routes.retain(|prefix, _| rules.of(prefix).is_some());
-                    let sites: Vec<Name> = self.plain.judged.keys().cloned().collect();
-                    sites.iter().for_each(|site| self.judge(decided.index, site));
-                    effect.rules = true;
+            ProposalBody::Rules(version, rules) => {
+                if version > self.replicated.version {
+                    (self.replicated.version, self.replicated.rules) = (version, rules);
+                    let rules = &self.replicated.rules;
+                    self.replicated.routes.retain(|prefix, _| rules.address(prefix).is_some());
+                    let sites: Vec<Name> = self.replicated.health.keys().cloned().collect();
+                    sites.iter().for_each(|site| self.update_health(decided.index, site));
+                    effect.rules_changed = true;
                 }
             }
-            Body::Report(report) => {
+            ProposalBody::Report(report) => {
                 let seq = report.seq;
-                effect.report = self.report(now, decided.index, by, report).then_some(seq);
+                effect.report = self.apply_report(now, decided.index, proposer, report).then_some(seq);
             }
-            Body::Leave => {
+            ProposalBody::Leave => {
                 // What it owns lapses by itself: the router may still be reading its last lines.
-                let site = self.plain.nodes.get(&by.name).map(|(s, _)| s.clone());
-                self.end_if_held(decided.index, &Key::Node(by.name.clone()), by);
+                let site = self.replicated.nodes.get(&proposer.name).map(|(s, _)| s.clone());
+                self.end_lease_held_by(decided.index, &LeaseKey::Node(proposer.name.clone()), proposer);
                 if let Some(site) = site {
-                    self.end_if_held(decided.index, &Key::Speaker(site), by);
+                    self.end_lease_held_by(decided.index, &LeaseKey::Speaker(site), proposer);
                 }
             }
-            Body::End(ends) => ends.iter().for_each(|(key, grant)| self.end(decided.index, key, *grant)),
-            Body::Decide { prefix, after, site, up, turn, waited } => {
-                let known = self.last(&prefix) == after && self.turned(&site) == turn;
-                if known && self.may(&prefix, &site, up) && (waited || self.free(&prefix, &site, up)) {
-                    effect = self.decide(decided.index, prefix, site, up);
+            ProposalBody::EndLeases(leases) => {
+                leases.iter().for_each(|(key, grant)| self.end_lease(decided.index, key, *grant))
+            }
+            ProposalBody::ChangeRoute {
+                prefix,
+                last_change,
+                site,
+                announce,
+                last_health_change,
+                timers_elapsed,
+            } => {
+                let is_current = self.last_change(&prefix) == last_change
+                    && self.last_health_change(&site) == last_health_change;
+                if is_current
+                    && self.is_allowed(&prefix, &site, announce)
+                    && (timers_elapsed || self.needs_no_wait(&prefix, &site, announce))
+                {
+                    effect = self.change_route(decided.index, prefix, site, announce);
                 }
             }
-            Body::Calm { prefix, after, site } => {
-                if let Some(route) = self.plain.routes.get_mut(&prefix).filter(|r| r.last == after) {
+            ProposalBody::ForgiveFlap { prefix, last_change, site } => {
+                if let Some(route) =
+                    self.replicated.routes.get_mut(&prefix).filter(|r| r.last_change == last_change)
+                {
                     if let Some(flaps) = route.flaps.get_mut(&site) {
                         *flaps -= 1;
                         if *flaps == 0 {
                             route.flaps.remove(&site);
                         }
-                        route.last = decided.index;
+                        route.last_change = decided.index;
                         effect.changed = Some(prefix);
                     }
                 }
@@ -242,160 +260,171 @@
         effect
     }
 
-    fn report(&mut self, now: Duration, index: Index, by: &Peer, report: Report) -> bool {
-        let alive = Key::Node(by.name.clone());
-        match self.leases.get(&alive) {
+    fn apply_report(&mut self, now: Duration, index: Index, proposer: &Peer, report: NodeReport) -> bool {
+        let node_key = LeaseKey::Node(proposer.name.clone());
+        match self.leases.get(&node_key) {
             // An earlier start of the same node says nothing any more.
-            Some(g) if g.holder.session > by.session => return false,
-            None if self.plain.nodes.len() >= NODES_MAX => return false,
+            Some(g) if g.holder.session > proposer.session => return false,
+            None if self.replicated.nodes.len() >= NODES_MAX => return false,
             _ => {}
         }
-        let grant = Grant { holder: by.clone(), index, term_ms: report.term_ms };
-        self.leases.grant(now, alive, grant.clone());
-        let free = |leases: &Leases<Key>, key: &Key| leases.get(key).is_none_or(|g| g.holder == *by);
-        let speaker = Key::Speaker(report.site.clone());
-        if report.speak && free(&self.leases, &speaker) {
-            self.leases.grant(now, speaker, grant.clone());
-            for prefix in report.own {
-                let allowed = self.plain.rules.of(&prefix).is_some_and(|r| r.kind == Kind::Exclusive)
-                    && self.plain.routes.get(&prefix).is_some_and(|r| r.sites.contains(&report.site));
-                let owner = Key::Owner(prefix);
-                if allowed && free(&self.leases, &owner) {
-                    self.leases.grant(now, owner, grant.clone());
+        let grant = Grant { holder: proposer.clone(), index, term_ms: report.term_ms };
+        self.leases.grant(now, node_key, grant.clone());
+        let is_available =
+            |leases: &Leases<LeaseKey>, key: &LeaseKey| leases.get(key).is_none_or(|g| g.holder == *proposer);
+        let speaker_key = LeaseKey::Speaker(report.site.clone());
+        if report.wants_speaker && is_available(&self.leases, &speaker_key) {
+            self.leases.grant(now, speaker_key, grant.clone());
+            for prefix in report.wanted_addresses {
+                let allowed = self
+                    .replicated
+                    .rules
+                    .address(&prefix)
+                    .is_some_and(|r| r.kind == AddressKind::Exclusive)
+                    && self.replicated.routes.get(&prefix).is_some_and(|r| r.sites.contains(&report.site));
+                let owner_key = LeaseKey::Owner(prefix);
+                if allowed && is_available(&self.leases, &owner_key) {
+                    self.leases.grant(now, owner_key, grant.clone());
                 }
             }
         }
-        let before = self.plain.nodes.insert(by.name.clone(), (report.site.clone(), report.figures));
-        if let Some((site, _)) = before.filter(|(s, _)| *s != report.site) {
-            self.judge(index, &site);
+        let previous =
+            self.replicated.nodes.insert(proposer.name.clone(), (report.site.clone(), report.metrics));
+        if let Some((site, _)) = previous.filter(|(s, _)| *s != report.site) {
+            self.update_health(index, &site);
         }
-        self.judge(index, &report.site);
+        self.update_health(index, &report.site);
         true
     }
 
-    fn end_if_held(&mut self, at: Index, key: &Key, by: &Peer) {
-        if let Some(index) = self.leases.get(key).filter(|g| g.holder == *by).map(|g| g.index) {
-            self.end(at, key, index);
+    fn end_lease_held_by(&mut self, at: Index, key: &LeaseKey, proposer: &Peer) {
+        if let Some(index) = self.leases.get(key).filter(|g| g.holder == *proposer).map(|g| g.index) {
+            self.end_lease(at, key, index);
         }
     }
 
-    fn end(&mut self, at: Index, key: &Key, grant: Index) {
+    fn end_lease(&mut self, at: Index, key: &LeaseKey, grant: Index) {
         if self.leases.end(key, grant) {
-            if let Key::Node(name) = key {
-                if let Some((site, _)) = self.plain.nodes.remove(name) {
-                    self.judge(at, &site);
+            if let LeaseKey::Node(name) = key {
+                if let Some((site, _)) = self.replicated.nodes.remove(name) {
+                    self.update_health(at, &site);
                 }
             }
         }
     }
 
-    fn judge(&mut self, at: Index, site: &Name) {
-        let sums = self.sums(site);
-        let before = self.judged(site);
-        let judgement = sums.judge(&self.plain.rules, before);
-        if (before == Judgement::Well) != (judgement == Judgement::Well) {
-            self.plain.turned.insert(site.clone(), at);
+    fn update_health(&mut self, at: Index, site: &Name) {
+        let metrics = self.site_metrics(site);
+        let previous = self.health(site);
+        let health = metrics.evaluate(&self.replicated.rules, previous);
+        if (previous == SiteHealth::Healthy) != (health == SiteHealth::Healthy) {
+            self.replicated.health_changed_at.insert(site.clone(), at);
         }
-        if sums.nodes == 0 {
+        if metrics.nodes == 0 {
             // None is the same as dead, and sites without nodes take no room.
-            self.plain.judged.remove(site);
-            self.plain.turned.remove(site);
+            self.replicated.health.remove(site);
+            self.replicated.health_changed_at.remove(site);
         } else {
-            self.plain.judged.insert(site.clone(), judgement);
+            self.replicated.health.insert(site.clone(), health);
         }
     }
 
-    pub(crate) fn last(&self, prefix: &str) -> Index {
-        self.plain.routes.get(prefix).map(|r| r.last).unwrap_or_default()
+    pub(crate) fn last_change(&self, prefix: &str) -> Index {
+        self.replicated.routes.get(prefix).map(|r| r.last_change).unwrap_or_default()
     }
 
     pub(crate) fn flaps(&self, prefix: &str, site: &Name) -> u32 {
-        self.plain.routes.get(prefix).and_then(|r| r.flaps.get(site)).copied().unwrap_or_default()
+        self.replicated.routes.get(prefix).and_then(|r| r.flaps.get(site)).copied().unwrap_or_default()
     }
 
-    pub(crate) fn turned(&self, site: &Name) -> Index {
-        self.plain.turned.get(site).copied().unwrap_or_default()
+    pub(crate) fn last_health_change(&self, site: &Name) -> Index {
+        self.replicated.health_changed_at.get(site).copied().unwrap_or_default()
     }
 
     /// Whether a change that is allowed needs no waiting: nobody serves the address, or it loses a site that is dead or
     /// not named any more. Asked again when the entry is applied: a dead site may be back by then.
-    pub(crate) fn free(&self, prefix: &str, site: &Name, up: bool) -> bool {
-        let named = |s: &Name| self.plain.rules.of(prefix).is_some_and(|r| r.sites.contains(s));
-        if up {
-            !self.sites(prefix).any(|s| named(s) && self.judged(s) != Judgement::Dead)
+    pub(crate) fn needs_no_wait(&self, prefix: &str, site: &Name, announce: bool) -> bool {
+        let listed = |s: &Name| self.replicated.rules.address(prefix).is_some_and(|r| r.sites.contains(s));
+        if announce {
+            !self.sites(prefix).any(|s| listed(s) && self.health(s) != SiteHealth::Down)
         } else {
-            !named(site) || self.judged(site) == Judgement::Dead
+            !listed(site) || self.health(site) == SiteHealth::Down
         }
     }
 
     /// Whether the rules that need no clock allow it: never nobody, no cascade, one owner.
-    pub(crate) fn may(&self, prefix: &str, site: &Name, up: bool) -> bool {
-        let Some(rule) = self.plain.rules.of(prefix) else { return false };
-        let named = rule.sites.contains(site);
-        let here: Vec<&Name> = self.sites(prefix).collect();
-        let is = here.contains(&site);
-        let judged = self.judged(site);
-        if up {
-            if is || !named || judged == Judgement::Dead {
+    pub(crate) fn is_allowed(&self, prefix: &str, site: &Name, announce: bool) -> bool {
+        let Some(rule) = self.replicated.rules.address(prefix) else { return false };
+        let listed = rule.sites.contains(site);
+        let current: Vec<&Name> = self.sites(prefix).collect();
+        let announced = current.contains(&site);
+        let health = self.health(site);
+        if announce {
+            if announced || !listed || health == SiteHealth::Down {
                 return false;
             }
-            let well = judged == Judgement::Well;
-            let any_well = rule.sites.iter().any(|s| self.judged(s) == Judgement::Well);
-            let serves = here.iter().any(|s| self.judged(s) != Judgement::Dead);
-            return match (rule.kind, here.first()) {
+            let healthy = health == SiteHealth::Healthy;
+            let any_healthy = rule.sites.iter().any(|s| self.health(s) == SiteHealth::Healthy);
+            let served = current.iter().any(|s| self.health(s) != SiteHealth::Down);
+            return match (rule.kind, current.first()) {
                 // Nobody serves it: the best there is, at once.
-                _ if !serves => well || !any_well,
-                (Kind::Shared, _) => well,
-                (Kind::Exclusive, None) => well,
-                (Kind::Exclusive, Some(owner)) => {
+                _ if !served => healthy || !any_healthy,
+                (AddressKind::Shared, _) => healthy,
+                (AddressKind::Exclusive, None) => healthy,
+                (AddressKind::Exclusive, Some(owner)) => {
                     !rule.sites.contains(owner)
-                        || (well && self.judged(owner) == Judgement::Sick && self.bears(&[site], owner))
+                        || (healthy
+                            && self.health(owner) == SiteHealth::Degraded
+                            && self.can_absorb(&[site], owner))
                 }
             };
         }
-        if !is {
+        if !announced {
             return false;
         }
-        if !named {
+        if !listed {
             return true;
         }
-        match judged {
-            Judgement::Well => false,
-            Judgement::Dead => true,
-            Judgement::Sick if rule.kind == Kind::Exclusive => false,
-            Judgement::Sick => {
-                let rest: Vec<&Name> =
-                    here.into_iter().filter(|s| *s != site && self.judged(s) != Judgement::Dead).collect();
-                let rank = |s: &Name| (self.judged(s), self.sums(s).share(), s.clone());
-                let own = rank(site);
-                rest.iter().any(|s| rank(s) > own) && self.bears(&rest, site)
+        match health {
+            SiteHealth::Healthy => false,
+            SiteHealth::Down => true,
+            SiteHealth::Degraded if rule.kind == AddressKind::Exclusive => false,
+            SiteHealth::Degraded => {
+                let rest: Vec<&Name> = current
+                    .into_iter()
+                    .filter(|s| *s != site && self.health(s) != SiteHealth::Down)
+                    .collect();
+                let rank = |s: &Name| (self.health(s), self.site_metrics(s).answered_permille(), s.clone());
+                let own_rank = rank(site);
+                rest.iter().any(|s| rank(s) > own_rank) && self.can_absorb(&rest, site)
             }
         }
     }
 
     /// Whether `rest` can bear what is asked of `site`, or it serves so little that it makes no difference.
-    fn bears(&self, rest: &[&Name], site: &Name) -> bool {
-        let sums = self.sums(site);
-        let spare = rest.iter().fold(0u64, |n, s| n.saturating_add(self.sums(s).spare()));
-        spare >= sums.asked || sums.share() < self.plain.rules.floor
+    fn can_absorb(&self, rest: &[&Name], site: &Name) -> bool {
+        let metrics = self.site_metrics(site);
+        let spare = rest.iter().fold(0u64, |n, s| n.saturating_add(self.site_metrics(s).spare_capacity()));
+        spare >= metrics.requested_worth || metrics.answered_permille() < self.replicated.rules.floor
     }
 
-    fn decide(&mut self, index: Index, prefix: String, site: Name, up: bool) -> Effect {
-        let exclusive = self.plain.rules.of(&prefix).is_some_and(|r| r.kind == Kind::Exclusive);
-        let route = self.plain.routes.entry(prefix.clone()).or_default();
-        route.last = index;
-        let mut lost = Vec::new();
-        if up {
+    fn change_route(&mut self, index: Index, prefix: String, site: Name, announce: bool) -> Effect {
+        let exclusive =
+            self.replicated.rules.address(&prefix).is_some_and(|r| r.kind == AddressKind::Exclusive);
+        let route = self.replicated.routes.entry(prefix.clone()).or_default();
+        route.last_change = index;
+        let mut withdrawn_sites = Vec::new();
+        if announce {
             if exclusive {
-                lost.extend(std::mem::take(&mut route.sites));
+                withdrawn_sites.extend(std::mem::take(&mut route.sites));
             }
             route.sites.insert(site);
         } else {
             route.sites.remove(&site);
-            lost.push(site);
+            withdrawn_sites.push(site);
         }
-        let withdrawn = (!lost.is_empty()).then(|| prefix.clone());
-        for site in lost {
+        let withdrawn = (!withdrawn_sites.is_empty()).then(|| prefix.clone());
+        for site in withdrawn_sites {
             let flaps = route.flaps.entry(site).or_default();
             *flaps = (*flaps + 1).min(FLAPS_MAX);
         }
