--- a/crates/addresses/examples/measure.rs
+++ b/crates/addresses/examples/measure.rs
@@ -1,4 +1,5 @@
-//! Measures the room in virtual time: `measure 10 100` for so many nodes in 3 sites.
+//! Measures the protocol in virtual time. `measure 10 100` runs it with 10 and then with 100 nodes in 3
+//! sites.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -9,7 +10,7 @@
 use magpietally_addresses::InjectedFault;
 use magpietally_consensus::model::Faults;
 
-/// What takes the owner's speaker away.
+/// How the owner's speaker fails.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     Kill,
@@ -23,7 +24,7 @@
     w
 }
 
-/// From the moment that the speaker is lost: how long the address leads nowhere, all in all, until it leads somewhere for good.
+/// How long the exclusive address has no route after its owner's speaker fails.
 fn route_gap(seed: u64, nodes: usize, failure: Failure) -> Option<Duration> {
     let mut w = world(seed, nodes);
     let owner = w.owner_site().and_then(|s| w.speaker(s))?;
@@ -51,7 +52,7 @@
     some.sort_by(f64::total_cmp);
     match (some.len() == all.len(), some.first(), some.last()) {
         (true, Some(low), Some(high)) => format!("{low:.2} to {high:.2}"),
-        _ => "not all came".into(),
+        _ => "some runs did not finish".into(),
     }
 }
 
--- a/crates/addresses/src/check.rs
+++ b/crates/addresses/src/check.rs
@@ -1,7 +1,7 @@
-//! Checks records of routers, nodes and the log, all on one clock, against what was promised.
+//! Checks the records of routers, nodes and the log, all on one clock, against the protocol's guarantees.
 //!
-//! Claims and decisions are checked record by record. Bounds in time are looked at on a grid of 20 ms, which may find a fault
-//! that much too late, and never one that is none.
+//! Claims and decisions are checked record by record. Time bounds are checked every 20 ms: a violation may be
+//! found that much late, and no false violation is reported.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -13,123 +13,125 @@
 use crate::health::SiteHealth;
 use crate::rules::{AddressKind, Rules};
 
-/// How often bounds in time are looked at: a fiftieth of the tightest, one second.
+/// Interval at which time bounds are checked: a fiftieth of the tightest bound, one second.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The log's milliseconds are whole, and a rule's least time may be cut by two roundings.
+/// The log counts whole milliseconds, so two roundings may shorten a minimum time of the rules.
 const ROUNDING: Duration = Duration::from_millis(2);
 
-/// A site as somebody saw it.
+/// A site's health and load, as observed by the source of a record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteStatus {
-    /// What it is.
+    /// Health of the site.
     pub judgement: SiteHealth,
-    /// Worth asked for a second.
+    /// Worth of the requests, per second.
     pub asked: u64,
-    /// Worth a second that it can answer.
+    /// Capacity, in worth per second.
     pub capacity: u64,
-    /// Answered of asked, in thousandths.
+    /// Answered share of the requested worth, in thousandths.
     pub share: u32,
 }
 
-/// What is recorded.
+/// A recorded event or state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// Rules took hold in the log.
+    /// Rules took effect in the log.
     Rules(Rules),
-    /// What a site truly is.
+    /// The actual status of a site.
     Truth {
-        /// Which.
+        /// The site.
         site: Name,
-        /// What.
+        /// Its status.
         seen: SiteStatus,
     },
-    /// What the log says it is.
+    /// The status of a site according to the log.
     Judged {
-        /// Which.
+        /// The site.
         site: Name,
-        /// What.
+        /// Its status.
         seen: SiteStatus,
     },
-    /// The log decided that a site begins or ceases to advertise.
+    /// The log decided that a site starts or stops advertising an address.
     Decided {
         /// The address.
         prefix: String,
         /// The site.
         site: Name,
-        /// Begins.
+        /// Whether the site starts advertising.
         up: bool,
     },
-    /// A router's route came or went.
+    /// A route was added to or removed from a router.
     Route {
         /// The address.
         prefix: String,
-        /// Where it leads.
+        /// The site to which it leads.
         site: Name,
-        /// By which end it was said.
+        /// The session on which it was announced.
         session: u32,
-        /// Came.
+        /// Whether the route was added.
         up: bool,
     },
-    /// A node says of itself that it owns an exclusive address, or no more.
+    /// A node starts or stops considering itself the owner of an exclusive address.
     Claim {
         /// The address.
         prefix: String,
         /// The node.
         node: u32,
-        /// It does.
+        /// Whether it starts.
         up: bool,
     },
-    /// Until then something is cut, stopped, killed or without a leader: bounds in time do not hold.
+    /// A fault lasts until the given time (an isolated, paused or killed node, no leader): time bounds do not
+    /// apply.
     Disturbed {
-        /// Until when.
+        /// End of the disturbance.
         until: Duration,
     },
     /// A planned stop of a node began.
     Stopping {
-        /// Which.
+        /// The node.
         node: u32,
     },
-    /// A node ended with so many requests open.
+    /// A node exited.
     Stopped {
-        /// Which.
+        /// The node.
         node: u32,
-        /// How many.
+        /// Number of requests that were open.
         open: u64,
     },
-    /// Nothing was recorded until here: bounds in time are held up to the last record.
+    /// End of the recording: time bounds are checked up to the last record.
     End,
-    /// A request that a node took was lost.
+    /// A request that a node had accepted was lost.
     Lost {
-        /// Which.
+        /// The node.
         node: u32,
     },
 }
 
-/// One record.
+/// One timestamped observation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the checker's clock.
+    /// Time on the checker's clock.
     pub at: Duration,
-    /// What.
+    /// The observation.
     pub what: Observation,
 }
 
-/// Bounds that the rules do not state.
+/// Time bounds that the rules do not specify.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From the hold-down's end to the router's withdrawal.
+    /// Maximum time from the end of the hold-down to the withdrawal at the router.
     pub withdraw: Duration,
-    /// An exclusive address without an owner at the router, a site being well.
+    /// Maximum time that an exclusive address has no route while a site is healthy.
     pub gap: Duration,
-    /// An address without a route, a site answering.
+    /// Maximum time that an address has no route while some site answers requests.
     pub unrouted: Duration,
-    /// A route against the log's decision.
+    /// Maximum time that a route contradicts the log's decision.
     pub stale: Duration,
 }
 
 impl Default for Bounds {
-    /// One second for withdrawing, by the promise. A gap: two leases of 5.07 s (speaker's and owner's run together, a third
-    /// for retries), 12 s in all; the same for nobody. Stale: the router's hold and a second.
+    /// Withdrawal: the guaranteed second. Gap: 12 s, for two leases of 5.07 s (those of the speaker and of
+    /// the owner run concurrently) and retries; the same for an address without a route. Stale: the router's
+    /// hold time plus a second.
     fn default() -> Self {
         Self {
             withdraw: Duration::from_secs(1),
@@ -140,14 +142,14 @@
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which rule.
+    /// Name of the rule.
     pub rule: String,
-    /// When it was seen.
+    /// Time at which it was found.
     pub at: Duration,
-    /// Of what.
+    /// The address, site or node concerned.
     #[serde(rename = "of")]
     pub subject: String,
 }
@@ -158,21 +160,21 @@
     }
 }
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CheckReport {
-    /// The first fault of each rule and thing.
+    /// The first violation of each rule per subject.
     pub violations: Vec<Violation>,
-    /// The longest time an exclusive address had no route after it had its first.
+    /// The longest time that an exclusive address had no route after its first one.
     pub gap: Duration,
-    /// Decisions that took a site away.
+    /// Number of decisions that withdrew a site.
     pub withdrawals: usize,
-    /// Routes that came up.
+    /// Number of routes added.
     pub routes: usize,
 }
 
 impl CheckReport {
-    /// Whether a rule was broken.
+    /// Returns whether a rule was violated.
     pub fn has_violation(&self, rule: &str) -> bool {
         self.violations.iter().any(|f| f.rule == rule)
     }
@@ -187,12 +189,13 @@
     routes: BTreeMap<String, BTreeSet<(Name, u32)>>,
     claims: BTreeMap<String, BTreeSet<u32>>,
     disturbed_until: Duration,
-    /// Last withdrawal by (address), deaths aside, and of any kind.
+    /// Last withdrawal by address, apart from sites that were down or no longer listed; `last_withdrawn` has
+    /// all of them.
     settling_from: BTreeMap<String, Duration>,
     last_withdrawn: BTreeMap<String, Duration>,
-    /// Withdrawals by address and site, and the last of them.
+    /// Number of withdrawals by address and site, and the time of the last one.
     flaps: BTreeMap<(String, Name), (u32, Duration)>,
-    /// Since when a bound in time runs, by rule and thing.
+    /// Start of each running time bound, by rule and subject.
     bound_since: BTreeMap<(&'static str, String), Duration>,
     last_routed: BTreeMap<String, Duration>,
     stopping: BTreeSet<u32>,
@@ -200,10 +203,11 @@
     report: CheckReport,
 }
 
-/// Checks records, in any order but for those of one moment, up to the last of them.
+/// Checks records up to the last of them. They may come in any order, except that records of the same time
+/// have to be in the order in which they occurred.
 pub fn check(records: &[Record], bounds: Bounds) -> CheckReport {
     let mut order: Vec<&Record> = records.iter().collect();
-    // Stable: of one moment they stay as they were recorded.
+    // A stable sort keeps the order of records of the same time.
     order.sort_by_key(|r| r.at);
     let mut checker = Checker::default();
     let mut next = Duration::ZERO;
@@ -219,7 +223,7 @@
 }
 
 impl Checker {
-    fn violation(&mut self, rule: &'static str, at: Duration, subject: impl Into<String>) {
+    fn report_violation(&mut self, rule: &'static str, at: Duration, subject: impl Into<String>) {
         let subject = subject.into();
         if self.reported.insert((rule, subject.clone())) {
             self.report.violations.push(Violation { rule: rule.to_owned(), at, subject });
@@ -254,7 +258,7 @@
                 self.report.routes += 1;
                 let speakers: BTreeSet<u32> = routes.iter().map(|r| r.1).collect();
                 if speakers.len() > 1 && self.address_kind(prefix) == Some(AddressKind::Exclusive) {
-                    self.violation("never-two-owners", at, format!("routes of {prefix}"));
+                    self.report_violation("never-two-owners", at, format!("routes of {prefix}"));
                 }
             }
             Observation::Claim { prefix, node, up } => {
@@ -265,7 +269,7 @@
                 }
                 claims.insert(*node);
                 if claims.len() > 1 {
-                    self.violation("never-two-owners", at, format!("claims of {prefix}"));
+                    self.report_violation("never-two-owners", at, format!("claims of {prefix}"));
                 }
             }
             Observation::Disturbed { until } => self.disturbed_until = self.disturbed_until.max(*until),
@@ -275,12 +279,16 @@
             }
             Observation::Stopped { node, open } => {
                 if self.stopping.remove(node) && *open > 0 {
-                    self.violation("stop-loses-nothing", at, format!("node {node} ended with {open} open"));
+                    self.report_violation(
+                        "stop-loses-nothing",
+                        at,
+                        format!("node {node} ended with {open} open"),
+                    );
                 }
             }
             Observation::Lost { node } => {
                 if self.stopping.contains(node) {
-                    self.violation("stop-loses-nothing", at, format!("a request of node {node}"));
+                    self.report_violation("stop-loses-nothing", at, format!("a request of node {node}"));
                 }
             }
         }
@@ -296,7 +304,7 @@
             } + ROUNDING;
             let ms = |n: u64| Duration::from_millis(n);
             if healthy < ms(u64::from(self.rules.hold_up)) {
-                self.violation("hold-up", at, format!("{site} for {prefix}"));
+                self.report_violation("hold-up", at, format!("{site} for {prefix}"));
             }
             let (flaps, last) =
                 self.flaps.get(&(prefix.to_owned(), site.clone())).copied().unwrap_or_default();
@@ -305,7 +313,7 @@
             let damped = (u64::from(self.rules.hold_up) << (flaps - forgiven).min(16))
                 .min(u64::from(self.rules.hold_up_max));
             if healthy < ms(damped) {
-                self.violation("damped", at, format!("{site} for {prefix}"));
+                self.report_violation("damped", at, format!("{site} for {prefix}"));
             }
         }
         self.decided.entry(prefix.to_owned()).or_default().insert(site.clone());
@@ -326,30 +334,30 @@
                 .filter(|s| s.judgement != SiteHealth::Down)
                 .map(|s| s.capacity.saturating_sub(s.asked))
                 .fold(0, u64::saturating_add);
-            // An exclusive address is moved: who takes it is told by the record that follows.
+            // An exclusive address is being moved; the next record names the new owner.
             if kind == Some(AddressKind::Shared) {
                 if rest.iter().all(|s| s.judgement == SiteHealth::Down) {
-                    self.violation("never-nobody", at, format!("{site} was the last of {prefix}"));
+                    self.report_violation("never-nobody", at, format!("{site} was the last of {prefix}"));
                 }
                 if spare < status.asked && status.share >= self.rules.floor {
-                    self.violation("no-cascade", at, format!("{site} for {prefix}"));
+                    self.report_violation("no-cascade", at, format!("{site} for {prefix}"));
                 }
             }
             let settling = Duration::from_millis(u64::from(self.rules.settling));
             if self.settling_from.get(prefix).is_some_and(|last| at + ROUNDING < *last + settling) {
-                self.violation("one-a-settling-time", at, format!("{site} for {prefix}"));
+                self.report_violation("one-a-settling-time", at, format!("{site} for {prefix}"));
             }
             self.settling_from.insert(prefix.to_owned(), at);
         }
         self.last_withdrawn.insert(prefix.to_owned(), at);
         let flaps = self.flaps.entry((prefix.to_owned(), site.clone())).or_default();
-        // What was forgiven before doesn't count again.
+        // Flaps that were already forgiven no longer count.
         let calm = u128::from(self.rules.calm.max(1));
         let forgiven = ((at - flaps.1).as_millis() / calm).min(u128::from(flaps.0)) as u32;
         *flaps = (flaps.0 - forgiven + 1, at);
     }
 
-    /// Looks at the bounds in time.
+    /// Checks the time bounds.
     fn check_time_bounds(&mut self, now: Duration, bounds: &Bounds) {
         let rules = self.rules.clone();
         let truth = |site: &Name| self.truth.get(site).copied().unwrap_or_default();
@@ -399,11 +407,11 @@
             bounded.clear();
         }
         let mut bound_since = BTreeMap::new();
-        // While something is disturbed no bound runs; after it each begins anew.
+        // No bound runs during a disturbance; each starts over afterwards.
         for (rule, subject, bound) in bounded {
             let since = self.bound_since.get(&(rule, subject.clone())).copied().unwrap_or(now);
             if now > since + bound {
-                self.violation(rule, now, subject.clone());
+                self.report_violation(rule, now, subject.clone());
             }
             bound_since.insert((rule, subject), since);
         }
@@ -411,7 +419,7 @@
     }
 }
 
-/// Puts what a site is, keeping since when it is well or not.
+/// Stores a site's status with the time since which it has been healthy or not.
 fn record_health(
     to: &mut BTreeMap<Name, (SiteStatus, Duration)>,
     at: Duration,
--- a/crates/addresses/src/exhaustive.rs
+++ b/crates/addresses/src/exhaustive.rs
@@ -1,10 +1,12 @@
-//! Exclusive ownership at small size, through all interleavings: two nodes of two sites, one address, one router.
+//! Exhaustive search over the interleavings of a small world: two nodes of two sites, one exclusive address,
+//! one router.
 //!
-//! Time goes in whole seconds. Between two of them every order of these is played: a node asks, its newest proposal is
-//! decided (or never: a newer one takes its place), a node learns the next entry, the second proposes the end of the
-//! lapsed lease, a node speaks to the router. A node that is stopped or cut off is one that does nothing for a while,
-//! which is among the orders. It begins with a renewal and the move decided, of which the owner has not learnt.
-//! Both clocks go alike; drift is in `consensus::lease`'s own tests.
+//! Time advances in whole seconds. Between two seconds the search tries every order of these steps: a node
+//! sends a report, its newest proposal is decided (or replaced by a newer one and never decided), a node
+//! learns the next entry, the second node proposes to end the expired lease, a node sends commands to the
+//! router. A paused or isolated node is one that takes no step for a while, which these orders include. In
+//! the initial state a renewal and the move of the address have been decided, and the owner has learned of
+//! neither. Both clocks run at the same rate; the tests of `consensus::lease` cover drift.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
@@ -17,12 +19,13 @@
 use crate::router::Router;
 use crate::rules::AddressRule;
 
-const E: &str = "192.0.2.20/32";
-/// States looked at, at most.
+const EXCLUSIVE: &str = "192.0.2.20/32";
+/// Maximum number of states visited.
 const STATES_MAX: usize = 200_000;
-/// Seconds played: a lease of 2 s has lapsed for who waits at the third, and may be granted anew within it.
+/// Duration of a run: at the third second a lease of 2 s has expired for the waiting node and may be granted
+/// again.
 const DURATION_S: u64 = 3;
-/// Reports that a node makes, beyond those that the beginning took.
+/// Reports that each node sends after the initial state.
 const REPORTS_PER_NODE: u64 = 1;
 
 #[derive(Clone)]
@@ -33,7 +36,7 @@
     log: Vec<DecidedEntry>,
     pending: [Option<ProposalBody>; 2],
     report_counts: [u64; 2],
-    /// The second node has proposed the end.
+    /// Whether the second node has proposed the end of the lease.
     end_proposed: bool,
     router: Router,
 }
@@ -60,7 +63,7 @@
         let (applied, log, pending, report_counts, end_proposed) =
             ([0, 0], Vec::new(), [None, None], [0, 0], false);
         let mut w = Self { now: 0, nodes, applied, log, pending, report_counts, end_proposed, router };
-        let address = AddressRule { prefix: E.into(), kind: AddressKind::Exclusive, med: 1, sites };
+        let address = AddressRule { prefix: EXCLUSIVE.into(), kind: AddressKind::Exclusive, med: 1, sites };
         let rules = Rules { addresses: vec![address], router_hold: 900, write: 50, ..Rules::default() };
         w.nodes[0].set_rules(at(0), 1, rules.clone()).expect("rules");
         w.decide_and_learn(0, ProposalBody::Rules(1, rules));
@@ -69,7 +72,7 @@
             w.decide_and_learn(i, body);
         }
         w.decide_and_learn(0, w.decision("a", true));
-        // From now on the first site is sick, and the second may take over.
+        // From now on the first site is degraded and the second may take over.
         w.nodes[0].set_metrics(NodeMetrics {
             requested_worth: 10,
             answered_worth: 5,
@@ -78,14 +81,14 @@
         });
         let body = w.make_report(0);
         w.decide_and_learn(0, body);
-        assert!(w.nodes[0].is_owner(at(0), E), "the first site begins as the owner");
-        // Its renewal is decided, and then the move; only the second node has learnt of them.
+        assert!(w.nodes[0].is_owner(at(0), EXCLUSIVE), "the first site is the initial owner");
+        // The owner's renewal is decided, then the move; only the second node has learned of them.
         let body = w.make_report(0);
         w.decide(0, &body);
         w.learn(1);
         let state = &w.nodes[1].state;
-        let (site, last_change) = (w.nodes[1].site.clone(), state.last_change(E));
-        let (last_health_change, prefix) = (state.last_health_change(&site), E.to_owned());
+        let (site, last_change) = (w.nodes[1].site.clone(), state.last_change(EXCLUSIVE));
+        let (last_health_change, prefix) = (state.last_health_change(&site), EXCLUSIVE.to_owned());
         w.decide(
             1,
             &ProposalBody::ChangeRoute {
@@ -106,9 +109,10 @@
     fn decision(&self, site: &str, timers_elapsed: bool) -> ProposalBody {
         let site = Name::new(site).expect("a name");
         let state = &self.nodes[0].state;
-        let (last_change, last_health_change) = (state.last_change(E), state.last_health_change(&site));
+        let (last_change, last_health_change) =
+            (state.last_change(EXCLUSIVE), state.last_health_change(&site));
         ProposalBody::ChangeRoute {
-            prefix: E.into(),
+            prefix: EXCLUSIVE.into(),
             last_change,
             site,
             announce: true,
@@ -177,14 +181,14 @@
                 add(&|w| w.learn(i));
             }
             let state = &self.nodes[i].state;
-            let owner = LeaseKey::Owner(E.into());
+            let owner = LeaseKey::Owner(EXCLUSIVE.into());
             let expired = state.leases.expired(at(self.now).boot).find(|(k, _)| **k == owner);
             if let Some((_, grant)) = expired.filter(|_| i == 1 && !self.end_proposed) {
                 let body = ProposalBody::EndLeases(vec![(owner.clone(), grant.index)]);
                 add(&|w| (w.end_proposed, w.pending[1]) = (true, Some(body.clone())));
             }
-            let mut speaker = self.nodes[i].clone();
-            if speaker.take_commands(at(self.now)).is_empty() {
+            let mut node = self.nodes[i].clone();
+            if node.take_commands(at(self.now)).is_empty() {
                 continue;
             }
             add(&|w| w.send_commands(i));
@@ -193,15 +197,17 @@
     }
 
     fn has_two_owners(&self) -> bool {
-        let claims = self.nodes.iter().filter(|n| n.is_owner(at(self.now), E)).count();
-        claims > 1 || self.router.best_sites(E).len() > 1
+        let claims = self.nodes.iter().filter(|n| n.is_owner(at(self.now), EXCLUSIVE)).count();
+        claims > 1 || self.router.best_sites(EXCLUSIVE).len() > 1
     }
 
-    /// All that what comes depends on; the timers of chores are not, since the chores are actions here.
+    /// Hash of everything that future steps depend on. The timers of the leader's tasks are left out, because
+    /// the search performs those tasks as steps.
     fn state_hash(&self) -> u64 {
         let mut h = DefaultHasher::new();
         let now = at(self.now).boot;
-        // Of what a node knows by its clock: what it holds yet, and (the second alone ends leases) when the owner's lapses.
+        // Of a node's local times only these matter: until when it holds its leases and, for the second node,
+        // which alone ends leases, when the owner's lease expires.
         let held = |h: HeldLease| h.expires_at().max(now);
         let nodes = self.nodes.iter().map(|n| {
             let owned: Vec<_> = n.owner_leases.iter().map(|(p, h)| (p, held(*h))).collect();
@@ -218,7 +224,7 @@
             )
         });
         let all: Vec<_> = nodes.collect();
-        let owner = LeaseKey::Owner(E.into());
+        let owner = LeaseKey::Owner(EXCLUSIVE.into());
         let expires_at = (self.now..=DURATION_S)
             .find(|t| self.nodes[1].state.leases.expired(at(*t).boot).any(|(k, _)| *k == owner));
         let bodies: Vec<_> = self.log.iter().map(|d| &d.proposal.body).collect();
@@ -231,8 +237,8 @@
     }
 }
 
-/// States seen, whether all that there are, and whether two owned at once in one of them. Depth first, so that what waits
-/// stays few; moves that come last are tried first.
+/// Returns the number of visited states, whether the search was complete, and whether some state had two
+/// owners. The search is depth first to keep the stack small, and tries the last steps of `next` first.
 fn search(fault: InjectedFault) -> (usize, bool, bool) {
     let mut visited = HashSet::new();
     let mut stack = vec![World::new(fault)];
@@ -254,7 +260,7 @@
 #[test]
 fn no_interleaving_has_two_owners() {
     let (states, complete, has_two_owners) = search(InjectedFault::None);
-    println!("{states} states, all of them: {complete}");
+    println!("{states} states, complete: {complete}");
     assert!(!has_two_owners && complete && states > 10_000, "{states} states");
 }
 
--- a/crates/addresses/src/health.rs
+++ b/crates/addresses/src/health.rs
@@ -1,4 +1,4 @@
-//! A site's health, from what its nodes see anyway.
+//! A site's health, derived from the requests that its nodes handle.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,34 +7,34 @@
 
 use crate::rules::Rules;
 
-/// A node's window is this many slots of [`SLOT_LENGTH`]: one second, long enough for a hundred requests at a small site and
-/// short enough that a site that turns bad is seen within it.
+/// Number of slots of [`SLOT_LENGTH`] in a node's window. One second holds about a hundred requests at a
+/// small site and is short enough that a failing site is detected within it.
 const WINDOW_SLOTS: u64 = 10;
-/// One slot: a tenth of the window, so that it slides smoothly.
+/// Slot length: a tenth of the window, so that the window slides smoothly.
 const SLOT_LENGTH: Duration = Duration::from_millis(100);
 
-/// What one node saw in its window.
+/// What one node observed in its window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeMetrics {
-    /// Worth asked for in the last second.
+    /// Total worth of the requests in the last second.
     pub requested_worth: u64,
-    /// Of it, answered in time.
+    /// Worth of those that were answered in time.
     pub answered_worth: u64,
-    /// Boxes ready.
+    /// Number of ready servers.
     pub ready_servers: u32,
-    /// Worth a second that it can answer, as measured.
+    /// Measured capacity, in worth per second.
     pub capacity: u64,
 }
 
-/// Worth asked and answered over the last second.
+/// Sliding window over the worth of requests of the last second.
 #[derive(Clone, Debug, Default)]
 pub struct RequestWindow {
-    /// (slot's number, asked, answered); at most [`WINDOW_SLOTS`] + 1.
+    /// (slot number, requested worth, answered worth); at most [`WINDOW_SLOTS`] + 1.
     slots: VecDeque<(u64, u64, u64)>,
 }
 
 impl RequestWindow {
-    /// A request of this worth ended at `now`, answered in time or not.
+    /// Records a request of this worth that finished at `now`, answered in time or not.
     pub fn record(&mut self, now: Duration, worth: u64, in_time: bool) {
         let slot = (now.as_millis() / SLOT_LENGTH.as_millis()) as u64;
         self.drop_expired(slot);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Asked and answered over the window that ends at `now`.
+    /// Returns the requested and the answered worth over the window that ends at `now`.
     pub fn totals(&mut self, now: Duration) -> (u64, u64) {
         self.drop_expired((now.as_millis() / SLOT_LENGTH.as_millis()) as u64);
         self.slots.iter().fold((0, 0), |(a, b), s| (a.saturating_add(s.1), b.saturating_add(s.2)))
@@ -61,23 +61,23 @@
     }
 }
 
-/// The sums over a site's nodes that are alive in the log.
+/// Metrics summed over a site's nodes that are alive according to the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SiteMetrics {
-    /// Nodes alive.
+    /// Number of live nodes.
     pub nodes: u32,
-    /// Boxes ready: nodes of a site see the same boxes, so the most that one sees.
+    /// Number of ready servers: the maximum over the nodes, since all nodes of a site see the same servers.
     pub ready_servers: u32,
-    /// Worth asked for a second.
+    /// Worth of the requests, per second.
     pub requested_worth: u64,
-    /// Answered in time.
+    /// Worth of the requests answered in time, per second.
     pub answered_worth: u64,
-    /// Worth a second that it can answer.
+    /// Capacity, in worth per second.
     pub capacity: u64,
 }
 
 impl SiteMetrics {
-    /// Adds a node.
+    /// Adds the metrics of a node.
     pub fn add(&mut self, metrics: &NodeMetrics) {
         self.nodes += 1;
         self.ready_servers = self.ready_servers.max(metrics.ready_servers);
@@ -87,21 +87,22 @@
         self.capacity = self.capacity.saturating_add(metrics.capacity);
     }
 
-    /// Answered of asked, in thousandths; all if nobody asks.
+    /// The answered share of the requested worth, in thousandths; 1000 if there are no requests.
     pub fn answered_permille(&self) -> u32 {
         if self.requested_worth == 0 {
             return 1000;
         }
-        // At most 1000, since no more is answered than asked.
+        // At most 1000, because the answered worth never exceeds the requested worth.
         (u128::from(self.answered_worth) * 1000 / u128::from(self.requested_worth)) as u32
     }
 
-    /// What could be asked of it beyond what is.
+    /// Capacity beyond the current load.
     pub fn spare_capacity(&self) -> u64 {
         self.capacity.saturating_sub(self.requested_worth)
     }
 
-    /// The judgement, given the one before: between the two shares it stays what it was.
+    /// Evaluates the site's health. Between the thresholds `bad` and `good` a healthy site stays healthy and
+    /// any other counts as degraded.
     pub fn evaluate(&self, rules: &Rules, previous: SiteHealth) -> SiteHealth {
         if self.nodes == 0
             || self.ready_servers == 0
@@ -122,17 +123,17 @@
     }
 }
 
-/// What a site is.
+/// The health of a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SiteHealth {
-    /// It answers nothing at all.
+    /// It answers no requests.
     #[default]
     #[serde(rename = "Dead")]
     Down,
-    /// It answers some.
+    /// It answers some requests.
     #[serde(rename = "Sick")]
     Degraded,
-    /// It may advertise.
+    /// It may advertise addresses.
     #[serde(rename = "Well")]
     Healthy,
 }
--- a/crates/addresses/src/lib.rs
+++ b/crates/addresses/src/lib.rs
@@ -1,8 +1,9 @@
 //! Service addresses advertised from healthy sites: health, ownership, damping.
 //!
-//! A pure room on the log of fleet decisions. Nodes report what they see anyway ([`RequestWindow`]); the log's state ([`State`])
-//! says which sites advertise which address; one node a site speaks ([`Addresses::take_commands`]) lines that route daemons
-//! read. See `docs/design/addresses.md` for each rule and its reason.
+//! A state machine without I/O on the fleet's replicated log. Nodes report the request outcomes that they
+//! observe ([`RequestWindow`]). The replicated state ([`State`]) determines which sites advertise which
+//! address. One node per site, its speaker, sends route commands to the site's route daemon
+//! ([`Addresses::take_commands`]). `docs/design/addresses.md` gives the reason for each rule.
 
 pub mod check;
 mod health;
--- a/crates/addresses/src/planned_stop.rs
+++ b/crates/addresses/src/planned_stop.rs
@@ -1,19 +1,19 @@
-//! A planned stop: withdraw, let traffic leave, drain.
+//! A planned stop of a node: withdraw its routes, wait until traffic has moved away, then drain.
 
 use std::time::Duration;
 
-/// What the carrier does now.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Serve; the addresses are being withdrawn, the lease handed on.
+    /// Still serving; the addresses are being withdrawn and the lease is handed over.
     Withdrawing,
-    /// Serve; clients are being steered away.
+    /// Still serving; the routers move clients to other nodes.
     AwaitingIdle,
-    /// Take no new request, finish the open ones, end.
+    /// Accept no new requests, finish the open ones, then exit.
     Draining,
 }
 
-/// A planned stop under way.
+/// A planned stop in progress.
 #[derive(Clone, Debug)]
 pub struct PlannedStop {
     phase: Phase,
@@ -24,8 +24,9 @@
 }
 
 impl PlannedStop {
-    /// Begins at `now`. Withdrawing lasts at most `withdraw_max` (the log may be lost), leaving at most `leave_max`; no
-    /// request open for `settle` is taken as gone: longer than the router needs to follow a withdrawal.
+    /// Begins a stop at `now`. Withdrawing lasts at most `withdraw_max`, because the log may be unreachable;
+    /// waiting for idleness lasts at most `idle_wait_max`. Traffic has moved away when no request was open
+    /// for `idle_time`, which has to be longer than the router takes to apply a withdrawal.
     pub fn new(now: Duration, withdraw_max: Duration, idle_wait_max: Duration, idle_time: Duration) -> Self {
         Self {
             phase: Phase::Withdrawing,
@@ -36,8 +37,8 @@
         }
     }
 
-    /// What to do at `now`: `withdrawn` says whether every line has been written that withdraws, `open` how many requests
-    /// are open.
+    /// Returns the phase at `now`. `withdrawn` is whether all withdrawals have been written, `open_requests`
+    /// the number of open requests.
     pub fn step(&mut self, now: Duration, withdrawn: bool, open_requests: u64) -> Phase {
         if self.phase == Phase::Withdrawing && (withdrawn || now >= self.phase_deadline) {
             self.phase = Phase::AwaitingIdle;
--- a/crates/addresses/src/protocol.rs
+++ b/crates/addresses/src/protocol.rs
@@ -1,4 +1,5 @@
-//! One node's part of the room: reports, speaks if it is its site's speaker, and does the fleet's chores if it leads.
+//! One node's side of the protocol: it reports its health, sends route commands while it is its site's
+//! speaker, and proposes lease ends and route changes while it leads.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,31 +13,33 @@
 use crate::state::{LeaseKey, NodeReport, ProposalBody, State, LEASE_ENDS_MAX};
 use crate::timers;
 
-/// What is due is looked for so often: a twentieth of the second in which a site has to be withdrawn.
+/// Interval of the periodic work: a twentieth of the second within which a site has to be withdrawn.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Two reports of a node lie at least so far apart: it bounds what one node costs the log.
+/// Minimum time between two reports of a node; bounds the load that one node puts on the log.
 const REPORT_SPACING: Duration = Duration::from_millis(200);
-/// A report or a chore that was not seen decided is said anew after this long: several times what deciding takes.
+/// A proposal that has not been decided is repeated after this delay, which is several times the usual
+/// decision time.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// A speaker reports so often: with a term of 5 s and a guard of 1.8 s it has three tries.
+/// Report interval of a speaker: a lease of 5 s with a guard of 1.8 s leaves three attempts to renew.
 const SPEAKER_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Others: two tries, each said again after [`RETRY_DELAY`]; 250 entries a second at 500 nodes.
+/// Report interval of the other nodes: two attempts per lease, each repeated after [`RETRY_DELAY`]. 500 nodes
+/// produce 250 entries per second.
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// No entry for so long means that the log stood still (somebody reports every [`REPORT_INTERVAL`]); leases that lapsed meanwhile
-/// say nothing of their holders.
+/// The log is considered stalled after this time without an entry, because some node reports every
+/// [`REPORT_INTERVAL`]. A lease that expires during a stall does not show that its holder failed.
 const LOG_STALL_TIME: Duration = Duration::from_millis(2500);
-/// And so long after it moves again they have had two tries to renew.
+/// Time after a stall in which every holder has had two attempts to renew its leases.
 const LOG_RECOVERY_TIME: Duration = Duration::from_secs(1);
-/// Own reports remembered with the time of their asking; an older one renews nothing.
+/// Number of own reports whose send time is kept; an older report renews nothing.
 const SENT_REPORTS_MAX: usize = 32;
-/// A stopping speaker leaves shared addresses up so long for the next one to take over.
+/// A stopping speaker keeps shared addresses announced for this time, so that the next speaker can take over.
 const HANDOVER_TIME: Duration = Duration::from_secs(2);
 
-/// How long leases last.
+/// Lease duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// From the asking on. It has to be longer than the router's hold and the write together, or no exclusive address is
-    /// ever announced.
+    /// Counted from the time the request was sent. It has to exceed the router's hold time plus the write
+    /// time, or no exclusive address is ever announced.
     pub term: Duration,
 }
 
@@ -47,21 +50,21 @@
     }
 }
 
-/// Faults planted for tests, to see that checkers catch them. Never set by a program.
+/// Faults injected by tests to verify that the checker detects them; programs never set one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// Keeps an exclusive address after its lease.
+    /// Keeps announcing an exclusive address after its lease has expired.
     KeepsExpiredLease,
-    /// Counts leases from the answer instead of from the asking.
+    /// Counts leases from the decision instead of from the request.
     CountsLeaseFromReply,
-    /// Says nothing of what an earlier start left announced.
+    /// Does not withdraw routes that an earlier incarnation left announced.
     SkipsStaleWithdrawal,
 }
 
-/// One node's part.
+/// One node's state machine for service addresses.
 #[derive(Clone)]
 pub struct Addresses {
     me: Peer,
@@ -74,10 +77,10 @@
     rules_proposed_at: Option<Duration>,
     metrics: NodeMetrics,
     seq: u64,
-    /// Own reports: number and when asked; at most [`SENT_REPORTS_MAX`].
+    /// Own reports: sequence number and send time; at most [`SENT_REPORTS_MAX`].
     sent_reports: VecDeque<(u64, Duration)>,
     last_report: Option<(Duration, SiteHealth)>,
-    /// The last report's number that was seen decided.
+    /// The highest sequence number of an own report that was decided.
     decided_seq: u64,
     speaker_lease: Option<HeldLease>,
     owner_leases: BTreeMap<String, HeldLease>,
@@ -95,7 +98,7 @@
 }
 
 impl Addresses {
-    /// A node of `site`, started at `now`.
+    /// Creates a node of `site` that starts at `now`.
     pub fn new(me: Peer, site: Name, settings: LeaseSettings, now: Now) -> Self {
         Self {
             me,
@@ -127,22 +130,23 @@
         }
     }
 
-    /// Plants a fault, for tests.
+    /// Injects a fault, for tests.
     #[doc(hidden)]
     pub fn inject_fault(&mut self, fault: InjectedFault) {
         self.fault = fault;
     }
 
-    /// Rules of a version, to hold in the whole fleet. An older version than the log's changes nothing.
+    /// Sets the rules to propose for the whole fleet. A version that is not newer than the replicated one has
+    /// no effect.
     ///
     /// # Errors
-    /// Rules that can't be followed; those before stay.
+    /// The rules are invalid; the previous ones stay in effect.
     pub fn set_rules(&mut self, now: Now, version: u64, rules: Rules) -> Result<(), RulesError> {
         rules.validate()?;
         if announce_guard(&rules) >= self.settings.term {
             return Err(RulesError {
                 field: "router_hold".into(),
-                reason: "with write not under the lease's term".into(),
+                reason: "together with write not shorter than the lease term".into(),
             });
         }
         self.configured_rules = Some((version, rules));
@@ -150,45 +154,48 @@
         Ok(())
     }
 
-    /// What this node saw in its window.
+    /// Sets the node's metrics over its current window.
     pub fn set_metrics(&mut self, metrics: NodeMetrics) {
         self.metrics = metrics;
     }
 
-    /// The log's state as far as this node has learnt it.
+    /// The replicated state as far as this node has applied the log.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Whether this node speaks for its site at `now`.
+    /// Returns whether this node is its site's speaker at `now`.
     pub fn is_speaker(&self, now: Now) -> bool {
         self.speaker_lease.is_some_and(|h| h.is_valid(now.boot))
     }
 
-    /// Whether this node holds an exclusive address at `now`: asked at each use, with a fresh clock.
+    /// Returns whether this node owns an exclusive address at `now`. Call it at each use with a fresh clock
+    /// reading.
     pub fn is_owner(&self, now: Now, prefix: &str) -> bool {
         self.fault == InjectedFault::KeepsExpiredLease && self.owner_leases.contains_key(prefix)
             || self.owner_leases.get(prefix).is_some_and(|h| h.is_valid(now.boot))
     }
 
-    /// A planned stop of this node begins: see [`crate::PlannedStop`].
+    /// Begins a planned stop of this node; see [`crate::PlannedStop`].
     pub fn begin_leave(&mut self, now: Now) {
         self.leaving_since.get_or_insert(now.boot);
     }
 
-    /// Whether a planned stop has handed out its last withdrawal, and the log knows of it.
+    /// Returns whether a planned stop has emitted its last withdrawal and the log has recorded the node's
+    /// departure.
     pub fn has_left(&self) -> bool {
         let alive = self.state.holder(&LeaseKey::Node(self.me.name.clone())) == Some(&self.me);
         self.leaving_since.is_some() && self.announced.is_empty() && !alive
     }
 
-    /// The whole state is to be said anew: the carrier's end was opened again.
+    /// Makes the next commands cover every address; for a newly opened connection to the route daemon.
     pub fn request_full_update(&mut self) {
         self.full_update_due = true;
     }
 
-    /// The lines to be written now. The carrier calls it every `TICK_INTERVAL` with a clock just read and writes the lines at once;
-    /// a write that takes longer than the rules' `write` is given up by closing the end.
+    /// Returns the route commands to write now. Call it every `TICK_INTERVAL` with a fresh clock reading and
+    /// write the commands at once. A write that takes longer than the rules' `write` has to be aborted by
+    /// closing the connection.
     pub fn take_commands(&mut self, now: Now) -> Vec<RouteCommand> {
         let now = now.boot;
         let desired = self.desired_routes(now);
@@ -204,7 +211,7 @@
         }
         let withdrawn = self.announced.keys().filter(|p| !desired.contains_key(*p));
         commands.extend(withdrawn.map(|p| RouteCommand::Withdraw { prefix: p.clone() }));
-        // Three tries within the router's hold time.
+        // Three refreshes within the router's hold time.
         let refresh_interval = ms(self.state.replicated.rules.router_hold) / 3;
         let refresh_all = now >= self.refreshed_at + refresh_interval;
         if refresh_all {
@@ -219,13 +226,14 @@
         commands
     }
 
-    /// What this node is to have announced at `now`, with the metric.
+    /// Returns the prefixes that this node should announce at `now`, with their metric.
     fn desired_routes(&self, now: Duration) -> BTreeMap<String, u32> {
         let rules = &self.state.replicated.rules;
         let has_successor =
             self.state.holder(&LeaseKey::Speaker(self.site.clone())).is_some_and(|p| *p != self.me);
         let is_speaker = self.speaker_lease.is_some_and(|h| h.is_valid(now));
-        // Without the log nothing can be decided; a lost log must not be lost service.
+        // Losing contact with the log must not interrupt the service, so shared addresses stay announced for
+        // a while.
         let keeps_shared = self.speaker_lease.is_some_and(|h| now < h.expires_at() + ms(rules.keep_shared))
             && self.own_health() != SiteHealth::Down;
         let is_handing_over = |since: Duration| {
@@ -258,7 +266,8 @@
         metrics.evaluate(&self.state.replicated.rules, SiteHealth::Degraded)
     }
 
-    /// Whether this node is or should be its site's speaker: the first in order when nobody is.
+    /// Returns whether this node is or should become its site's speaker: the first in order if the site has
+    /// none.
     fn wants_speaker(&self) -> bool {
         match self.state.holder(&LeaseKey::Speaker(self.site.clone())) {
             Some(peer) => *peer == self.me,
@@ -266,7 +275,7 @@
         }
     }
 
-    /// Exclusive addresses that its site was chosen for and nobody else holds yet.
+    /// Returns the exclusive addresses that are assigned to this site and that no other node holds.
     fn wanted_addresses(&self) -> Vec<String> {
         let rules = &self.state.replicated.rules;
         let assigned = rules.addresses.iter().filter(|a| {
@@ -304,7 +313,7 @@
             self.sent_reports.pop_front();
         }
         self.sent_reports.push_back((self.seq, now));
-        // Terms are seconds.
+        // Lease terms are seconds, so the cast cannot truncate.
         let term_ms = self.settings.term.as_millis() as u32;
         let (seq, site, metrics) = (self.seq, self.site.clone(), self.metrics);
         self.proposals.push_back(ProposalBody::Report(NodeReport {
@@ -317,13 +326,14 @@
         }));
     }
 
-    /// An own report was decided: what the log granted by it counts from its asking.
+    /// Takes over the leases granted by an own report that was decided; they count from the time it was sent.
     fn report_decided(&mut self, now: Duration, seq: u64) {
         self.decided_seq = self.decided_seq.max(seq);
         let Some(&(_, sent_at)) = self.sent_reports.iter().find(|a| a.0 == seq) else { return };
         let from = if self.fault == InjectedFault::CountsLeaseFromReply { now } else { sent_at };
         let held = HeldLease::new(from, self.settings.term);
-        // Only grants of this very entry: a report may have been refused a renewal that an earlier one got.
+        // Only grants of this entry count: the log may have refused this report a renewal that it granted an
+        // earlier one.
         let Some(index) = self.state.leases.get(&LeaseKey::Node(self.me.name.clone())).map(|g| g.index)
         else {
             return;
@@ -367,13 +377,14 @@
     }
 }
 
-/// A time of the rules.
+/// Converts a duration of the rules.
 pub(crate) fn ms(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
 }
 
-/// How long before its lease ends an exclusive address is last announced: the line may take the write's time to reach the
-/// router, which then holds it for its hold time by a clock that may be slower.
+/// How long before the end of its lease an exclusive address is announced for the last time. A command may
+/// take the write time to reach the router, which keeps the route for its hold time by a clock that may be
+/// slower.
 fn announce_guard(rules: &Rules) -> Duration {
     (ms(rules.router_hold) + ms(rules.write)).mul_f64(1.0 + DRIFT) + SLACK
 }
@@ -406,7 +417,7 @@
 
     fn restore(&mut self, now: Now, snapshot: &[u8]) -> Result<(), SnapshotError> {
         self.state = State::decode(snapshot, now.boot).map_err(SnapshotError)?;
-        // Grants that came with it were asked for at times that may be forgotten: only what is held is kept.
+        // The send times of the restored grants may be lost, so only leases that are already held are kept.
         let (state, me) = (&self.state, &self.me);
         self.owner_leases.retain(|p, _| state.holder(&LeaseKey::Owner(p.clone())) == Some(me));
         (self.last_entry_at, self.log_resumed_at) = (now.boot, now.boot);
@@ -429,7 +440,7 @@
             self.propose_report(now);
         }
         if let Some((version, rules)) = &self.configured_rules {
-            // Who doesn't lead waits for who does, lest all say it at once.
+            // Nodes that do not lead wait for the leader, so that not all of them propose the rules at once.
             let may_propose = leading || now >= self.rules_set_at + LOG_RECOVERY_TIME;
             if *version > self.state.replicated.version
                 && may_propose
@@ -449,12 +460,12 @@
     }
 
     fn take_proposal(&mut self) -> Option<Vec<u8>> {
-        // Emptied after every tick, which adds one an address at most.
+        // Emptied after every tick, which adds at most one proposal per address.
         self.proposals.pop_front().map(|body| body.encode())
     }
 }
 
-/// The sites that rules name.
+/// The sites listed in the rules.
 pub(crate) fn listed_sites(rules: &Rules) -> BTreeSet<&Name> {
     rules.addresses.iter().flat_map(|a| a.sites.iter()).collect()
 }
--- a/crates/addresses/src/route_command.rs
+++ b/crates/addresses/src/route_command.rs
@@ -1,20 +1,20 @@
-//! The text that route daemons' process interfaces read.
+//! Text commands for the process interface of route daemons.
 
 use std::fmt;
 
-/// One line, without its end.
+/// One command, without the line terminator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteCommand {
-    /// The route leads here.
+    /// Announces a route to this site.
     Announce {
-        /// As `192.0.2.10/32`.
+        /// The prefix, such as `192.0.2.10/32`.
         prefix: String,
-        /// The metric.
+        /// The metric (MED).
         med: u32,
     },
-    /// It does no more.
+    /// Withdraws the route.
     Withdraw {
-        /// As `192.0.2.10/32`.
+        /// The prefix, such as `192.0.2.10/32`.
         prefix: String,
     },
 }
@@ -29,7 +29,7 @@
 }
 
 impl RouteCommand {
-    /// Reads a line back; none if it is not one of the two forms.
+    /// Parses a line; `None` if it is neither of the two commands.
     pub fn parse(line: &str) -> Option<Self> {
         let words: Vec<&str> = line.split(' ').take(9).collect();
         match words[..] {
--- a/crates/addresses/src/router.rs
+++ b/crates/addresses/src/router.rs
@@ -1,6 +1,7 @@
-//! A stand-in router: reads speakers' lines, drops routes of those that are silent or gone, steers clients.
+//! An emulated router: receives the speakers' commands, drops the routes of silent or closed sessions, and
+//! selects a site for each client.
 //!
-//! Pure: the carrier that reads pipes hands it lines with its own clock.
+//! It does no I/O: the caller reads the pipes and passes each line with the time of its own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,9 +12,10 @@
 use crate::route_command::RouteCommand;
 use crate::rules::ADDRESSES_MAX;
 
-/// Records kept until they are taken, at most: the oldest rest of a run is worth more than memory without bound.
+/// Maximum number of records kept until they are taken. Later records are dropped: memory stays bounded, and
+/// the start of a run is kept.
 const RECORDS_MAX: usize = 1 << 20;
-/// The longest line that is read, in bytes: a route's line has under 100.
+/// Maximum length of a line that is parsed; a route command is shorter than 100 bytes.
 const LINE_MAX_BYTES: usize = 256;
 
 #[derive(Clone, Debug)]
@@ -23,7 +25,7 @@
     routes: BTreeMap<String, u32>,
 }
 
-/// The router.
+/// The emulated router.
 #[derive(Clone, Debug)]
 pub struct Router {
     hold_time: Duration,
@@ -32,12 +34,13 @@
 }
 
 impl Router {
-    /// A router that drops the routes of a speaker that was silent for `hold`.
+    /// Creates a router that drops the routes of a session that has been silent for `hold_time`.
     pub fn new(hold_time: Duration) -> Self {
         Self { hold_time, sessions: BTreeMap::new(), records: Vec::new() }
     }
 
-    /// A line came at `now` from the end numbered `session`, which leads to `site`. Whether it could be read.
+    /// Processes a line received at `now` on `session`, whose routes lead to `site`. Returns whether it was
+    /// accepted.
     pub fn receive_line(&mut self, now: Duration, session: u32, site: &Name, text: &str) -> bool {
         self.tick(now);
         let Some(command) = (text.len() <= LINE_MAX_BYTES).then(|| RouteCommand::parse(text)).flatten()
@@ -72,7 +75,7 @@
         true
     }
 
-    /// The end numbered `session` closed: all that came by it goes.
+    /// Closes `session` and drops its routes.
     pub fn close_session(&mut self, now: Duration, session: u32) {
         if let Some(s) = self.sessions.remove(&session) {
             for prefix in s.routes.into_keys() {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Drops what has not been heard of for the hold time.
+    /// Drops the sessions that have been silent for the hold time.
     pub fn tick(&mut self, now: Duration) {
         let expired: Vec<u32> = self
             .sessions
@@ -94,21 +97,21 @@
         }
     }
 
-    /// The sites an address leads to: those of the lowest metric.
+    /// The sites to which an address is routed: those with the lowest metric.
     pub fn best_sites(&self, prefix: &str) -> BTreeSet<&Name> {
         let routes = || self.sessions.values().filter_map(|s| Some((*s.routes.get(prefix)?, &s.site)));
         let best = routes().map(|(med, _)| med).min();
         routes().filter(|(med, _)| Some(*med) == best).map(|(_, site)| site).collect()
     }
 
-    /// Where a client with this hash is led, as long as the sites stay the same.
+    /// The site for a client with this hash; it stays the same as long as the best sites do.
     pub fn select_site(&self, prefix: &str, client: u64) -> Option<&Name> {
         let sites: Vec<&Name> = self.best_sites(prefix).into_iter().collect();
         let n = sites.len() as u64;
         (n > 0).then(|| sites[(client % n) as usize])
     }
 
-    /// What changed since the last call.
+    /// Returns the route changes since the last call.
     pub fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.records)
     }
--- a/crates/addresses/src/rules.rs
+++ b/crates/addresses/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of advertising, as a document.
+//! The rules for advertising addresses, as a settings document.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -6,72 +6,73 @@
 use magpietally_transport::Name;
 use serde::{Deserialize, Serialize};
 
-/// Addresses at most: one report may claim them all and still fits a proposal (64 bytes each of 64 KiB).
+/// Maximum number of addresses: a report that requests all of them fits a proposal (64 bytes each of 64 KiB).
 pub const ADDRESSES_MAX: usize = 256;
-/// Sites an address at most; far above what a route's metric can order usefully.
+/// Maximum number of sites per address, far more than a route metric can usefully order.
 pub const SITES_MAX: usize = 64;
-/// The longest time a rule may state, in milliseconds (a day): sums of a few stay far inside `u64`.
+/// Longest duration in the rules (one day); sums of a few durations cannot overflow `u64`.
 const DURATION_MAX_MS: u32 = 86_400_000;
 
 /// How many sites may advertise at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AddressKind {
-    /// Any number.
+    /// Any number of sites.
     Shared,
-    /// At most one, by a lease in the log.
+    /// At most one site, enforced by a lease in the log.
     Exclusive,
 }
 
-/// One address.
+/// The rule of one address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressRule {
-    /// As `192.0.2.10/32`.
+    /// The prefix in canonical form, such as `192.0.2.10/32`.
     pub prefix: String,
-    /// How many sites at once.
+    /// How many sites may advertise it at once.
     pub kind: AddressKind,
-    /// The metric said with it: the lower is preferred.
+    /// The metric (MED) announced with the route; lower values are preferred.
     pub med: u32,
-    /// Who may advertise it, the preferred first.
+    /// The sites that may advertise it, in order of preference.
     pub sites: Vec<Name>,
 }
 
-/// All rules. Times in milliseconds, shares in thousandths.
+/// All rules. Durations are in milliseconds, shares in thousandths.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Rules {
-    /// The addresses.
+    /// The addresses with their rules.
     pub addresses: Vec<AddressRule>,
-    /// Health lost for so long withdraws.
+    /// A site is withdrawn after it has been unhealthy for this time.
     pub hold_down: u32,
-    /// Health held for so long advertises again; doubled by each flap that is not yet forgiven.
+    /// A site advertises again after it has been healthy for this time, doubled for each flap not yet
+    /// forgiven.
     pub hold_up: u32,
-    /// The doubled hold-up is at most this.
+    /// Upper bound of the doubled hold-up.
     pub hold_up_max: u32,
-    /// Advertised without a withdrawal for so long, one flap is forgiven.
+    /// One flap is forgiven after a site has been healthy and the address unchanged for this time.
     pub calm: u32,
-    /// One site an address is withdrawn in this time, deaths aside.
+    /// At most one site per address is withdrawn within this time, apart from sites that are down.
     pub settling: u32,
-    /// Answered in time below this share: sick.
+    /// A site that answers less than this share in time is degraded.
     pub bad: u32,
-    /// Answered in time from this share on: well again.
+    /// A degraded site is healthy again when it answers at least this share in time.
     pub good: u32,
-    /// A site that answers less than this share is withdrawn even if the rest can't bear its load.
+    /// A site that answers less than this share is withdrawn even if the other sites cannot absorb its load.
     pub floor: u32,
-    /// Fewer nodes alive: sick.
+    /// A site with fewer live nodes is degraded.
     pub nodes_min: u32,
-    /// Fewer boxes ready: sick.
+    /// A site with fewer ready servers is degraded.
     pub boxes_min: u32,
-    /// The router drops routes of a speaker that is silent for so long.
+    /// The router drops the routes of a speaker that has been silent for this time.
     pub router_hold: u32,
-    /// The carrier's write of one batch of lines takes at most this, or the carrier closes its end.
+    /// Writing one batch of commands takes at most this time; otherwise the node closes the connection.
     pub write: u32,
-    /// A speaker that lost the log keeps its shared addresses for so long.
+    /// A speaker that lost contact with the log keeps its shared addresses announced for this time.
     pub keep_shared: u32,
 }
 
 impl Default for Rules {
-    /// Reasons stand in `docs/design/addresses.md`.
+    /// `docs/design/addresses.md` gives the reasons for these values.
     fn default() -> Self {
         Self {
             addresses: Vec::new(),
@@ -92,12 +93,12 @@
     }
 }
 
-/// What is wrong with rules: the field and why.
+/// An invalid rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RulesError {
-    /// As `addresses[1].prefix`.
+    /// Path of the field, such as `addresses[1].prefix`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
@@ -116,36 +117,39 @@
 fn is_canonical_prefix(prefix: &str) -> bool {
     let Some((ip, length)) = prefix.split_once('/') else { return false };
     let (Ok(ip), Ok(bits)) = (ip.parse::<IpAddr>(), length.parse::<u8>()) else { return false };
-    // Only the plain form, so that two texts never mean one prefix.
+    // Only the canonical form is accepted, so that two texts never denote the same prefix.
     bits <= if ip.is_ipv4() { 32 } else { 128 } && format!("{ip}/{bits}") == prefix
 }
 
 impl Rules {
-    /// The rule of an address.
+    /// The rule of an address, if there is one.
     pub fn address(&self, prefix: &str) -> Option<&AddressRule> {
         self.addresses.iter().find(|a| a.prefix == prefix)
     }
 
-    /// Whether the rules can be followed.
+    /// Validates the rules.
     ///
     /// # Errors
-    /// The first field that can't, by name.
+    /// The first invalid field.
     pub fn validate(&self) -> Result<(), RulesError> {
         if self.addresses.len() > ADDRESSES_MAX {
             return invalid("addresses", format!("at most {ADDRESSES_MAX}"));
         }
         for (i, a) in self.addresses.iter().enumerate() {
             if !is_canonical_prefix(&a.prefix) {
-                return invalid(format!("addresses[{i}].prefix"), "not a prefix as 192.0.2.10/32");
+                return invalid(
+                    format!("addresses[{i}].prefix"),
+                    "not a canonical prefix such as 192.0.2.10/32",
+                );
             }
             if self.addresses[..i].iter().any(|b| b.prefix == a.prefix) {
-                return invalid(format!("addresses[{i}].prefix"), "named twice");
+                return invalid(format!("addresses[{i}].prefix"), "listed twice");
             }
             if a.sites.is_empty() || a.sites.len() > SITES_MAX {
                 return invalid(format!("addresses[{i}].sites"), format!("from 1 to {SITES_MAX} sites"));
             }
             if a.sites.iter().enumerate().any(|(j, s)| s.as_str().is_empty() || a.sites[..j].contains(s)) {
-                return invalid(format!("addresses[{i}].sites"), "an empty name or one named twice");
+                return invalid(format!("addresses[{i}].sites"), "an empty name or a name listed twice");
             }
         }
         let durations = [
@@ -164,13 +168,13 @@
             }
         }
         if self.hold_up_max < self.hold_up {
-            return invalid("hold_up_max", "under hold_up");
+            return invalid("hold_up_max", "less than hold_up");
         }
         if self.good > 1000 || self.bad > self.good {
-            return invalid("bad", "over good, or good over 1000");
+            return invalid("bad", "greater than good, or good greater than 1000");
         }
         if self.floor > self.bad {
-            return invalid("floor", "over bad");
+            return invalid("floor", "greater than bad");
         }
         Ok(())
     }
--- a/crates/addresses/src/state.rs
+++ b/crates/addresses/src/state.rs
@@ -1,4 +1,5 @@
-//! What follows from the log's entries alone: who is alive, who speaks, who owns, which site advertises what.
+//! The replicated state, derived from the log's entries alone: live nodes, speakers, owners and the sites
+//! that advertise each address.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,75 +11,78 @@
 use crate::health::{NodeMetrics, SiteHealth, SiteMetrics};
 use crate::rules::{AddressKind, Rules, ADDRESSES_MAX};
 
-/// Nodes at most: twice the largest fleet measured.
+/// Maximum number of nodes: twice the size of the largest tested fleet.
 const NODES_MAX: usize = 1024;
-/// A longer lease is refused: a dead holder would be missed for a minute.
+/// Reports that ask for a longer lease are ignored: a failed holder would stay undetected for more than a
+/// minute.
 const TERM_MAX_MS: u32 = 60_000;
-/// Flaps counted at most: 2^16 times any hold-up is past its upper bound.
+/// Flaps are counted up to here: 2^16 times any hold-up time exceeds its upper bound.
 const FLAPS_MAX: u32 = 16;
-/// Leases one entry ends, at most: 64 of the longest keys fit a proposal many times.
+/// Maximum number of leases that one entry ends; a proposal has room for many times 64 of the longest keys.
 pub(crate) const LEASE_ENDS_MAX: usize = 64;
 
-/// What a lease is for.
+/// The subject of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum LeaseKey {
-    /// This node is alive.
+    /// The node is alive.
     Node(Name),
-    /// Its holder speaks for this site.
+    /// The holder is the speaker of this site.
     Speaker(Name),
-    /// Its holder advertises this exclusive address.
+    /// The holder advertises this exclusive address.
     Owner(String),
 }
 
-/// A node's report. It renews the node's leases.
+/// A node's periodic report, which also renews its leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// The sender's number for it, growing within its session.
+    /// Sequence number, increasing within the sender's session.
     pub seq: u64,
-    /// Its site.
+    /// The sender's site.
     pub site: Name,
-    /// What it saw.
+    /// The sender's metrics.
     pub metrics: NodeMetrics,
-    /// How long its leases last from the asking, in milliseconds.
+    /// Lease duration in milliseconds, counted from the time the report was sent.
     pub term_ms: u32,
-    /// It asks to speak for its site, or to go on.
+    /// Whether the sender requests or renews the role of its site's speaker.
     pub wants_speaker: bool,
-    /// Exclusive addresses it asks to own, or to go on owning.
+    /// Exclusive addresses whose ownership the sender requests or renews.
     pub wanted_addresses: Vec<String>,
 }
 
 /// The body of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalBody {
-    /// Rules of a later version.
+    /// New rules with their version; ignored unless the version is newer.
     Rules(u64, Rules),
     /// A node's report.
     Report(NodeReport),
-    /// The sender stops and has withdrawn.
+    /// The sender is stopping; it has withdrawn its routes or hands them over.
     Leave,
-    /// These leases have ended for their holders.
+    /// Ends these leases, each named with the entry that granted it.
     EndLeases(Vec<(LeaseKey, Index)>),
-    /// A site begins or ceases to advertise, if the address is still as it was left at `last_change`.
+    /// A site starts or stops advertising an address; valid only if nothing has changed the address since
+    /// `last_change`.
     ChangeRoute {
         /// The address.
         prefix: String,
-        /// The address's last change that the proposer knew.
+        /// The address's last change known to the proposer.
         last_change: Index,
         /// The site.
         site: Name,
-        /// Begins.
+        /// Whether the site starts advertising.
         announce: bool,
-        /// The site's last turn, to being well or not, that the proposer knew.
+        /// The site's last change to or from healthy known to the proposer.
         last_health_change: Index,
-        /// The proposer has waited all times that the rules state; if not, it may only be done for an address that nobody
-        /// serves, or to a site that is dead.
+        /// Whether all waiting times of the rules have elapsed at the proposer. If not, the change is applied
+        /// only to an address that no site serves or to withdraw a site that is down or no longer listed.
         timers_elapsed: bool,
     },
-    /// One flap of a site is forgiven, if the address is still as it was left at `last_change`.
+    /// Decrements the flap count of a site; valid only if nothing has changed the address since
+    /// `last_change`.
     ForgiveFlap {
         /// The address.
         prefix: String,
-        /// The address's last change that the proposer knew.
+        /// The address's last change known to the proposer.
         last_change: Index,
         /// The site.
         site: Name,
@@ -87,7 +91,7 @@
 
 impl ProposalBody {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Plain values of bounded lists: postcard has nothing to refuse.
+        // Serialization cannot fail: the body holds plain values and bounded lists.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -108,13 +112,13 @@
     }
 }
 
-/// Who advertises one address.
+/// The sites that advertise one address, and their flaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AddressState {
     pub sites: BTreeSet<Name>,
-    /// The entry that last changed it.
+    /// The entry that last changed the address.
     pub last_change: Index,
-    /// Withdrawals not yet forgiven.
+    /// Withdrawals not yet forgiven, by site.
     pub flaps: BTreeMap<Name, u32>,
 }
 
@@ -124,38 +128,39 @@
     pub rules: Rules,
     pub nodes: BTreeMap<Name, (Name, NodeMetrics)>,
     pub health: BTreeMap<Name, SiteHealth>,
-    /// The entry at which a site last turned to being well or not.
+    /// The entry at which a site last changed to or from healthy.
     pub health_changed_at: BTreeMap<Name, Index>,
     pub routes: BTreeMap<String, AddressState>,
 }
 
-/// The state at some entry: the same at every node. Only [`Leases`] holds, beside it, when this node learnt.
+/// The state after some entry, identical on every node except for the local times at which this node learned
+/// of the grants, which [`Leases`] keeps beside them.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     pub(crate) replicated: ReplicatedState,
     pub(crate) leases: Leases<LeaseKey>,
 }
 
-/// What an entry did that a node counts time from.
+/// Effects of an entry from which a node starts its timers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Effect {
-    /// This address lost a site.
+    /// The address that lost a site.
     pub withdrawn: Option<String>,
-    /// This address changed.
+    /// The address that changed.
     pub changed: Option<String>,
-    /// A report of this number was taken.
+    /// The sequence number of the report that was accepted.
     pub report: Option<u64>,
-    /// The rules changed.
+    /// Whether the rules changed.
     pub rules_changed: bool,
 }
 
 impl State {
-    /// The snapshot's bytes.
+    /// Encodes the state as a snapshot.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(&(&self.replicated, self.leases.grants())).unwrap_or_default()
     }
 
-    /// A snapshot, its leases learnt at `now`.
+    /// Decodes a snapshot; its leases count as learned at `now`.
     pub(crate) fn decode(bytes: &[u8], now: Duration) -> Result<Self, String> {
         let (replicated, grants): (ReplicatedState, BTreeMap<LeaseKey, Grant>) =
             postcard::from_bytes(bytes).map_err(|e| e.to_string())?;
@@ -168,7 +173,7 @@
         (self.replicated.version, &self.replicated.rules)
     }
 
-    /// Who holds a lease.
+    /// The holder of a lease.
     pub fn holder(&self, key: &LeaseKey) -> Option<&Peer> {
         self.leases.get(key).map(|g| &g.holder)
     }
@@ -178,19 +183,19 @@
         self.replicated.routes.get(prefix).into_iter().flat_map(|r| r.sites.iter())
     }
 
-    /// What a site is.
+    /// The health of a site.
     pub fn health(&self, site: &Name) -> SiteHealth {
         self.replicated.health.get(site).copied().unwrap_or_default()
     }
 
-    /// The sums over a site's live nodes.
+    /// The metrics summed over a site's live nodes.
     pub fn site_metrics(&self, site: &Name) -> SiteMetrics {
         let mut metrics = SiteMetrics::default();
         self.replicated.nodes.values().filter(|(s, _)| s == site).for_each(|(_, f)| metrics.add(f));
         metrics
     }
 
-    /// The live nodes of a site in the order in which they speak.
+    /// The live nodes of a site in the order in which they become its speaker.
     pub fn speaker_order<'a>(&'a self, site: &'a Name) -> impl Iterator<Item = &'a Name> {
         self.replicated.nodes.iter().filter(move |(_, (s, _))| s == site).map(|(n, _)| n)
     }
@@ -215,7 +220,7 @@
                 effect.report = self.apply_report(now, decided.index, proposer, report).then_some(seq);
             }
             ProposalBody::Leave => {
-                // What it owns lapses by itself: the router may still be reading its last lines.
+                // Owner leases are left to expire: the router may still have unread commands of this node.
                 let site = self.replicated.nodes.get(&proposer.name).map(|(s, _)| s.clone());
                 self.end_lease_held_by(decided.index, &LeaseKey::Node(proposer.name.clone()), proposer);
                 if let Some(site) = site {
@@ -263,7 +268,7 @@
     fn apply_report(&mut self, now: Duration, index: Index, proposer: &Peer, report: NodeReport) -> bool {
         let node_key = LeaseKey::Node(proposer.name.clone());
         match self.leases.get(&node_key) {
-            // An earlier start of the same node says nothing any more.
+            // Reports of an earlier session of the node are ignored.
             Some(g) if g.holder.session > proposer.session => return false,
             None if self.replicated.nodes.len() >= NODES_MAX => return false,
             _ => {}
@@ -321,7 +326,7 @@
             self.replicated.health_changed_at.insert(site.clone(), at);
         }
         if metrics.nodes == 0 {
-            // None is the same as dead, and sites without nodes take no room.
+            // A missing entry means down, so sites without nodes need no entry.
             self.replicated.health.remove(site);
             self.replicated.health_changed_at.remove(site);
         } else {
@@ -341,8 +346,9 @@
         self.replicated.health_changed_at.get(site).copied().unwrap_or_default()
     }
 
-    /// Whether a change that is allowed needs no waiting: nobody serves the address, or it loses a site that is dead or
-    /// not named any more. Asked again when the entry is applied: a dead site may be back by then.
+    /// Returns whether an allowed change needs no waiting time: no site serves the address, or the withdrawn
+    /// site is down or no longer listed. Checked again when the entry is applied, because the site may have
+    /// recovered by then.
     pub(crate) fn needs_no_wait(&self, prefix: &str, site: &Name, announce: bool) -> bool {
         let listed = |s: &Name| self.replicated.rules.address(prefix).is_some_and(|r| r.sites.contains(s));
         if announce {
@@ -352,7 +358,8 @@
         }
     }
 
-    /// Whether the rules that need no clock allow it: never nobody, no cascade, one owner.
+    /// Returns whether the rules that need no clock allow the change: some site always serves the address, a
+    /// withdrawal does not overload the remaining sites, and an exclusive address has one owner.
     pub(crate) fn is_allowed(&self, prefix: &str, site: &Name, announce: bool) -> bool {
         let Some(rule) = self.replicated.rules.address(prefix) else { return false };
         let listed = rule.sites.contains(site);
@@ -367,7 +374,7 @@
             let any_healthy = rule.sites.iter().any(|s| self.health(s) == SiteHealth::Healthy);
             let served = current.iter().any(|s| self.health(s) != SiteHealth::Down);
             return match (rule.kind, current.first()) {
-                // Nobody serves it: the best there is, at once.
+                // No site serves the address: a healthy site may start, or any site if none is healthy.
                 _ if !served => healthy || !any_healthy,
                 (AddressKind::Shared, _) => healthy,
                 (AddressKind::Exclusive, None) => healthy,
@@ -401,7 +408,8 @@
         }
     }
 
-    /// Whether `rest` can bear what is asked of `site`, or it serves so little that it makes no difference.
+    /// Returns whether the sites `rest` have spare capacity for the load of `site`, or `site` answers less
+    /// than `floor`, so that keeping it makes no difference.
     fn can_absorb(&self, rest: &[&Name], site: &Name) -> bool {
         let metrics = self.site_metrics(site);
         let spare = rest.iter().fold(0u64, |n, s| n.saturating_add(self.site_metrics(s).spare_capacity()));
--- a/crates/addresses/src/timers.rs
+++ b/crates/addresses/src/timers.rs
@@ -1,8 +1,8 @@
-//! When a leader proposes that a site begins or ceases to advertise: the rules that need a clock.
+//! The rules that need a clock: when a leader proposes that a site starts or stops advertising.
 //!
-//! Every node keeps these times by its own boot clock, from when it learnt of an entry, so that the next leader goes on
-//! where the last one stopped. Each waits longer than the rule says by the drift of clocks, and an entry names the address's last
-//! change, so two that think they lead can't both withdraw.
+//! Every node runs these timers on its own boot clock from the moment it applied an entry, so that a new
+//! leader continues where the previous one stopped. Each wait is extended by the maximum clock drift. An
+//! entry names the address's last change, so two nodes that both believe to lead cannot both withdraw a site.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use crate::rules::{AddressKind, AddressRule, Rules};
 use crate::state::{Effect, ProposalBody, State};
 
-/// A decision that was not seen decided is proposed anew after this long; four tries within the second.
+/// A proposal that has not been decided is repeated after this delay: four attempts within a second.
 const REPROPOSE_DELAY: Duration = Duration::from_millis(200);
 
-/// What a node counts time from.
+/// The times from which a node measures the waits of the rules.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
-    /// Whether a site was well, and since when. At most one a site of the rules.
+    /// Whether a site is healthy, and since when. At most one entry per site listed in the rules.
     health_since: BTreeMap<Name, (bool, Duration)>,
-    /// Last withdrawal, by address.
+    /// Time of the last withdrawal, by address.
     withdrawn: BTreeMap<String, Duration>,
-    /// Last change, by address.
+    /// Time of the last change, by address.
     changed: BTreeMap<String, Duration>,
     proposed: BTreeMap<String, Duration>,
 }
@@ -34,14 +34,14 @@
     t.mul_f64(1.0 + DRIFT)
 }
 
-/// How long a site has to be well, by its flaps.
+/// How long a site with this many flaps has to be healthy before it advertises again.
 pub(crate) fn hold_up(rules: &Rules, flaps: u32) -> Duration {
     let doubled = u64::from(rules.hold_up) << flaps.min(16);
     Duration::from_millis(doubled.min(u64::from(rules.hold_up_max)))
 }
 
 impl Timers {
-    /// After a snapshot everything counts from now.
+    /// Timers after a snapshot was restored: all of them start at `now`.
     pub fn restored(now: Duration, state: &State) -> Self {
         let restored: BTreeMap<String, Duration> =
             state.replicated.rules.addresses.iter().map(|a| (a.prefix.clone(), now)).collect();
@@ -50,7 +50,7 @@
         timers
     }
 
-    /// An entry was learnt at `now`.
+    /// Updates the timers for an entry that was applied at `now`.
     pub fn entry_applied(&mut self, now: Duration, state: &State, effect: &Effect) {
         let rules = &state.replicated.rules;
         for site in listed_sites(rules) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What to propose at `now`: at most one change an address.
+    /// Returns the proposals due at `now`, at most one per address.
     pub fn proposals(&mut self, now: Duration, state: &State) -> Vec<ProposalBody> {
         let mut proposals = Vec::new();
         for rule in &state.replicated.rules.addresses {
@@ -117,11 +117,12 @@
         let current: Vec<&Name> = state.sites(prefix).collect();
         let rank = |s: &Name| (state.health(s), state.site_metrics(s).answered_permille(), s.clone());
         let settled = self.withdrawn.get(prefix).is_none_or(|at| now >= *at + with_drift(ms(rules.settling)));
-        // Gone with all its nodes: the leases have waited already.
+        // A site without nodes needs no further wait: its nodes' leases had to expire first.
         let has_no_nodes = |s: &Name| state.site_metrics(s).nodes == 0;
         let held_down =
             |s: &Name| has_no_nodes(s) || self.health_duration(now, s, false) >= ms(rules.hold_down);
-        // All times waited: the least times of the site that begins, and what the one that ceases is due.
+        // Whether all waits have elapsed: the hold-up of a site that starts, the hold-down and settling time
+        // of one that stops.
         let timers_elapsed = |s: &Name, announce: bool| {
             let held =
                 self.health_duration(now, s, true) >= with_drift(hold_up(rules, state.flaps(prefix, s)));
@@ -131,7 +132,8 @@
                 (false, _) => settled && held_down(s),
             }
         };
-        // An exclusive address leaves even a dead owner only after the hold-down, or with the last of its nodes.
+        // An exclusive address moves away even from an owner that is down only after the hold-down, or when
+        // the owner has no nodes left.
         let held_down_if_exclusive = |s: &Name, announce: bool| match (announce, rule.kind) {
             (true, AddressKind::Exclusive) => current.iter().all(|o| !rule.sites.contains(o) || held_down(o)),
             (true, AddressKind::Shared) => true,
@@ -143,7 +145,7 @@
                     || (state.needs_no_wait(prefix, s, announce) && held_down_if_exclusive(s, announce)))
         };
         let mut candidates: Vec<&Name> = rule.sites.iter().filter(|s| is_due(s, true)).collect();
-        // The best of bad ones; of good ones the first named.
+        // Of healthy sites the first listed; otherwise the one with the best health and answered share.
         candidates.sort_by_key(|s| match state.health(s) {
             SiteHealth::Healthy => (std::cmp::Reverse(SiteHealth::Healthy), 0),
             other => (std::cmp::Reverse(other), 1000 - state.site_metrics(s).answered_permille()),
--- a/crates/addresses/tests/common/mod.rs
+++ b/crates/addresses/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Sites of nodes on the model of the log, with the stand-in router and everything recorded on the true clock.
-#![allow(dead_code, reason = "tests and the measuring example each use a part")]
+//! Simulated sites of nodes on the model of the replicated log, with an emulated router; everything is
+//! recorded on the simulation's clock.
+#![allow(dead_code, reason = "each test and the measuring example use only a part")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -27,7 +28,7 @@
     Duration::from_millis(ms)
 }
 
-/// The rules of the runs: the defaults, but shorter where nothing is lost by it.
+/// The rules of the runs: the defaults with shorter durations where that does not weaken the tests.
 pub fn rules(sites: &[Name]) -> Rules {
     let rule =
         |prefix: &str, kind| AddressRule { prefix: prefix.into(), kind, med: 100, sites: sites.to_vec() };
@@ -42,7 +43,7 @@
     }
 }
 
-/// What a site's nodes see together.
+/// Total load of a site's nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub requested_worth: u64,
@@ -62,7 +63,8 @@
     pub records: Vec<Record>,
     pub rng: Pcg64,
     pub fault: InjectedFault,
-    /// One end a site, that stays open when a speaker dies, instead of one a node.
+    /// Whether each site has one router session that stays open when a speaker dies, instead of one session
+    /// per node.
     pub shared_session: bool,
     pub bytes: Vec<u64>,
     observer: Addresses,
@@ -77,7 +79,7 @@
 fn make_node(site: Name, rules: Rules, fault: InjectedFault) -> impl FnOnce(Peer, Now) -> Addresses {
     move |me, now| {
         let mut a = Addresses::new(me, site, LeaseSettings::default(), now);
-        a.set_rules(now, 1, rules).expect("rules that can be followed");
+        a.set_rules(now, 1, rules).expect("valid rules");
         a.inject_fault(fault);
         a
     }
@@ -94,7 +96,7 @@
 }
 
 impl World {
-    /// `sites` of `nodes` each.
+    /// Creates `sites` sites of `nodes` nodes each.
     pub fn new(seed: u64, sites: usize, nodes: usize, faults: Faults, fault: InjectedFault) -> Self {
         let names: Vec<Name> = (0..sites).map(|s| name(&format!("site-{s}"))).collect();
         let rules = rules(&names);
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Runs until it holds, at most `limit`; how long it took.
+    /// Runs until `done` returns true, at most for `limit`; returns the time it took.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -182,20 +184,20 @@
         Some(self.model.now() - start)
     }
 
-    /// The node that speaks for a site, by itself.
+    /// The node that considers itself the speaker of a site.
     pub fn speaker(&mut self, site: usize) -> Option<usize> {
         (0..self.site_of.len())
             .filter(|&i| self.site_of[i] == site)
             .find(|&i| self.model.machine(i).is_some_and(|(m, now)| m.is_speaker(now)))
     }
 
-    /// The site that an exclusive address leads to.
+    /// The site to which the exclusive address is routed.
     pub fn owner_site(&self) -> Option<usize> {
         let site = self.router.select_site(EXCLUSIVE, 0)?;
         self.sites.iter().position(|s| s == site)
     }
 
-    /// A node is killed; its end closes or (a file, a shared pipe) stays.
+    /// Kills a node. Its router session closes or, as with a file or a shared pipe, stays open.
     pub fn kill(&mut self, i: usize, closes: bool) {
         self.model.kill(i);
         if closes && !self.shared_session {
@@ -235,7 +237,10 @@
                 Some(text) => {
                     let site =
                         self.sites[if self.shared_session { session } else { self.site_of[session] }].clone();
-                    assert!(self.router.receive_line(now, session as u32, &site, &text), "unread: {text}");
+                    assert!(
+                        self.router.receive_line(now, session as u32, &site, &text),
+                        "line not accepted: {text}"
+                    );
                 }
                 None => self.router.close_session(now, session as u32),
             }
@@ -244,7 +249,7 @@
         self.records.extend(self.router.take_records());
     }
 
-    /// What a node's carrier does every 10 ms: tells what it sees, writes what it is to say.
+    /// Does what a node's host program does every 10 ms: passes the node its metrics and writes its commands.
     fn drive_node(&mut self, i: usize) {
         let site = self.site_of[i];
         let metrics = self.metrics(site);
@@ -257,7 +262,7 @@
         let session = if self.shared_session { site } else { i };
         let delay = ms(self.rng.random_range(0..u64::from(self.rules.write)));
         let at = (self.model.now() + delay).max(self.last_delivery(session));
-        // In order, and within the write's time: the later of two writes never comes first.
+        // In order and within the write time: a later write never overtakes an earlier one.
         let at = at.min(self.model.now() + ms(u64::from(self.rules.write)));
         self.deliveries.extend(lines.into_iter().map(|l| (at, session, Some(l.to_string()))));
     }
@@ -311,7 +316,7 @@
         }
     }
 
-    /// What the log decided, at the moment when it did.
+    /// Records what the log decided, at the time of the decision.
     fn apply_decided(&mut self) {
         let now = Now { boot: self.model.now(), wall_ms: 0 };
         while let Some(decided) = self.model.log().get(self.observed_entries) {
--- a/crates/addresses/tests/faulty.rs
+++ b/crates/addresses/tests/faulty.rs
@@ -1,4 +1,5 @@
-//! Every rule of the checker catches a history that breaks it, by name, and finds nothing in the one beside it that doesn't.
+//! For every rule the checker reports a history that violates it, under the rule's name, and accepts a
+//! similar valid one.
 
 use std::time::Duration;
 
@@ -51,12 +52,12 @@
     Observation::Judged { site: name(site), seen: site_status(j, asked) }
 }
 
-/// Three sites well and decided for the shared address, `a` owns the exclusive one; then what is added.
+/// Three healthy sites advertise the shared address and `a` owns the exclusive one; `more` follows.
 fn history(more: Vec<(u64, Observation)>) -> Vec<Record> {
     let mut all = vec![(0, Observation::Rules(rules()))];
     for (i, site) in ["a", "b", "c"].iter().enumerate() {
-        let well = SiteHealth::Healthy;
-        all.extend([(0, actual(site, well)), (0, judged(site, well, 10))]);
+        let healthy = SiteHealth::Healthy;
+        all.extend([(0, actual(site, healthy)), (0, judged(site, healthy, 10))]);
         all.extend([(6000, decided(SHARED, site, true)), (6010, route(SHARED, site, i as u32, true))]);
     }
     all.extend([(6000, decided(EXCLUSIVE, "a", true)), (6010, route(EXCLUSIVE, "a", 0, true))]);
@@ -64,7 +65,7 @@
     all.into_iter().map(|(ms, what)| Record { at: Duration::from_millis(ms), what }).collect()
 }
 
-/// The faulty history breaks this rule alone; the sound one breaks none.
+/// Asserts that the faulty history violates only this rule and the valid one violates none.
 fn assert_detects(rule: &str, faulty: Vec<(u64, Observation)>, valid: Vec<(u64, Observation)>) {
     let report = check(&history(faulty), Bounds::default());
     assert!(
@@ -73,7 +74,7 @@
         report.violations
     );
     let report = check(&history(valid), Bounds::default());
-    assert!(report.violations.is_empty(), "{rule}, sound: {:?}", report.violations);
+    assert!(report.violations.is_empty(), "{rule}, valid: {:?}", report.violations);
 }
 
 fn end(ms: u64) -> (u64, Observation) {
@@ -95,16 +96,16 @@
     assert_detects("withdraw-in-time", faulty, valid);
 }
 
-/// `a` is withdrawn as sick at 22 s, is well from `well` on and comes back at `back`.
-fn withdrawn_and_back(well: u64, back: u64) -> Vec<(u64, Observation)> {
+/// `a` is withdrawn as degraded at 22 s, is healthy from `healthy_at` on and advertises again at `back`.
+fn withdrawn_and_back(healthy_at: u64, back: u64) -> Vec<(u64, Observation)> {
     let (degraded, ok) = (SiteHealth::Degraded, SiteHealth::Healthy);
     vec![
         (20_000, actual("a", degraded)),
         (20_000, judged("a", degraded, 10)),
         (22_000, decided(SHARED, "a", false)),
         (22_100, route(SHARED, "a", 0, false)),
-        (well, actual("a", ok)),
-        (well, judged("a", ok, 10)),
+        (healthy_at, actual("a", ok)),
+        (healthy_at, judged("a", ok, 10)),
         (back, decided(SHARED, "a", true)),
         (back + 10, route(SHARED, "a", 0, true)),
         end(back + 100),
@@ -144,7 +145,7 @@
 
 #[test]
 fn detects_no_cascade() {
-    let asked = |n: u64| {
+    let requested = |n: u64| {
         let degraded = SiteHealth::Degraded;
         vec![
             (20_000, actual("a", degraded)),
@@ -154,7 +155,7 @@
             end(23_000),
         ]
     };
-    assert_detects("no-cascade", asked(181), asked(180));
+    assert_detects("no-cascade", requested(181), requested(180));
 }
 
 #[test]
@@ -202,14 +203,14 @@
 
 #[test]
 fn detects_stale_withdrawn() {
-    let dead = |gone: u64| {
+    let down = |gone: u64| {
         vec![
             (20_000, judged("a", SiteHealth::Down, 0)),
             (20_000, decided(SHARED, "a", false)),
             (gone, route(SHARED, "a", 0, false)),
         ]
     };
-    assert_detects("stale-withdrawn", dead(24_000), dead(22_000));
+    assert_detects("stale-withdrawn", down(24_000), down(22_000));
 }
 
 #[test]
--- a/crates/addresses/tests/runs.rs
+++ b/crates/addresses/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Sites of nodes on the model of the log: seeded runs under every fault, judged by the checker.
+//! Seeded runs of simulated sites under all kinds of faults, verified by the checker.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use magpietally_consensus::model::Faults;
 use rand::RngExt;
 
-/// What is undone later.
+/// A fault to revert later.
 enum Undo {
     Isolate(usize),
     Pause(usize),
@@ -23,10 +23,11 @@
     Faults { loss: 0.15, duplicate: 0.2, max_decide_delay: ms(150), max_learn_delay: ms(150) }
 }
 
-/// After the last of the disturbances: leases lapse, the log moves again, and the next speaks.
+/// Time to recover after the last disturbance: leases expire, the log makes progress again and a new speaker
+/// starts.
 const RECOVERY_TIME: Duration = Duration::from_secs(14);
 
-/// A node that can lead takes the lead; who led before still thinks so.
+/// Elects a running node that is not isolated; the previous leader still believes that it leads.
 fn elect(w: &mut World, isolated: &[bool], before: usize) -> usize {
     let candidates: Vec<usize> =
         (0..w.site_of.len()).filter(|&i| w.model.is_running(i) && !isolated[i]).collect();
@@ -39,7 +40,7 @@
     next
 }
 
-/// Random faults for 40 s, then quiet in which sites sicken and heal, for 40 s.
+/// Runs 40 s of random faults, then about 40 s without faults in which sites degrade and recover.
 fn run_with_faults(seed: u64, fault: InjectedFault) -> World {
     let mut w = World::new(seed, 3, 3, lossy_network(), fault);
     let nodes = w.site_of.len();
@@ -74,7 +75,7 @@
                 undo.push((undo_at, Undo::Isolate(i)));
             }
             5 | 6 if w.model.is_running(i) => {
-                // Now and then the very node that speaks.
+                // The site's speaker, if it has one.
                 let i = w.speaker(site).unwrap_or(i);
                 w.model.set_paused(i, true);
                 undo.push((undo_at, Undo::Pause(i)));
@@ -145,10 +146,10 @@
         let w = run_with_faults(seed, InjectedFault::None);
         let report = check_records(&w);
         assert!(report.violations.is_empty(), "seed {seed}: {:?}", report.violations);
-        assert!(report.routes > 4, "seed {seed}: {} routes came up", report.routes);
+        assert!(report.routes > 4, "seed {seed}: {} routes were added", report.routes);
         withdrawals += report.withdrawals;
     }
-    assert!(withdrawals > 2 * (to - from) as usize, "{withdrawals} withdrawals: nothing was played");
+    assert!(withdrawals > 2 * (to - from) as usize, "{withdrawals} withdrawals: too few to test anything");
 }
 
 #[test]
@@ -194,7 +195,8 @@
                 w.run(ms(15_000));
                 let Some(owner) = w.owner_site().and_then(|s| w.speaker(s)) else { continue };
                 w.model.set_leader(Some((owner + 1) % 9));
-                // Stopped between asking and the answer; when it wakes it learns, but nothing that it says comes through.
+                // Paused between the request and the decision. After it resumes it learns entries, but its
+                // own messages are lost.
                 w.model.set_paused(owner, true);
                 w.run(ms(4300));
                 w.model.set_paused(owner, false);
@@ -214,9 +216,9 @@
 
 #[test]
 fn detects_stale_route_of_previous_speaker() {
-    let run_with_faults = |fault| {
+    let run = |fault| {
         let mut w = World::new(3, 3, 3, Faults::default(), fault);
-        // One end a site that outlives its speaker, at a daemon that never drops a silent one.
+        // A session per site that outlives its speaker, at a route daemon that never drops a silent session.
         w.shared_session = true;
         w.router = magpietally_addresses::router::Router::new(Duration::from_secs(3600));
         w.rules.addresses.truncate(1);
@@ -229,9 +231,9 @@
         w.run(ms(30_000));
         check_records(&w)
     };
-    let report = run_with_faults(InjectedFault::SkipsStaleWithdrawal);
+    let report = run(InjectedFault::SkipsStaleWithdrawal);
     assert!(report.has_violation("stale-withdrawn"), "{:?}", report.violations);
-    let report = run_with_faults(InjectedFault::None);
+    let report = run(InjectedFault::None);
     assert!(!report.has_violation("stale-withdrawn"), "{:?}", report.violations);
 }
 
@@ -244,8 +246,8 @@
         load.answered_permille = share;
     }
     w.run(ms(30_000));
-    let has_left: Vec<_> = w.state().sites(SHARED).cloned().collect();
-    assert_eq!(has_left, vec![w.sites[1].clone()]);
+    let remaining: Vec<_> = w.state().sites(SHARED).cloned().collect();
+    assert_eq!(remaining, vec![w.sites[1].clone()]);
     assert!(w.router.select_site(EXCLUSIVE, 0).is_some());
     w.loads = vec![HEALTHY_LOAD; 3];
     w.run(ms(40_000));
@@ -269,7 +271,7 @@
         assert!(w.router.best_sites(SHARED).contains(&site), "no route to the site");
         w.model.machine(speaker).is_some_and(|(m, _)| m.has_left())
     });
-    assert!(took.is_some(), "the speaker did not come to its end");
+    assert!(took.is_some(), "the speaker did not finish its stop");
     w.run(ms(1000));
     assert!(w.speaker(0).is_some_and(|next| next != speaker));
 }
