--- a/crates/addresses/src/check.rs
+++ b/crates/addresses/src/check.rs
@@ -1,7 +1,7 @@
-//! Checks records of routers, nodes and the log, all on one clock, against what was promised.
+//! Checks the records of routers, nodes and the log, all on one clock, against the protocol's guarantees.
 //!
-//! Claims and decisions are checked record by record. Bounds in time are looked at on a grid of 20 ms, which may find a fault
-//! that much too late, and never one that is none.
+//! Claims and decisions are checked record by record. Time bounds are checked every 20 ms: a violation may be
+//! found that much late, and no false violation is reported.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,240 +10,245 @@
 use magpietally_transport::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::health::Judgement;
-use crate::rules::{Kind, Rules};
+use crate::health::SiteHealth;
+use crate::rules::{AddressKind, Rules};
 
-/// How often bounds in time are looked at: a fiftieth of the tightest, one second.
-const GRID: Duration = Duration::from_millis(20);
-/// The log's milliseconds are whole, and a rule's least time may be cut by two roundings.
+/// Interval at which time bounds are checked: a fiftieth of the tightest bound, one second.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The log counts whole milliseconds, so two roundings may shorten a minimum time of the rules.
 const ROUNDING: Duration = Duration::from_millis(2);
 
-/// A site as somebody saw it.
+/// A site's health and load, as observed by the source of a record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
-    /// What it is.
-    pub judgement: Judgement,
-    /// Worth asked for a second.
+pub struct SiteStatus {
+    /// Health of the site.
+    pub judgement: SiteHealth,
+    /// Worth of the requests, per second.
     pub asked: u64,
-    /// Worth a second that it can answer.
+    /// Capacity, in worth per second.
     pub capacity: u64,
-    /// Answered of asked, in thousandths.
+    /// Answered share of the requested worth, in thousandths.
     pub share: u32,
 }
 
-/// What is recorded.
+/// A recorded event or state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
-    /// Rules took hold in the log.
+pub enum Observation {
+    /// Rules took effect in the log.
     Rules(Rules),
-    /// What a site truly is.
+    /// The actual status of a site.
     Truth {
-        /// Which.
+        /// The site.
         site: Name,
-        /// What.
-        seen: Seen,
+        /// Its status.
+        seen: SiteStatus,
     },
-    /// What the log says it is.
+    /// The status of a site according to the log.
     Judged {
-        /// Which.
+        /// The site.
         site: Name,
-        /// What.
-        seen: Seen,
+        /// Its status.
+        seen: SiteStatus,
     },
-    /// The log decided that a site begins or ceases to advertise.
+    /// The log decided that a site starts or stops advertising an address.
     Decided {
         /// The address.
         prefix: String,
         /// The site.
         site: Name,
-        /// Begins.
+        /// Whether the site starts advertising.
         up: bool,
     },
-    /// A router's route came or went.
+    /// A route was added to or removed from a router.
     Route {
         /// The address.
         prefix: String,
-        /// Where it leads.
+        /// The site to which it leads.
         site: Name,
-        /// By which end it was said.
+        /// The session on which it was announced.
         session: u32,
-        /// Came.
+        /// Whether the route was added.
         up: bool,
     },
-    /// A node says of itself that it owns an exclusive address, or no more.
+    /// A node starts or stops considering itself the owner of an exclusive address.
     Claim {
         /// The address.
         prefix: String,
         /// The node.
         node: u32,
-        /// It does.
+        /// Whether it starts.
         up: bool,
     },
-    /// Until then something is cut, stopped, killed or without a leader: bounds in time do not hold.
+    /// A fault lasts until the given time (an isolated, paused or killed node, no leader): time bounds do not
+    /// apply.
     Disturbed {
-        /// Until when.
+        /// End of the disturbance.
         until: Duration,
     },
     /// A planned stop of a node began.
     Stopping {
-        /// Which.
+        /// The node.
         node: u32,
     },
-    /// A node ended with so many requests open.
+    /// A node exited.
     Stopped {
-        /// Which.
+        /// The node.
         node: u32,
-        /// How many.
+        /// Number of requests that were open.
         open: u64,
     },
-    /// Nothing was recorded until here: bounds in time are held up to the last record.
+    /// End of the recording: time bounds are checked up to the last record.
     End,
-    /// A request that a node took was lost.
+    /// A request that a node had accepted was lost.
     Lost {
-        /// Which.
+        /// The node.
         node: u32,
     },
 }
 
-/// One record.
+/// One timestamped observation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the checker's clock.
+    /// Time on the checker's clock.
     pub at: Duration,
-    /// What.
-    pub what: What,
+    /// The observation.
+    pub what: Observation,
 }
 
-/// Bounds that the rules do not state.
+/// Time bounds that the rules do not specify.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From the hold-down's end to the router's withdrawal.
+    /// Maximum time from the end of the hold-down to the withdrawal at the router.
     pub withdraw: Duration,
-    /// An exclusive address without an owner at the router, a site being well.
+    /// Maximum time that an exclusive address has no route while a site is healthy.
     pub gap: Duration,
-    /// An address without a route, a site answering.
-    pub nobody: Duration,
-    /// A route against the log's decision.
+    /// Maximum time that an address has no route while some site answers requests.
+    pub unrouted: Duration,
+    /// Maximum time that a route contradicts the log's decision.
     pub stale: Duration,
 }
 
 impl Default for Bounds {
-    /// One second for withdrawing, by the promise. A gap: two leases of 5.07 s (speaker's and owner's run together, a third
-    /// for retries), 12 s in all; the same for nobody. Stale: the router's hold and a second.
+    /// Withdrawal: the guaranteed second. Gap: 12 s, for two leases of 5.07 s (those of the speaker and of
+    /// the owner run concurrently) and retries; the same for an address without a route. Stale: the router's
+    /// hold time plus a second.
     fn default() -> Self {
         Self {
             withdraw: Duration::from_secs(1),
             gap: Duration::from_secs(12),
-            nobody: Duration::from_secs(12),
+            unrouted: Duration::from_secs(12),
             stale: Duration::from_millis(2500),
         }
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
-    /// Which rule.
+pub struct Violation {
+    /// Name of the rule.
     pub rule: String,
-    /// When it was seen.
+    /// Time at which it was found.
     pub at: Duration,
-    /// Of what.
-    pub of: String,
+    /// The address, site or node concerned.
+    #[serde(rename = "of")]
+    pub subject: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at {:?}: {}", self.rule, self.at, self.of)
+        write!(f, "{} at {:?}: {}", self.rule, self.at, self.subject)
     }
 }
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
-    /// The first fault of each rule and thing.
-    pub faults: Vec<Fault>,
-    /// The longest time an exclusive address had no route after it had its first.
+pub struct CheckReport {
+    /// The first violation of each rule per subject.
+    pub violations: Vec<Violation>,
+    /// The longest time that an exclusive address had no route after its first one.
     pub gap: Duration,
-    /// Decisions that took a site away.
+    /// Number of decisions that withdrew a site.
     pub withdrawals: usize,
-    /// Routes that came up.
+    /// Number of routes added.
     pub routes: usize,
 }
 
-impl Report {
-    /// Whether a rule was broken.
-    pub fn broke(&self, rule: &str) -> bool {
-        self.faults.iter().any(|f| f.rule == rule)
+impl CheckReport {
+    /// Returns whether a rule was violated.
+    pub fn has_violation(&self, rule: &str) -> bool {
+        self.violations.iter().any(|f| f.rule == rule)
     }
 }
 
 #[derive(Default)]
-struct Course {
+struct Checker {
     rules: Rules,
-    truth: BTreeMap<Name, (Seen, Duration)>,
-    judged: BTreeMap<Name, (Seen, Duration)>,
+    truth: BTreeMap<Name, (SiteStatus, Duration)>,
+    judged: BTreeMap<Name, (SiteStatus, Duration)>,
     decided: BTreeMap<String, BTreeSet<Name>>,
     routes: BTreeMap<String, BTreeSet<(Name, u32)>>,
     claims: BTreeMap<String, BTreeSet<u32>>,
-    quiet: Duration,
-    /// Last withdrawal by (address), deaths aside, and of any kind.
-    withdrawn: BTreeMap<String, Duration>,
-    any_withdrawn: BTreeMap<String, Duration>,
-    /// Withdrawals by address and site, and the last of them.
+    disturbed_until: Duration,
+    /// Last withdrawal by address, apart from sites that were down or no longer listed; `last_withdrawn` has
+    /// all of them.
+    settling_from: BTreeMap<String, Duration>,
+    last_withdrawn: BTreeMap<String, Duration>,
+    /// Number of withdrawals by address and site, and the time of the last one.
     flaps: BTreeMap<(String, Name), (u32, Duration)>,
-    /// Since when a bound in time runs, by rule and thing.
-    runs: BTreeMap<(&'static str, String), Duration>,
-    had: BTreeMap<String, Duration>,
+    /// Start of each running time bound, by rule and subject.
+    bound_since: BTreeMap<(&'static str, String), Duration>,
+    last_routed: BTreeMap<String, Duration>,
     stopping: BTreeSet<u32>,
-    told: BTreeSet<(&'static str, String)>,
-    report: Report,
+    reported: BTreeSet<(&'static str, String)>,
+    report: CheckReport,
 }
 
-/// Checks records, in any order but for those of one moment, up to the last of them.
-pub fn check(records: &[Record], bounds: Bounds) -> Report {
+/// Checks records up to the last of them. They may come in any order, except that records of the same time
+/// have to be in the order in which they occurred.
+pub fn check(records: &[Record], bounds: Bounds) -> CheckReport {
     let mut order: Vec<&Record> = records.iter().collect();
-    // Stable: of one moment they stay as they were recorded.
+    // A stable sort keeps the order of records of the same time.
     order.sort_by_key(|r| r.at);
-    let mut course = Course::default();
+    let mut checker = Checker::default();
     let mut next = Duration::ZERO;
     for record in order {
         while next < record.at {
-            course.look(next, &bounds);
-            next += GRID;
+            checker.check_time_bounds(next, &bounds);
+            next += CHECK_INTERVAL;
         }
-        course.take(record.at, &record.what);
+        checker.apply(record.at, &record.what);
     }
-    course.look(next, &bounds);
-    course.report
+    checker.check_time_bounds(next, &bounds);
+    checker.report
 }
 
-impl Course {
-    fn fault(&mut self, rule: &'static str, at: Duration, of: impl Into<String>) {
-        let of = of.into();
-        if self.told.insert((rule, of.clone())) {
-            self.report.faults.push(Fault { rule: rule.to_owned(), at, of });
+impl Checker {
+    fn report_violation(&mut self, rule: &'static str, at: Duration, subject: impl Into<String>) {
+        let subject = subject.into();
+        if self.reported.insert((rule, subject.clone())) {
+            self.report.violations.push(Violation { rule: rule.to_owned(), at, subject });
         }
     }
 
-    fn kind(&self, prefix: &str) -> Option<Kind> {
-        self.rules.of(prefix).map(|r| r.kind)
+    fn address_kind(&self, prefix: &str) -> Option<AddressKind> {
+        self.rules.address(prefix).map(|r| r.kind)
     }
 
-    fn seen(&self, site: &Name) -> Seen {
+    fn site_status(&self, site: &Name) -> SiteStatus {
         self.judged.get(site).map(|j| j.0).unwrap_or_default()
     }
 
-    fn take(&mut self, at: Duration, what: &What) {
+    fn apply(&mut self, at: Duration, what: &Observation) {
         match what {
-            What::Rules(rules) => {
+            Observation::Rules(rules) => {
                 self.rules = rules.clone();
-                self.decided.retain(|p, _| rules.of(p).is_some());
+                self.decided.retain(|p, _| rules.address(p).is_some());
             }
-            What::Truth { site, seen } => put(&mut self.truth, at, site, *seen),
-            What::Judged { site, seen } => put(&mut self.judged, at, site, *seen),
-            What::Decided { prefix, site, up: true } => self.up(at, prefix, site),
-            What::Decided { prefix, site, up: false } => self.down(at, prefix, site),
-            What::Route { prefix, site, session, up } => {
+            Observation::Truth { site, seen } => record_health(&mut self.truth, at, site, *seen),
+            Observation::Judged { site, seen } => record_health(&mut self.judged, at, site, *seen),
+            Observation::Decided { prefix, site, up: true } => self.announce(at, prefix, site),
+            Observation::Decided { prefix, site, up: false } => self.withdraw(at, prefix, site),
+            Observation::Route { prefix, site, session, up } => {
                 let routes = self.routes.entry(prefix.clone()).or_default();
                 if !up {
                     routes.remove(&(site.clone(), *session));
@@ -252,11 +257,11 @@
                 routes.insert((site.clone(), *session));
                 self.report.routes += 1;
                 let speakers: BTreeSet<u32> = routes.iter().map(|r| r.1).collect();
-                if speakers.len() > 1 && self.kind(prefix) == Some(Kind::Exclusive) {
-                    self.fault("never-two-owners", at, format!("routes of {prefix}"));
+                if speakers.len() > 1 && self.address_kind(prefix) == Some(AddressKind::Exclusive) {
+                    self.report_violation("never-two-owners", at, format!("routes of {prefix}"));
                 }
             }
-            What::Claim { prefix, node, up } => {
+            Observation::Claim { prefix, node, up } => {
                 let claims = self.claims.entry(prefix.clone()).or_default();
                 if !up {
                     claims.remove(node);
@@ -264,38 +269,42 @@
                 }
                 claims.insert(*node);
                 if claims.len() > 1 {
-                    self.fault("never-two-owners", at, format!("claims of {prefix}"));
+                    self.report_violation("never-two-owners", at, format!("claims of {prefix}"));
                 }
             }
-            What::Disturbed { until } => self.quiet = self.quiet.max(*until),
-            What::End => {}
-            What::Stopping { node } => {
+            Observation::Disturbed { until } => self.disturbed_until = self.disturbed_until.max(*until),
+            Observation::End => {}
+            Observation::Stopping { node } => {
                 self.stopping.insert(*node);
             }
-            What::Stopped { node, open } => {
+            Observation::Stopped { node, open } => {
                 if self.stopping.remove(node) && *open > 0 {
-                    self.fault("stop-loses-nothing", at, format!("node {node} ended with {open} open"));
+                    self.report_violation(
+                        "stop-loses-nothing",
+                        at,
+                        format!("node {node} ended with {open} open"),
+                    );
                 }
             }
-            What::Lost { node } => {
+            Observation::Lost { node } => {
                 if self.stopping.contains(node) {
-                    self.fault("stop-loses-nothing", at, format!("a request of node {node}"));
+                    self.report_violation("stop-loses-nothing", at, format!("a request of node {node}"));
                 }
             }
         }
     }
 
-    fn up(&mut self, at: Duration, prefix: &str, site: &Name) {
-        let here = self.decided.get(prefix).cloned().unwrap_or_default();
-        let served = here.iter().any(|s| self.seen(s).judgement != Judgement::Dead);
+    fn announce(&mut self, at: Duration, prefix: &str, site: &Name) {
+        let announced = self.decided.get(prefix).cloned().unwrap_or_default();
+        let served = announced.iter().any(|s| self.site_status(s).judgement != SiteHealth::Down);
         if served {
-            let well = match self.judged.get(site) {
-                Some((seen, since)) if seen.judgement == Judgement::Well => at.saturating_sub(*since),
+            let healthy = match self.judged.get(site) {
+                Some((seen, since)) if seen.judgement == SiteHealth::Healthy => at.saturating_sub(*since),
                 _ => Duration::ZERO,
             } + ROUNDING;
             let ms = |n: u64| Duration::from_millis(n);
-            if well < ms(u64::from(self.rules.hold_up)) {
-                self.fault("hold-up", at, format!("{site} for {prefix}"));
+            if healthy < ms(u64::from(self.rules.hold_up)) {
+                self.report_violation("hold-up", at, format!("{site} for {prefix}"));
             }
             let (flaps, last) =
                 self.flaps.get(&(prefix.to_owned(), site.clone())).copied().unwrap_or_default();
@@ -303,56 +312,56 @@
             let forgiven = ((at - last).as_millis() / calm).min(u128::from(flaps)) as u32;
             let damped = (u64::from(self.rules.hold_up) << (flaps - forgiven).min(16))
                 .min(u64::from(self.rules.hold_up_max));
-            if well < ms(damped) {
-                self.fault("damped", at, format!("{site} for {prefix}"));
+            if healthy < ms(damped) {
+                self.report_violation("damped", at, format!("{site} for {prefix}"));
             }
         }
         self.decided.entry(prefix.to_owned()).or_default().insert(site.clone());
     }
 
-    fn down(&mut self, at: Duration, prefix: &str, site: &Name) {
+    fn withdraw(&mut self, at: Duration, prefix: &str, site: &Name) {
         self.report.withdrawals += 1;
-        let own = self.seen(site);
-        let kind = self.kind(prefix);
-        let here = self.decided.entry(prefix.to_owned()).or_default();
-        here.remove(site);
-        let here = here.clone();
-        let named = self.rules.of(prefix).is_some_and(|r| r.sites.contains(site));
-        if named && own.judgement != Judgement::Dead {
-            let rest: Vec<Seen> = here.iter().map(|s| self.seen(s)).collect();
+        let status = self.site_status(site);
+        let kind = self.address_kind(prefix);
+        let announced = self.decided.entry(prefix.to_owned()).or_default();
+        announced.remove(site);
+        let announced = announced.clone();
+        let listed = self.rules.address(prefix).is_some_and(|r| r.sites.contains(site));
+        if listed && status.judgement != SiteHealth::Down {
+            let rest: Vec<SiteStatus> = announced.iter().map(|s| self.site_status(s)).collect();
             let spare: u64 = rest
                 .iter()
-                .filter(|s| s.judgement != Judgement::Dead)
+                .filter(|s| s.judgement != SiteHealth::Down)
                 .map(|s| s.capacity.saturating_sub(s.asked))
                 .fold(0, u64::saturating_add);
-            // An exclusive address is moved: who takes it is told by the record that follows.
-            if kind == Some(Kind::Shared) {
-                if rest.iter().all(|s| s.judgement == Judgement::Dead) {
-                    self.fault("never-nobody", at, format!("{site} was the last of {prefix}"));
+            // An exclusive address is being moved; the next record names the new owner.
+            if kind == Some(AddressKind::Shared) {
+                if rest.iter().all(|s| s.judgement == SiteHealth::Down) {
+                    self.report_violation("never-nobody", at, format!("{site} was the last of {prefix}"));
                 }
-                if spare < own.asked && own.share >= self.rules.floor {
-                    self.fault("no-cascade", at, format!("{site} for {prefix}"));
+                if spare < status.asked && status.share >= self.rules.floor {
+                    self.report_violation("no-cascade", at, format!("{site} for {prefix}"));
                 }
             }
             let settling = Duration::from_millis(u64::from(self.rules.settling));
-            if self.withdrawn.get(prefix).is_some_and(|last| at + ROUNDING < *last + settling) {
-                self.fault("one-a-settling-time", at, format!("{site} for {prefix}"));
+            if self.settling_from.get(prefix).is_some_and(|last| at + ROUNDING < *last + settling) {
+                self.report_violation("one-a-settling-time", at, format!("{site} for {prefix}"));
             }
-            self.withdrawn.insert(prefix.to_owned(), at);
+            self.settling_from.insert(prefix.to_owned(), at);
         }
-        self.any_withdrawn.insert(prefix.to_owned(), at);
+        self.last_withdrawn.insert(prefix.to_owned(), at);
         let flaps = self.flaps.entry((prefix.to_owned(), site.clone())).or_default();
-        // What was forgiven before doesn't count again.
+        // Flaps that were already forgiven no longer count.
         let calm = u128::from(self.rules.calm.max(1));
         let forgiven = ((at - flaps.1).as_millis() / calm).min(u128::from(flaps.0)) as u32;
         *flaps = (flaps.0 - forgiven + 1, at);
     }
 
-    /// Looks at the bounds in time.
-    fn look(&mut self, now: Duration, bounds: &Bounds) {
+    /// Checks the time bounds.
+    fn check_time_bounds(&mut self, now: Duration, bounds: &Bounds) {
         let rules = self.rules.clone();
         let truth = |site: &Name| self.truth.get(site).copied().unwrap_or_default();
-        let mut holds: Vec<(&'static str, String, Duration)> = Vec::new();
+        let mut bounded: Vec<(&'static str, String, Duration)> = Vec::new();
         let empty = BTreeSet::new();
         let mut gaps = Vec::new();
         for rule in &rules.addresses {
@@ -360,61 +369,66 @@
             let routes = self.routes.get(prefix).unwrap_or(&empty);
             let sites: BTreeSet<&Name> = routes.iter().map(|r| &r.0).collect();
             let settling = Duration::from_millis(u64::from(rules.settling + rules.settling / 50));
-            let settled = self.any_withdrawn.get(prefix).is_none_or(|at| now >= *at + settling);
+            let settled = self.last_withdrawn.get(prefix).is_none_or(|at| now >= *at + settling);
             for site in &sites {
-                let (own, since) = truth(site);
+                let (status, since) = truth(site);
                 let hold_down = Duration::from_millis(u64::from(rules.hold_down));
                 let spare: u64 = sites
                     .iter()
-                    .filter(|s| *s != site && truth(s).0.judgement == Judgement::Well)
+                    .filter(|s| *s != site && truth(s).0.judgement == SiteHealth::Healthy)
                     .map(|s| truth(s).0.capacity.saturating_sub(truth(s).0.asked))
                     .sum();
-                let other = sites.iter().any(|s| s != site && truth(s).0.judgement == Judgement::Well);
-                let may = other && settled && (spare >= own.asked || own.share < rules.floor);
-                let sick = own.judgement != Judgement::Well && now >= since + hold_down;
-                if rule.kind == Kind::Shared && may && sick {
-                    holds.push(("withdraw-in-time", format!("{site} for {prefix}"), bounds.withdraw));
+                let other = sites.iter().any(|s| s != site && truth(s).0.judgement == SiteHealth::Healthy);
+                let can_withdraw = other && settled && (spare >= status.asked || status.share < rules.floor);
+                let degraded = status.judgement != SiteHealth::Healthy && now >= since + hold_down;
+                if rule.kind == AddressKind::Shared && can_withdraw && degraded {
+                    bounded.push(("withdraw-in-time", format!("{site} for {prefix}"), bounds.withdraw));
                 }
                 if !self.decided.get(prefix).is_some_and(|d| d.contains(*site)) {
-                    holds.push(("stale-withdrawn", format!("{site} for {prefix}"), bounds.stale));
+                    bounded.push(("stale-withdrawn", format!("{site} for {prefix}"), bounds.stale));
                 }
             }
-            if sites.is_empty() && rule.sites.iter().any(|s| truth(s).0.judgement != Judgement::Dead) {
-                holds.push(("never-nobody", prefix.clone(), bounds.nobody));
+            if sites.is_empty() && rule.sites.iter().any(|s| truth(s).0.judgement != SiteHealth::Down) {
+                bounded.push(("never-nobody", prefix.clone(), bounds.unrouted));
             }
-            if rule.kind == Kind::Exclusive {
+            if rule.kind == AddressKind::Exclusive {
                 if !sites.is_empty() {
-                    self.had.insert(prefix.clone(), now);
-                } else if let Some(last) = self.had.get(prefix) {
+                    self.last_routed.insert(prefix.clone(), now);
+                } else if let Some(last) = self.last_routed.get(prefix) {
                     gaps.push(now - *last);
-                    if rule.sites.iter().any(|s| truth(s).0.judgement == Judgement::Well) {
-                        holds.push(("gap-bounded", prefix.clone(), bounds.gap));
+                    if rule.sites.iter().any(|s| truth(s).0.judgement == SiteHealth::Healthy) {
+                        bounded.push(("gap-bounded", prefix.clone(), bounds.gap));
                     }
                 }
             }
         }
         self.report.gap = gaps.into_iter().fold(self.report.gap, Duration::max);
-        if now < self.quiet {
-            holds.clear();
+        if now < self.disturbed_until {
+            bounded.clear();
         }
-        let mut runs = BTreeMap::new();
-        // While something is disturbed no bound runs; after it each begins anew.
-        for (rule, of, bound) in holds {
-            let since = self.runs.get(&(rule, of.clone())).copied().unwrap_or(now);
+        let mut bound_since = BTreeMap::new();
+        // No bound runs during a disturbance; each starts over afterwards.
+        for (rule, subject, bound) in bounded {
+            let since = self.bound_since.get(&(rule, subject.clone())).copied().unwrap_or(now);
             if now > since + bound {
-                self.fault(rule, now, of.clone());
+                self.report_violation(rule, now, subject.clone());
             }
-            runs.insert((rule, of), since);
+            bound_since.insert((rule, subject), since);
         }
-        self.runs = runs;
+        self.bound_since = bound_since;
     }
 }
 
-/// Puts what a site is, keeping since when it is well or not.
-fn put(to: &mut BTreeMap<Name, (Seen, Duration)>, at: Duration, site: &Name, seen: Seen) {
-    let well = |j: Judgement| j == Judgement::Well;
+/// Stores a site's status with the time since which it has been healthy or not.
+fn record_health(
+    to: &mut BTreeMap<Name, (SiteStatus, Duration)>,
+    at: Duration,
+    site: &Name,
+    seen: SiteStatus,
+) {
+    let healthy = |j: SiteHealth| j == SiteHealth::Healthy;
     let since = match to.get(site) {
-        Some((before, since)) if well(before.judgement) == well(seen.judgement) => *since,
+        Some((before, since)) if healthy(before.judgement) == healthy(seen.judgement) => *since,
         _ => at,
     };
     to.insert(site.clone(), (seen, since));
--- a/crates/addresses/src/line.rs
+++ b/crates/addresses/src/route_command.rs
@@ -1,25 +1,25 @@
-//! The text that route daemons' process interfaces read.
+//! Text commands for the process interface of route daemons.
 
 use std::fmt;
 
-/// One line, without its end.
+/// One command, without the line terminator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Line {
-    /// The route leads here.
+pub enum RouteCommand {
+    /// Announces a route to this site.
     Announce {
-        /// As `192.0.2.10/32`.
+        /// The prefix, such as `192.0.2.10/32`.
         prefix: String,
-        /// The metric.
+        /// The metric (MED).
         med: u32,
     },
-    /// It does no more.
+    /// Withdraws the route.
     Withdraw {
-        /// As `192.0.2.10/32`.
+        /// The prefix, such as `192.0.2.10/32`.
         prefix: String,
     },
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for RouteCommand {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Announce { prefix, med } => write!(f, "announce route {prefix} next-hop self med {med}"),
@@ -28,8 +28,8 @@
     }
 }
 
-impl Line {
-    /// Reads a line back; none if it is not one of the two forms.
+impl RouteCommand {
+    /// Parses a line; `None` if it is neither of the two commands.
     pub fn parse(line: &str) -> Option<Self> {
         let words: Vec<&str> = line.split(' ').take(9).collect();
         match words[..] {
