--- a/crates/consensus/src/check.rs
+++ b/crates/consensus/src/check.rs
@@ -1,8 +1,8 @@
 //! Checks recorded histories of nodes against the guarantees of the log.
 //!
 //! The checker is a pure function of plain records, each with a time on **one** clock, the checker's rather
-//! than a node's. Records may be in any order, except that the records of one node's session must be in their
-//! by_node order.
+//! than a node's. Records may be in any order, except that the records of one node's session must be in the
+//! order in which they were made.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/quota/src/check.rs
+++ b/crates/quota/src/check.rs
@@ -178,7 +178,7 @@
                 )
             }
             Self::RetryAfterBroken { node, at } => {
-                write!(f, "node {node} refused at {at:?} what it old_rate definite_delays to come")
+                write!(f, "node {node} refused at {at:?} a request that it had told to come then")
             }
         }
     }
