--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -286,7 +286,6 @@
     }
 
     /// Submits a client's request; the receiver yields its final answer. The answer must be sent by
-
     /// `deadline`.
     ///
     /// # Errors
@@ -410,7 +409,6 @@
     }
 
     /// Answers all open requests because the node is about to exit: an answer is better than a connection
-
     /// reset. A request of which no attempt can have run is refused, because it can safely be retried; others
     /// fail.
     pub fn fail_open_requests(self: &Rc<Self>) {
@@ -431,7 +429,6 @@
     }
 
     /// When a client should retry a request of this class that is refused without being submitted; from the
-
     /// policy.
     pub fn retry_after(&self, class: usize) -> Millis {
         self.state.borrow().epochs.newest().retry_after(class)
@@ -481,7 +478,6 @@
     }
 
     /// Records the outcome of an attempt, for how long its connection had been idle, and its duration if the
-
     /// transport measured one. Returns its task, its server and its duration in milliseconds; `None` if it
     /// had already ended.
     pub(crate) fn end_attempt(
@@ -640,7 +636,6 @@
     }
 
     /// The list's source has a new address, which is called at once. The list and its version are kept: all
-
     /// nodes share one service, which continues from that version at the new address. The old call is aborted
     /// first, so that none of its updates arrive late.
     pub fn list_source_moved(self: &Rc<Self>) {
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -155,7 +155,9 @@
         let server = ServerId(stable_hash(&listed.name));
         let before = self.known.get(&server);
         if let Some(other) = before.filter(|b| b.name != listed.name) {
-            tracing::warn!(target: "list", "{} and {} have the same id, the second is ignored", other.name, listed.name);
+            tracing::warn!(
+                target: "list", "{} and {} have the same id, the second is ignored", other.name, listed.name
+            );
             return None;
         }
         let address = listed.address.or(before.map(|b| b.endpoint.address));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reads the settings object that the platform passes to a node, and the simulator to an instance, into the//! policy's [`Settings`] and the values that only a node with sockets needs. Unknown keys are ignored. A
+//! Reads the settings object that the platform passes to a node, and the simulator to an instance, into the
+//! policy's [`Settings`] and the values that only a node with sockets needs. Unknown keys are ignored. A
 //! value that is missing, of another type, out of range or an unknown word is an error that names its path in
 //! the object. There are no defaults, so that no value of one deployment applies to another that does not set
 //! it.
@@ -16,7 +17,7 @@
 const NODES_MAX: u64 = 1_000_000;
 
 fn class(f: &Fields) -> Result<(Class, Millis), FieldError> {
-    let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+    let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
     #[derive(Clone, Copy)]
     enum EffectKind {
         Safe,
@@ -29,7 +30,7 @@
         EffectKind::Safe => Effect::Safe,
         EffectKind::Unsafe => Effect::Unsafe,
         EffectKind::Keyed => Effect::Keyed {
-            scope: f.choice("DedupScope", &groups)?,
+            scope: f.choice("DedupScope", &scopes)?,
             memory: f.number_in("MemorySpan", Range::Positive)?,
         },
     };
--- a/crates/settings/tests/fields.rs
+++ b/crates/settings/tests/fields.rs
@@ -1,4 +1,5 @@
-//! Makes every field of the settings invalid in every way and checks for a one-line error that names its//! path.
+//! Makes every field of the settings invalid in every way and checks for a one-line error that names its
+//! path.
 
 use magpietally_policy::{DedupScope, Discovery, Effect, Weights};
 use magpietally_settings::{parse, parse_named};
