--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 const NODES_MAX: u64 = 1_000_000;
 
 fn class(f: &Fields) -> Result<(Class, Millis), FieldError> {
-    let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+    let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
     #[derive(Clone, Copy)]
     enum EffectKind {
         Safe,
@@ -30,7 +30,7 @@
         EffectKind::Safe => Effect::Safe,
         EffectKind::Unsafe => Effect::Unsafe,
         EffectKind::Keyed => Effect::Keyed {
-            scope: f.choice("DedupScope", &groups)?,
+            scope: f.choice("DedupScope", &scopes)?,
             memory: f.number_in("MemorySpan", Range::Positive)?,
         },
     };
