--- a/crates/consensus/examples/measure.rs
+++ b/crates/consensus/examples/measure.rs
@@ -38,21 +38,22 @@
     for i in 0..nodes {
         start(&mut world, &names, i);
     }
-    let leads = |w: &mut World<TestNode>| (0..VOTERS).any(|i| w.room(i).is_some_and(|r| r.node.is_leader()));
+    let leads =
+        |w: &mut World<TestNode>| (0..VOTERS).any(|i| w.protocol(i).is_some_and(|r| r.node.is_leader()));
     world.run_until(Duration::from_secs(20), leads).expect("a voter leads");
     world.run(Duration::from_secs(5));
     (world, names)
 }
 
 fn index(world: &World<TestNode>, i: usize) -> Index {
-    world.room(i).map_or(Index(0), |r| r.index)
+    world.protocol(i).map_or(Index(0), |r| r.index)
 }
 
 /// Times until an entry reached its proposer, half of the nodes, and all of them.
 fn spread(world: &mut World<TestNode>, nodes: usize) -> [Duration; 3] {
     let before = index(world, nodes - 1);
     let from = world.now();
-    world.act(nodes - 1, |node, now| node.propose(now, vec![7; 100]));
+    world.call(nodes - 1, |node, now| node.propose(now, vec![7; 100]));
     let mut times = [None; 3];
     for _ in 0..20_000 {
         world.run(MS);
@@ -76,12 +77,12 @@
     let seconds = 10;
     for n in 0..seconds * per_s.max(1) {
         if per_s > 0 {
-            world.act(n as usize * 7 % nodes, |node, now| node.propose(now, vec![7; 100]));
+            world.call(n as usize * 7 % nodes, |node, now| node.propose(now, vec![7; 100]));
         }
         world.run(Duration::from_secs(1) / per_s.max(1) as u32);
     }
     let sent = |i: usize| (world.counts(i).sent_bytes - before[i]) / seconds;
-    let leads = |i: &usize| world.room(*i).is_some_and(|r| r.node.is_leader());
+    let leads = |i: &usize| world.protocol(*i).is_some_and(|r| r.node.is_leader());
     let leader = (0..VOTERS).find(leads).expect("a voter leads");
     let mean = |of: Vec<usize>| of.iter().map(|i| sent(*i)).sum::<u64>() / of.len().max(1) as u64;
     [sent(leader), mean((0..VOTERS).filter(|i| *i != leader).collect()), mean((VOTERS..nodes).collect())]
@@ -93,7 +94,7 @@
     world.kill(last);
     for n in 0..missed / 10 {
         for _ in 0..10 {
-            world.act((n as usize * 3) % last, |node, now| node.propose(now, vec![7; 100]));
+            world.call((n as usize * 3) % last, |node, now| node.propose(now, vec![7; 100]));
         }
         world.run(20 * MS);
     }
--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -91,7 +91,7 @@
 
     fn collect(&mut self) {
         for i in 0..self.names.len() {
-            if let Some(node) = self.world.room_mut(i) {
+            if let Some(node) = self.world.protocol_mut(i) {
                 self.history.append(&mut node.records);
             }
         }
@@ -99,7 +99,7 @@
 
     fn kill(&mut self, i: usize, written: bool) {
         self.collect();
-        if let Some(node) = self.world.room_mut(i) {
+        if let Some(node) = self.world.protocol_mut(i) {
             node.lose_power(written);
         }
         self.world.kill(i);
@@ -112,18 +112,18 @@
     }
 
     fn propose(&mut self, i: usize, body: Vec<u8>) -> bool {
-        self.world.act(i, |node, now| node.propose(now, body)) == Some(true)
+        self.world.call(i, |node, now| node.propose(now, body)) == Some(true)
     }
 
     fn index(&self, i: usize) -> Index {
-        self.world.room(i).map_or(Index(0), |r| r.index)
+        self.world.protocol(i).map_or(Index(0), |r| r.index)
     }
 
     fn await_leader(&mut self) {
         let voters = self.plan.voters;
         let ready = |w: &mut World<TestNode>| {
-            (0..voters).all(|i| w.room(i).is_some_and(|r| r.node.status().no_vote.is_none()))
-                && (0..voters).any(|i| w.room(i).is_some_and(|r| r.node.is_leader()))
+            (0..voters).all(|i| w.protocol(i).is_some_and(|r| r.node.status().no_vote.is_none()))
+                && (0..voters).any(|i| w.protocol(i).is_some_and(|r| r.node.is_leader()))
         };
         assert!(
             self.world.run_until(CONVERGENCE_LIMIT, ready).is_some(),
@@ -138,7 +138,7 @@
         self.world.net_mut().set_faults(Faults::default());
         for i in 0..self.names.len() {
             self.disks[i].lock().expect("disk lock").full = false;
-            if self.world.room(i).is_none() {
+            if self.world.protocol(i).is_none() {
                 self.start(i);
             } else if self.world.is_paused(i) {
                 self.world.resume(i);
@@ -153,9 +153,9 @@
             let at = w.now() - start;
             if at >= next {
                 next = at + 500 * MS;
-                w.act(0, |node, now| node.propose(now, seed.to_le_bytes().to_vec()));
+                w.call(0, |node, now| node.propose(now, seed.to_le_bytes().to_vec()));
             }
-            let index = |i: usize| w.room(i).map(|r| (r.index, r.digest));
+            let index = |i: usize| w.protocol(i).map(|r| (r.index, r.digest));
             let first = index(0);
             first.map(|f| f.0) > before && (1..w.len()).all(|i| index(i) == first)
         })
@@ -167,7 +167,7 @@
         self.collect();
         let violations = check(&self.history);
         let status: Vec<_> = (0..self.names.len())
-            .filter_map(|i| Some((i, self.index(i).0, self.world.room(i)?.node.status())))
+            .filter_map(|i| Some((i, self.index(i).0, self.world.protocol(i)?.node.status())))
             .collect();
         if let Some(first) = violations.first() {
             return Err(format!("seed {}: {first}", self.seed));
@@ -202,11 +202,11 @@
         match rng.random_range(0..20) {
             0 => fleet.kill(a, rng.random_bool(0.5)),
             1 | 2 => {
-                if fleet.world.room(a).is_none() {
+                if fleet.world.protocol(a).is_none() {
                     fleet.start(a);
                 }
             }
-            3 if fleet.world.room(a).is_some() => fleet.world.pause(a),
+            3 if fleet.world.protocol(a).is_some() => fleet.world.pause(a),
             4 | 5 => {
                 (0..nodes).filter(|i| fleet.world.is_paused(*i)).collect::<Vec<_>>().into_iter().for_each(
                     |i| {
@@ -230,7 +230,7 @@
                 fleet.start(a);
             }
             13 => {
-                fleet.world.act(a, |node, now| node.read(now));
+                fleet.world.call(a, |node, now| node.read(now));
             }
             _ => {
                 for n in 0..rng.random_range(1..8_u64) {
--- a/crates/consensus/src/sim/scenarios.rs
+++ b/crates/consensus/src/sim/scenarios.rs
@@ -12,19 +12,19 @@
 
 impl Fleet {
     fn leader(&self) -> usize {
-        let leads = |i: &usize| self.world.room(*i).is_some_and(|r| r.node.is_leader());
+        let leads = |i: &usize| self.world.protocol(*i).is_some_and(|r| r.node.is_leader());
         (0..self.plan.voters).find(leads).expect("a voter leads")
     }
 
     fn no_vote(&self, i: usize) -> Option<NoVoteReason> {
-        self.world.room(i).expect("node is running").node.status().no_vote
+        self.world.protocol(i).expect("node is running").node.status().no_vote
     }
 
     /// Proposes on node `i` and waits until it learns another entry, for at most `limit`.
     fn propose_and_wait(&mut self, i: usize, limit: Duration) -> Option<Duration> {
         let before = self.index(i);
         self.propose(i, vec![7]);
-        self.world.run_until(limit, |w| w.room(i).is_some_and(|r| r.index > before))
+        self.world.run_until(limit, |w| w.protocol(i).is_some_and(|r| r.index > before))
     }
 }
 
@@ -84,7 +84,10 @@
             }
             let at = fleet.index(voters);
             assert!(
-                fleet.world.run_until(2000 * MS, |w| w.room(other).is_some_and(|r| r.index >= at)).is_some(),
+                fleet
+                    .world
+                    .run_until(2000 * MS, |w| w.protocol(other).is_some_and(|r| r.index >= at))
+                    .is_some(),
                 "the voter with the failed link learns from other nodes"
             );
             assert_eq!(fleet.converge_and_check(), Ok(()));
@@ -121,7 +124,7 @@
     fleet.propose(3, vec![1]);
     fleet.world.run(100 * MS);
     assert_eq!(fleet.no_vote(leader), Some(NoVoteReason::CannotWrite));
-    let status = fleet.world.room(leader).expect("node is running").node.status();
+    let status = fleet.world.protocol(leader).expect("node is running").node.status();
     assert_eq!(status.write_error.as_deref(), Some("no space left"));
     assert!(fleet.propose_and_wait(3, Duration::from_secs(10)).is_some(), "the other voters continue");
     assert_ne!(fleet.leader(), leader);
@@ -140,8 +143,8 @@
     }
     fleet.start(4);
     let at = fleet.index(3);
-    assert!(fleet.world.run_until(5000 * MS, |w| w.room(4).is_some_and(|r| r.index == at)).is_some());
-    let digests = [3, 4].map(|i| fleet.world.room(i).map(|r| r.digest));
+    assert!(fleet.world.run_until(5000 * MS, |w| w.protocol(4).is_some_and(|r| r.index == at)).is_some());
+    let digests = [3, 4].map(|i| fleet.world.protocol(i).map(|r| r.digest));
     assert_eq!(digests[0], digests[1], "same state");
     fleet.collect();
     let restored = |r: &Record| {
@@ -160,7 +163,7 @@
         session: magpietally_transport::Session(1),
     };
     let mut rng = Pcg64::seed_from_u64(9);
-    let before = fleet.world.room(0).expect("node is running").node.status().dropped;
+    let before = fleet.world.protocol(0).expect("node is running").node.status().dropped;
     for n in 0..2000_u64 {
         let len = rng.random_range(0..60);
         let mut bytes: Vec<u8> = (0..len).map(|_| rng.random()).collect();
@@ -171,10 +174,10 @@
         if !matches!(bytes.get(1), Some(4 | 5)) {
             fleet
                 .world
-                .act(0, |node, now| magpietally_transport::Protocol::on_message(node, now, &from, &bytes));
+                .call(0, |node, now| magpietally_transport::Protocol::on_message(node, now, &from, &bytes));
         }
     }
-    let after = fleet.world.room(0).expect("node is running").node.status().dropped;
+    let after = fleet.world.protocol(0).expect("node is running").node.status().dropped;
     assert!(after > before + 1000, "{before} {after}");
     assert_eq!(fleet.converge_and_check(), Ok(()));
 }
@@ -190,8 +193,8 @@
         name: fleet.names[1].clone(),
         session: magpietally_transport::Session(1),
     };
-    fleet.world.act(3, |node, now| magpietally_transport::Protocol::on_message(node, now, &from, &bytes));
-    let status = fleet.world.room(3).expect("node is running").node.status();
+    fleet.world.call(3, |node, now| magpietally_transport::Protocol::on_message(node, now, &from, &bytes));
+    let status = fleet.world.protocol(3).expect("node is running").node.status();
     assert_eq!((status.diverged_at, status.no_vote), (Some(index), Some(NoVoteReason::Broken)));
     assert!(!fleet.propose(3, vec![1]), "rejects proposals");
 }
--- a/crates/contracts/tests/virtual_time/mod.rs
+++ b/crates/contracts/tests/virtual_time/mod.rs
@@ -21,7 +21,7 @@
 
     pub fn new(kind: Kind, faults: Faults, seed: u64) -> Self {
         // A small queue is full soon; all else as it is everywhere.
-        let limits = Limits { waiting: 64, ..Limits::default() };
+        let limits = Limits { queue_capacity: 64, ..Limits::default() };
         let faulty = faults.loss > 0.0;
         let mut net = Net::new(seed, faults, limits.clone());
         for node in 0..Self::NODES {
@@ -73,7 +73,7 @@
     }
 
     fn under_way(&self) -> usize {
-        self.limits.waiting
+        self.limits.queue_capacity
     }
 
     fn faulty(&self) -> bool {
@@ -86,7 +86,7 @@
                 if on {
                     net.cut(from, to);
                 } else {
-                    net.mend(from, to);
+                    net.restore(from, to);
                 }
             }
         });
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -60,7 +60,7 @@
     /// Creates `n` nodes, at most [`magpietally_simnet::NODES_MAX`], named `n0`, `n1` and so on, on a network
     /// with `faults`. Each node joins through node 0, and node 0 through node 1.
     pub fn new(n: usize, settings: &Settings, faults: Faults, seed: u64) -> Self {
-        let limits = Limits { datagram: DATAGRAM_MAX_BYTES, ..Limits::default() };
+        let limits = Limits { datagram_max_bytes: DATAGRAM_MAX_BYTES, ..Limits::default() };
         let mut world = World::new(seed, faults, limits, 0);
         let names: BTreeMap<SocketAddrV4, Name> = (0..n)
             .map(|i| (addr(i), name(i)))
@@ -163,17 +163,17 @@
 
     /// Makes node `i` leave on purpose.
     pub fn leave(&mut self, i: usize) {
-        self.world.act(i, |node, now| node.membership.leave(now.boot));
+        self.world.call(i, |node, now| node.membership.leave(now.boot));
     }
 
     /// Returns the view of node `i`, if it is running.
     pub fn view(&mut self, i: usize) -> Option<&View> {
-        self.world.room_mut(i).map(|node| node.membership.view())
+        self.world.protocol_mut(i).map(|node| node.membership.view())
     }
 
     /// Returns the membership of node `i`, if it is running.
     pub fn membership(&self, i: usize) -> Option<&Membership> {
-        self.world.room(i).map(|node| &node.membership)
+        self.world.protocol(i).map(|node| &node.membership)
     }
 
     /// Runs the fleet for `d`.
@@ -181,7 +181,8 @@
         self.world.run(d);
     }
 
-    /// Runs until `done` returns true, checked every [`magpietally_simnet::LOOK`], for at most `limit`.
+    /// Runs until `done` returns true, checked every [`magpietally_simnet::CONDITION_CHECK_INTERVAL`], for at
+    /// most `limit`.
     /// Returns the time it took, or `None` if the limit was reached.
     pub fn run_until(
         &mut self,
@@ -194,7 +195,7 @@
             if left.is_zero() {
                 return None;
             }
-            self.run(left.min(magpietally_simnet::LOOK));
+            self.run(left.min(magpietally_simnet::CONDITION_CHECK_INTERVAL));
         }
         Some(self.now() - start)
     }
--- a/crates/simnet/src/clocks.rs
+++ b/crates/simnet/src/clocks.rs
@@ -33,7 +33,7 @@
     }
 
     /// Another rate from `at` on; the boot clock goes on from what it shows.
-    pub(crate) fn drift(&mut self, at: Duration, drift_ppm: i32) {
+    pub(crate) fn set_drift(&mut self, at: Duration, drift_ppm: i32) {
         self.clocks.origin = self.boot(at);
         self.clocks.drift_ppm = drift_ppm;
         self.since = at;
--- a/crates/simnet/src/faults.rs
+++ b/crates/simnet/src/faults.rs
@@ -20,7 +20,7 @@
     /// Share of messages that are held back, 0 to 1, so that later ones overtake them.
     pub reorder: f64,
     /// Up to how long they are held back, evenly drawn.
-    pub held_back: Duration,
+    pub reorder_delay_max: Duration,
 }
 
 impl Default for Faults {
@@ -32,7 +32,7 @@
             jitter: Duration::from_millis(2),
             duplicate: 0.0,
             reorder: 0.0,
-            held_back: Duration::from_millis(50),
+            reorder_delay_max: Duration::from_millis(50),
         }
     }
 }
@@ -41,11 +41,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// The largest datagram, in bytes.
-    pub datagram: usize,
+    pub datagram_max_bytes: usize,
     /// The largest message on a stream, in bytes.
-    pub message: usize,
+    pub message_max_bytes: usize,
     /// Messages that may wait for one peer: not yet acknowledged on a stream, on their way or held as datagrams.
-    pub waiting: usize,
+    pub queue_capacity: usize,
     /// Datagrams that came and were not read, a node; as a kernel would, it drops the rest.
     pub backlog: usize,
     /// A stream breaks when what waits on it has made no way for this long.
@@ -56,11 +56,11 @@
     fn default() -> Self {
         Self {
             // What fits a frame of 1,500 bytes with the headers of IP and UDP, as the members' datagrams are cut to.
-            datagram: 1_400,
+            datagram_max_bytes: 1_400,
             // A piece of catch-up or a policy document fits; 500 nodes' worth of them still fits a test machine.
-            message: 1 << 20,
+            message_max_bytes: 1 << 20,
             // A second of a busy room's messages to one peer.
-            waiting: 1_024,
+            queue_capacity: 1_024,
             // About what 212,992 bytes (Linux's default socket buffer) hold of small datagrams.
             backlog: 256,
             // Twice a lease of seconds, so that tests see leases end before connections do.
@@ -71,11 +71,11 @@
 
 impl Limits {
     /// What a transport of `kind` with these limits states of itself.
-    pub fn promise(&self, kind: Kind) -> Capabilities {
+    pub fn capabilities(&self, kind: Kind) -> Capabilities {
         let largest = match kind {
-            Kind::Datagram => self.datagram,
-            Kind::Stream => self.message,
+            Kind::Datagram => self.datagram_max_bytes,
+            Kind::Stream => self.message_max_bytes,
         };
-        Capabilities { kind, message_max_bytes: largest, queue_capacity: self.waiting }
+        Capabilities { kind, message_max_bytes: largest, queue_capacity: self.queue_capacity }
     }
 }
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -36,7 +36,7 @@
 
 pub use clocks::Clocks;
 pub use faults::{Faults, Limits};
-pub use net::{Counts, Net, NODES_MAX, ON_THEIR_WAY_MAX};
+pub use net::{Counts, Net, IN_FLIGHT_MAX, NODES_MAX};
 pub use port::{Port, SharedNet};
-pub use stream::RESEND;
-pub use world::{World, LOOK, OUTGOING_MAX, TICK_LEAST};
+pub use stream::RETRANSMIT_DELAY;
+pub use world::{World, CONDITION_CHECK_INTERVAL, OUTGOING_PER_CALL_MAX, TICK_INTERVAL_MIN};
--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -18,7 +18,7 @@
 /// Nodes at most: their links are a table of its square, about 60 MB at this size.
 pub const NODES_MAX: usize = 1_024;
 /// Flights on their way at most in the whole network; past that a sender is told [`SendError::Full`]. About 100 MB.
-pub const ON_THEIR_WAY_MAX: usize = 1 << 20;
+pub const IN_FLIGHT_MAX: usize = 1 << 20;
 
 /// What a node sent, got and lost since it was added.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     counts: Counts,
 }
 
-/// Datagrams that wait on a held link, with their sender's session; at most [`Limits::waiting`].
+/// Datagrams that wait on a held link, with their sender's session; at most [`Limits::queue_capacity`].
 #[derive(Default)]
 struct Held {
     waiting: VecDeque<(Session, Arc<Vec<u8>>)>,
@@ -175,7 +175,7 @@
     }
 
     /// Whether the node runs.
-    pub fn runs(&self, i: usize) -> bool {
+    pub fn is_running(&self, i: usize) -> bool {
         self.nodes[i].life == Life::Runs
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// The node's machine dies or goes away without a word: its peers' streams notice by [`Limits::break_after`] alone.
-    pub fn vanish(&mut self, i: usize) {
+    pub fn crash_host(&mut self, i: usize) {
         self.end(i, Life::Vanished);
     }
 
@@ -239,7 +239,7 @@
     }
 
     /// The faults of one link, one way, in place of the network's; `None` gives it the network's again.
-    pub fn set_link(&mut self, from: usize, to: usize, faults: Option<Faults>) {
+    pub fn set_link_faults(&mut self, from: usize, to: usize, faults: Option<Faults>) {
         self.link(from, to).faults = faults.map(Box::new);
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// The link works again, one way.
-    pub fn mend(&mut self, from: usize, to: usize) {
+    pub fn restore(&mut self, from: usize, to: usize) {
         self.link(from, to).cut = false;
     }
 
@@ -270,7 +270,7 @@
         }
     }
 
-    /// What is sent from `from` to `to` from now on waits (one way), datagrams up to [`Limits::waiting`].
+    /// What is sent from `from` to `to` from now on waits (one way), datagrams up to [`Limits::queue_capacity`].
     pub fn hold(&mut self, from: usize, to: usize) {
         self.link(from, to).held.get_or_insert_default();
     }
@@ -303,22 +303,22 @@
     }
 
     fn try_send(&mut self, from: usize, to: &Name, kind: Kind, bytes: Vec<u8>) -> Result<(), SendError> {
-        if !self.runs(from) {
+        if !self.is_running(from) {
             return Err(SendError::Closed(format!("{} does not run", self.nodes[from].name)));
         }
-        let most = self.limits.promise(kind).message_max_bytes;
+        let most = self.limits.capabilities(kind).message_max_bytes;
         if bytes.len() > most {
             return Err(SendError::TooLarge { size: bytes.len(), max: most });
         }
         let peer = self.index(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
-        let most = self.limits.waiting;
+        let capacity = self.limits.queue_capacity;
         let link = self.link(from, peer);
         let waiting = match kind {
             Kind::Datagram => link.on_way as usize + link.held.as_ref().map_or(0, |h| h.waiting.len()),
             Kind::Stream => link.out.as_ref().map_or(0, |o| o.waiting()),
         };
-        if waiting >= most || self.flights.len() >= ON_THEIR_WAY_MAX {
-            return Err(SendError::Full { to: to.clone(), max: most });
+        if waiting >= capacity || self.flights.len() >= IN_FLIGHT_MAX {
+            return Err(SendError::Full { to: to.clone(), max: capacity });
         }
         let (session, bytes) = (self.nodes[from].session, Arc::new(bytes));
         match kind {
@@ -345,7 +345,7 @@
         for _ in 0..copies {
             let mut way = self.way(&f);
             if self.share(f.reorder) {
-                way += self.drawn(f.held_back);
+                way += self.drawn(f.reorder_delay_max);
             }
             self.link(from, to).on_way += 1;
             self.fly(way, from, to, What::Datagram { session, bytes: Arc::clone(&bytes) });
@@ -401,7 +401,7 @@
             What::Datagram { session, bytes } => {
                 let on_way = &mut self.link(from, to).on_way;
                 *on_way = on_way.saturating_sub(1);
-                let comes = self.runs(to) && self.deliver(from, to, Kind::Datagram, session, bytes);
+                let comes = self.is_running(to) && self.deliver(from, to, Kind::Datagram, session, bytes);
                 comes.then_some(to)
             }
             What::Segment { session, conn, seq, bytes } => {
--- a/crates/simnet/src/port.rs
+++ b/crates/simnet/src/port.rs
@@ -38,7 +38,7 @@
     }
 
     /// An end of another kind on the same start of the node.
-    pub fn beside(&self, kind: Kind) -> Self {
+    pub fn with_kind(&self, kind: Kind) -> Self {
         Self { net: Arc::clone(&self.net), node: self.node, me: self.me.clone(), kind }
     }
 
@@ -48,7 +48,7 @@
     }
 
     fn is_current(&self, net: &Net) -> bool {
-        net.runs(self.node) && net.peer(self.node) == self.me
+        net.is_running(self.node) && net.peer(self.node) == self.me
     }
 }
 
@@ -58,7 +58,7 @@
     }
 
     fn capabilities(&self) -> Capabilities {
-        lock(&self.net).limits.promise(self.kind)
+        lock(&self.net).limits.capabilities(self.kind)
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
--- a/crates/simnet/src/stream.rs
+++ b/crates/simnet/src/stream.rs
@@ -15,7 +15,7 @@
 use crate::net::Net;
 
 /// How long the sender waits before it sends again what was not acknowledged: Linux's least retransmission time.
-pub const RESEND: Duration = Duration::from_millis(200);
+pub const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
 /// The sender's end of a connection.
 pub(crate) struct Outward {
@@ -45,7 +45,7 @@
 pub(crate) struct Inward {
     conn: u64,
     expected: u64,
-    /// Messages that came and were not read; at most [`crate::Limits::waiting`].
+    /// Messages that came and were not read; at most [`crate::Limits::queue_capacity`].
     unread: usize,
     /// Messages to this peer whose loss is still to be told.
     lost: u64,
@@ -76,11 +76,11 @@
         out.checked = true;
         self.send_segment(from, to, at);
         if check {
-            self.fly(RESEND, from, to, What::Check { conn });
+            self.fly(RETRANSMIT_DELAY, from, to, What::Check { conn });
         }
     }
 
-    /// Sends the message at place `at` of the queue, if the link is open. Each loss costs a [`RESEND`]; what comes later
+    /// Sends the message at place `at` of the queue, if the link is open. Each loss costs a [`RETRANSMIT_DELAY`]; what comes later
     /// in the queue waits behind it.
     fn send_segment(&mut self, from: usize, to: usize, at: usize) {
         if !self.link(from, to).is_open() {
@@ -90,7 +90,7 @@
         let mut way = self.way(&f);
         // Past the bound it makes no difference how often more it is lost: the connection breaks first.
         while way < self.limits.break_after && self.share(f.loss) {
-            way += RESEND;
+            way += RETRANSMIT_DELAY;
         }
         let (now, session) = (self.now(), self.session(from));
         let Some(out) = self.link(from, to).out.as_mut() else { return };
@@ -118,13 +118,13 @@
         seq: u64,
         bytes: Arc<Vec<u8>>,
     ) -> bool {
-        if !self.runs(to) {
+        if !self.is_running(to) {
             if self.was_killed(to) {
                 self.answer(to, from, What::Reset { conn });
             }
             return false;
         }
-        let (reader, most) = (self.session(to), self.limits.waiting);
+        let (reader, most) = (self.session(to), self.limits.queue_capacity);
         let link = self.link(from, to);
         let sender = link.out.as_mut().filter(|o| o.conn == conn);
         let inward = link.inward.get_or_insert_default();
@@ -195,7 +195,7 @@
         if now >= out.last_due {
             self.resend(from, to);
         }
-        self.fly(RESEND.min(ends - now), from, to, What::Check { conn });
+        self.fly(RETRANSMIT_DELAY.min(ends - now), from, to, What::Check { conn });
         false
     }
 
@@ -203,7 +203,7 @@
     fn break_stream(&mut self, from: usize, to: usize) -> bool {
         let Some(out) = self.link(from, to).out.take() else { return false };
         let lost = out.queue.len() as u64;
-        if lost == 0 || !self.runs(from) {
+        if lost == 0 || !self.is_running(from) {
             return false;
         }
         self.counts_mut(from).lost += lost;
--- a/crates/simnet/src/tests/datagrams.rs
+++ b/crates/simnet/src/tests/datagrams.rs
@@ -61,7 +61,7 @@
     p.run(S);
     assert_eq!(p.numbers().len(), 0);
     assert_eq!(p.told.len(), 2, "the way back works: met, and a message");
-    p.net.mend(0, 1);
+    p.net.restore(0, 1);
     p.send_many(5);
     p.run(S);
     assert_eq!(p.numbers().len(), 5);
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_held_link_keeps_its_datagrams_within_its_bound_and_then_all_come() {
-    let limits = Limits { waiting: 10, ..Limits::default() };
+    let limits = Limits { queue_capacity: 10, ..Limits::default() };
     let mut p = Pair::bounded(Kind::Datagram, 1, Faults::default(), limits);
     p.net.hold(0, 1);
     p.send_many(10);
@@ -114,11 +114,11 @@
 #[test]
 fn one_link_may_have_faults_of_its_own() {
     let mut p = pair(Faults { loss: 1.0, ..Faults::default() });
-    p.net.set_link(0, 1, Some(Faults::default()));
+    p.net.set_link_faults(0, 1, Some(Faults::default()));
     p.send_many(5);
     p.run(S);
     assert_eq!(p.numbers().len(), 5);
-    p.net.set_link(0, 1, None);
+    p.net.set_link_faults(0, 1, None);
     p.send_many(5);
     p.run(S);
     assert_eq!(p.numbers().len(), 5);
@@ -152,7 +152,7 @@
 #[test]
 fn what_can_not_be_sent_is_refused_with_its_reason() {
     let mut p = pair(Faults::default());
-    let largest = Limits::default().datagram;
+    let largest = Limits::default().datagram_max_bytes;
     let mut send = |from, to, size| p.net.send(from, &name(to), Kind::Datagram, vec![0; size]);
     assert_eq!(send(0, 1, largest + 1), Err(SendError::TooLarge { size: largest + 1, max: largest }));
     assert_eq!(send(0, 1, largest), Ok(()));
--- a/crates/simnet/src/tests/ports.rs
+++ b/crates/simnet/src/tests/ports.rs
@@ -12,9 +12,9 @@
     let net = Net::new(1, Faults::default(), Limits::default()).shared();
     let mut a = Port::open(&net, &name(0), Kind::Stream).expect("place");
     let mut b = Port::open(&net, &name(1), Kind::Stream).expect("place");
-    let mut datagrams = b.beside(Kind::Datagram);
-    assert_eq!(a.capabilities(), Limits::default().promise(Kind::Stream));
-    a.beside(Kind::Datagram).send(&name(1), b"datagram").expect("taken");
+    let mut datagrams = b.with_kind(Kind::Datagram);
+    assert_eq!(a.capabilities(), Limits::default().capabilities(Kind::Stream));
+    a.with_kind(Kind::Datagram).send(&name(1), b"datagram").expect("taken");
     a.send(&name(1), b"stream").expect("taken");
     let from = a.me().clone();
     let message = |bytes: &[u8]| Some(Event::Message { from: from.clone(), bytes: bytes.to_vec() });
--- a/crates/simnet/src/tests/streams.rs
+++ b/crates/simnet/src/tests/streams.rs
@@ -3,7 +3,7 @@
 use magpietally_transport::{Event, Kind, SendError};
 
 use super::check::*;
-use crate::{Faults, Limits, RESEND};
+use crate::{Faults, Limits, RETRANSMIT_DELAY};
 
 fn pair(faults: Faults) -> Pair {
     Pair::new(Kind::Stream, 3, faults)
@@ -42,7 +42,7 @@
     p.run(5 * S);
     assert_eq!(p.numbers().len(), 5);
     p.net.heal();
-    p.run(RESEND + 10 * MS);
+    p.run(RETRANSMIT_DELAY + 10 * MS);
     assert_eq!(p.numbers(), (0..10).collect::<Vec<u64>>());
     assert_eq!(p.lost(), 0);
 }
@@ -99,7 +99,7 @@
         p.send_many(1);
         p.run(S);
         if vanished {
-            p.net.vanish(1);
+            p.net.crash_host(1);
         } else {
             p.net.kill(1);
         }
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_reader_that_does_not_read_fills_the_queues_and_the_sender_is_told() {
-    let limits = Limits { waiting: 8, ..Limits::default() };
+    let limits = Limits { queue_capacity: 8, ..Limits::default() };
     let mut p = Pair::bounded(Kind::Stream, 1, Faults::default(), limits);
     let full = Err(SendError::Full { to: name(1), max: 8 });
     p.send_many(8);
--- a/crates/simnet/src/tests/worlds.rs
+++ b/crates/simnet/src/tests/worlds.rs
@@ -76,7 +76,7 @@
     w.net_mut().partition(&[0], &[3, 4]);
     w.pause(1);
     w.kill(2);
-    w.drift(3, 500);
+    w.set_drift(3, 500);
     w.run(3 * S);
     w.net_mut().heal();
     w.resume(1);
@@ -104,17 +104,17 @@
     let fast = Clocks { origin: 77 * S, drift_ppm: 250_000, wall_ahead_ms: -600_000 };
     let mut w = world(1, 1, Faults::default(), Kind::Datagram, fast);
     w.run(4 * S);
-    let room = w.room(0).expect("it runs");
-    assert_eq!(room.ticks.len(), 51, "5 s by its own clock, and the first at once");
-    for (i, tick) in room.ticks.iter().enumerate() {
+    let protocol = w.protocol(0).expect("it runs");
+    assert_eq!(protocol.ticks.len(), 51, "5 s by its own clock, and the first at once");
+    for (i, tick) in protocol.ticks.iter().enumerate() {
         assert_eq!(tick.boot, 77 * S + 100 * MS * i as u32);
     }
     assert_eq!(w.clock(0), Now { boot: 82 * S, wall_ms: EPOCH + 4_000 - 600_000 });
-    w.drift(0, -500_000);
+    w.set_drift(0, -500_000);
     w.set_wall_ahead(0, 600_000);
     w.run(2 * S);
     assert_eq!(w.clock(0), Now { boot: 83 * S, wall_ms: EPOCH + 6_000 + 600_000 });
-    assert_eq!(w.room(0).map(|r| r.ticks.len()), Some(61));
+    assert_eq!(w.protocol(0).map(|r| r.ticks.len()), Some(61));
 }
 
 #[test]
@@ -126,15 +126,15 @@
         w.start(i, |me, now| Talker::new(me, now, Kind::Datagram));
     }
     w.run(S + 50 * MS);
-    let (heard, ticks) = w.room(0).map(|r| (r.heard.len(), r.ticks.len())).expect("it runs");
+    let (heard, ticks) = w.protocol(0).map(|r| (r.heard.len(), r.ticks.len())).expect("it runs");
     w.pause(0);
     w.run(20 * S);
-    assert_eq!(w.room(0).map(|r| (r.heard.len(), r.ticks.len())), Some((heard, ticks)));
-    assert_eq!(w.act(0, |_, _| ()), None, "a paused room can't be called");
+    assert_eq!(w.protocol(0).map(|r| (r.heard.len(), r.ticks.len())), Some((heard, ticks)));
+    assert_eq!(w.call(0, |_, _| ()), None, "a paused protocol can't be called");
     w.resume(0);
-    let room = w.room(0).expect("it runs");
-    assert_eq!(room.heard.len(), heard + 10);
-    assert_eq!(room.ticks.last(), Some(&Now { boot: 21 * S + 50 * MS, wall_ms: EPOCH + 21_050 }));
+    let protocol = w.protocol(0).expect("it runs");
+    assert_eq!(protocol.heard.len(), heard + 10);
+    assert_eq!(protocol.ticks.last(), Some(&Now { boot: 21 * S + 50 * MS, wall_ms: EPOCH + 21_050 }));
     assert_eq!(w.counts(0).overflowed, 190);
 }
 
@@ -146,11 +146,11 @@
         w.run(S);
         w.pause(0);
         w.run(S);
-        let before = w.room(0).map_or(0, |r| r.calls.len());
+        let before = w.protocol(0).map_or(0, |r| r.calls.len());
         w.resume(0);
-        let room = w.room(0).expect("it runs");
-        places.insert(room.calls[before..].iter().position(|tick| *tick));
-        let words: Vec<u64> = room.heard.iter().map(|h| h.2).collect();
+        let protocol = w.protocol(0).expect("it runs");
+        places.insert(protocol.calls[before..].iter().position(|tick| *tick));
+        let words: Vec<u64> = protocol.heard.iter().map(|h| h.2).collect();
         assert!(words.is_sorted(), "a stream keeps its order through a pause");
     }
     assert!(places.contains(&Some(0)) && places.len() > 5, "the tick came at {places:?}");
@@ -162,13 +162,13 @@
     w.run(S);
     w.kill(1);
     w.run(S);
-    assert!(w.room(1).is_none());
-    let heard = w.room(0).map_or(0, |r| r.heard.len());
+    assert!(w.protocol(1).is_none());
+    let heard = w.protocol(0).map_or(0, |r| r.heard.len());
     w.run(S);
-    assert_eq!(w.room(0).map_or(0, |r| r.heard.len()), heard);
+    assert_eq!(w.protocol(0).map_or(0, |r| r.heard.len()), heard);
     w.start(1, |me, now| Talker::new(me, now, Kind::Datagram));
     w.run(S);
-    let last = w.room(0).and_then(|r| r.heard.last()).map(|h| h.1.clone());
+    let last = w.protocol(0).and_then(|r| r.heard.last()).map(|h| h.1.clone());
     assert_eq!(last, Some(w.net().peer(1)));
     assert_eq!(w.net().peer(1).session.0, 2);
 }
@@ -192,13 +192,13 @@
     w.add(&name(0), Clocks::default()).expect("place");
     w.start(0, |_, _| Always(0));
     w.run(S);
-    assert_eq!(w.room(0).map(|r| r.0), Some(1_001));
+    assert_eq!(w.protocol(0).map(|r| r.0), Some(1_001));
 }
 
 #[test]
 fn a_condition_is_waited_for_up_to_its_limit() {
     let mut w = calm(2);
-    let took = w.run_until(10 * S, |w| w.room(0).is_some_and(|r| r.heard.len() >= 10)).expect("it comes");
+    let took = w.run_until(10 * S, |w| w.protocol(0).is_some_and(|r| r.heard.len() >= 10)).expect("it comes");
     assert!(took >= 900 * MS && took < 920 * MS, "{took:?}");
     assert_eq!(w.run_until(S, |_| false), None);
     assert_eq!(w.now(), took + S);
--- a/crates/simnet/src/world.rs
+++ b/crates/simnet/src/world.rs
@@ -13,14 +13,14 @@
 use crate::trace::Trace;
 
 /// How often [`World::run_until`] looks at its condition.
-pub const LOOK: Duration = Duration::from_millis(5);
-/// A room is ticked at most once this long, as by the timers of a runtime: one that is always due can't stop time.
-pub const TICK_LEAST: Duration = Duration::from_millis(1);
-/// Messages taken from a room after one call; what is left is taken after the next. It bounds a room that never ends.
-pub const OUTGOING_MAX: usize = 1 << 16;
-
-struct Node<R> {
-    room: Option<R>,
+pub const CONDITION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// A protocol is ticked at most once this long, as by the timers of a runtime: one that is always due can't stop time.
+pub const TICK_INTERVAL_MIN: Duration = Duration::from_millis(1);
+/// Messages taken from a protocol after one call; what is left is taken after the next. It bounds a protocol that never ends.
+pub const OUTGOING_PER_CALL_MAX: usize = 1 << 16;
+
+struct Node<P> {
+    protocol: Option<P>,
     paused: bool,
     clocks: Running,
     last_tick: Option<Duration>,
@@ -34,9 +34,9 @@
 type Tick = std::cmp::Reverse<(Duration, usize)>;
 
 /// Rooms on a network. Nodes are numbered from 0 in the order they were added; a number never given out panics.
-pub struct World<R: Protocol> {
+pub struct World<P: Protocol> {
     net: Net,
-    nodes: Vec<Node<R>>,
+    nodes: Vec<Node<P>>,
     /// May hold ticks that were put off or brought forward since; a node's `next_tick` says which one counts.
     ticks: BinaryHeap<Tick>,
     rng: Pcg64,
@@ -44,7 +44,7 @@
     trace: Trace,
 }
 
-impl<R: Protocol> World<R> {
+impl<P: Protocol> World<P> {
     /// No nodes yet; the true wall clock shows `epoch_ms` (Unix time in milliseconds) at the network's time zero.
     pub fn new(seed: u64, faults: Faults, limits: Limits, epoch_ms: u64) -> Self {
         Self {
@@ -67,7 +67,7 @@
         let i = self.net.add(name).ok_or_else(full)?;
         if i == self.nodes.len() {
             self.nodes.push(Node {
-                room: None,
+                protocol: None,
                 paused: false,
                 clocks: Running::new(clocks),
                 last_tick: None,
@@ -78,32 +78,32 @@
         Ok(i)
     }
 
-    /// Starts the node in a new session with the room that `make` gives; one that ran is killed first. What a node's
+    /// Starts the node in a new session with the protocol that `make` gives; one that ran is killed first. What a node's
     /// disk kept is the caller's to hand on.
-    pub fn start(&mut self, i: usize, make: impl FnOnce(Peer, Now) -> R) {
+    pub fn start(&mut self, i: usize, make: impl FnOnce(Peer, Now) -> P) {
         let peer = self.net.start(i);
         let now = self.clock(i);
         let node = &mut self.nodes[i];
         (node.paused, node.last_tick) = (false, None);
-        node.room = Some(make(peer, now));
+        node.protocol = Some(make(peer, now));
         self.after_call(i);
     }
 
-    /// The node's process dies: its room is dropped. See [`Net::kill`].
+    /// The node's process dies: its protocol is dropped. See [`Net::kill`].
     pub fn kill(&mut self, i: usize) {
         self.net.kill(i);
-        self.drop_room(i);
+        self.drop_protocol(i);
     }
 
-    /// The node's machine dies without a word: its room is dropped. See [`Net::vanish`].
-    pub fn vanish(&mut self, i: usize) {
-        self.net.vanish(i);
-        self.drop_room(i);
+    /// The node's machine dies without a word: its protocol is dropped. See [`Net::crash_host`].
+    pub fn crash_host(&mut self, i: usize) {
+        self.net.crash_host(i);
+        self.drop_protocol(i);
     }
 
-    fn drop_room(&mut self, i: usize) {
+    fn drop_protocol(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        (node.room, node.paused, node.next_tick) = (None, false, None);
+        (node.protocol, node.paused, node.next_tick) = (None, false, None);
     }
 
     /// The node stops running (SIGSTOP). Its clocks run on; what comes waits, within [`Limits`], as in a kernel.
@@ -137,9 +137,9 @@
     }
 
     /// The node's boot clock runs at another rate from now on; see [`Clocks::drift_ppm`].
-    pub fn drift(&mut self, i: usize, drift_ppm: i32) {
+    pub fn set_drift(&mut self, i: usize, drift_ppm: i32) {
         let now = self.net.now();
-        self.nodes[i].clocks.drift(now, drift_ppm);
+        self.nodes[i].clocks.set_drift(now, drift_ppm);
         self.schedule(i);
     }
 
@@ -173,24 +173,24 @@
         self.nodes.is_empty()
     }
 
-    /// The node's room, if it runs (paused or not).
-    pub fn room(&self, i: usize) -> Option<&R> {
-        self.nodes[i].room.as_ref()
+    /// The node's protocol, if it runs (paused or not).
+    pub fn protocol(&self, i: usize) -> Option<&P> {
+        self.nodes[i].protocol.as_ref()
     }
 
-    /// The node's room, for calls that neither send nor set timers; others go through [`World::act`].
-    pub fn room_mut(&mut self, i: usize) -> Option<&mut R> {
-        self.nodes[i].room.as_mut()
+    /// The node's protocol, for calls that neither send nor set timers; others go through [`World::call`].
+    pub fn protocol_mut(&mut self, i: usize) -> Option<&mut P> {
+        self.nodes[i].protocol.as_mut()
     }
 
-    /// Calls the node's room, takes what it sends and heeds its timers; `None` if it does not run or is paused.
-    pub fn act<T>(&mut self, i: usize, call: impl FnOnce(&mut R, Now) -> T) -> Option<T> {
+    /// Calls the node's protocol, takes what it sends and heeds its timers; `None` if it does not run or is paused.
+    pub fn call<T>(&mut self, i: usize, call: impl FnOnce(&mut P, Now) -> T) -> Option<T> {
         let now = self.clock(i);
         let node = &mut self.nodes[i];
         if node.paused {
             return None;
         }
-        let result = call(node.room.as_mut()?, now);
+        let result = call(node.protocol.as_mut()?, now);
         self.after_call(i);
         Some(result)
     }
@@ -201,7 +201,7 @@
     }
 
     /// Messages whose loss streams told the node; a [`Protocol`] has no call to hear of it.
-    pub fn told_lost(&self, i: usize) -> u64 {
+    pub fn reported_lost(&self, i: usize) -> u64 {
         self.nodes[i].lost
     }
 
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Runs until `done` holds, which is looked at every [`LOOK`], for at most `limit`; the time it took, if it came.
+    /// Runs until `done` holds, which is looked at every [`CONDITION_CHECK_INTERVAL`], for at most `limit`; the time it took, if it came.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -252,7 +252,7 @@
             if left.is_zero() {
                 return None;
             }
-            self.run(left.min(LOOK));
+            self.run(left.min(CONDITION_CHECK_INTERVAL));
         }
     }
 
@@ -274,8 +274,8 @@
             match event {
                 Event::Message { from, bytes } => {
                     let now = self.clock(i);
-                    let Some(room) = self.nodes[i].room.as_mut() else { return };
-                    room.on_message(now, &from, &bytes);
+                    let Some(protocol) = self.nodes[i].protocol.as_mut() else { return };
+                    protocol.on_message(now, &from, &bytes);
                     self.send_all(i);
                 }
                 Event::Lost { messages, .. } => self.nodes[i].lost += messages,
@@ -289,8 +289,8 @@
         let node = &mut self.nodes[i];
         node.last_tick = Some(at);
         self.trace.fold((i as u64) << 48 ^ at.as_nanos() as u64);
-        if let Some(room) = node.room.as_mut() {
-            room.tick(now);
+        if let Some(protocol) = node.protocol.as_mut() {
+            protocol.tick(now);
         }
         self.send_all(i);
     }
@@ -301,9 +301,9 @@
     }
 
     fn send_all(&mut self, i: usize) {
-        for _ in 0..OUTGOING_MAX {
-            let Some(out) = self.nodes[i].room.as_mut().and_then(Protocol::take_outgoing) else { return };
-            // What the network refuses it counts; a room hears of no such error from any carrier.
+        for _ in 0..OUTGOING_PER_CALL_MAX {
+            let Some(out) = self.nodes[i].protocol.as_mut().and_then(Protocol::take_outgoing) else { return };
+            // What the network refuses it counts; a protocol hears of no such error from any carrier.
             let _ = self.net.send(i, &out.to, out.kind, out.bytes);
         }
     }
@@ -314,8 +314,8 @@
         if node.paused {
             return;
         }
-        let due = node.room.as_ref().and_then(Protocol::next_due).map(|boot| {
-            let least = node.last_tick.map_or(now, |last| last + TICK_LEAST);
+        let due = node.protocol.as_ref().and_then(Protocol::next_due).map(|boot| {
+            let least = node.last_tick.map_or(now, |last| last + TICK_INTERVAL_MIN);
             node.clocks.when(boot).max(now).max(least)
         });
         if due != node.next_tick {
