--- a/crates/simnet/examples/speed.rs
+++ b/crates/simnet/examples/speed.rs
@@ -1,9 +1,9 @@
-//! How fast the network itself is, for `docs/design/simnet.md`:
+//! Measures the speed of the simulated network, for `docs/design/simnet.md`:
 //!
 //!     cargo run --release -p magpietally-simnet --example speed -- 500
 //!
-//! So many nodes, each of which sends 100 bytes to another, drawn, each 10 ms of a minute in virtual time, by datagrams
-//! and then by streams, at 1% loss.
+//! The argument is the number of nodes. For one minute of virtual time each node sends 100 bytes to a
+//! randomly chosen node every 10 ms, first by datagrams, then by streams, with 1% loss.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-const EVERY: Duration = Duration::from_millis(10);
+const SEND_INTERVAL: Duration = Duration::from_millis(10);
 
 struct Sender {
     names: std::rc::Rc<Vec<Name>>,
@@ -26,7 +26,7 @@
     fn on_message(&mut self, _now: Now, _from: &Peer, _bytes: &[u8]) {}
 
     fn tick(&mut self, now: Now) {
-        self.next = now.boot + EVERY;
+        self.next = now.boot + SEND_INTERVAL;
         let to = self.names[self.rng.random_range(0..self.names.len())].clone();
         self.out = Some(Outgoing { to, kind: self.kind, bytes: vec![7; 100] });
     }
@@ -61,9 +61,9 @@
                 out: None,
             });
         }
-        let began = Instant::now();
+        let start = Instant::now();
         world.run(Duration::from_secs(60));
-        let took = began.elapsed().as_secs_f64();
+        let took = start.elapsed().as_secs_f64();
         let received: u64 = (0..n).map(|i| world.counts(i).received).sum();
         println!("| {n} | {kind:?} | {received} | {took:.1} | {:.0} |", received as f64 / took);
     }
--- a/crates/simnet/src/faults.rs
+++ b/crates/simnet/src/faults.rs
@@ -1,30 +1,32 @@
-//! What befalls messages, and the bounds of every queue.
+//! The faults that messages are subject to, and the bounds of all queues.
 
 use std::time::Duration;
 
 use magpietally_transport::{Capabilities, Kind};
 
-/// What a network, or one link of it, does to every message.
+/// The faults that a network, or one link of it, applies to every message.
 ///
-/// A stream hides loss, duplicates and reordering as TCP does: loss only delays it, and the other two do nothing to it.
+/// A stream hides loss, duplicates and reordering as TCP does: loss only delays it, and the other two have no
+/// effect on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
-    /// Share of messages lost, 0 to 1.
+    /// The fraction of messages lost, 0 to 1.
     pub loss: f64,
-    /// Least time on the way.
+    /// The minimum transit time.
     pub delay: Duration,
-    /// Up to this much more, evenly drawn; it also lets a later message overtake an earlier one.
+    /// The maximum additional transit time, uniformly distributed. It also lets a later message overtake an
+    /// earlier one.
     pub jitter: Duration,
-    /// Share of messages that come twice, 0 to 1.
+    /// The fraction of messages delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// Share of messages that are held back, 0 to 1, so that later ones overtake them.
+    /// The fraction of messages that are delayed so that later ones overtake them, 0 to 1.
     pub reorder: f64,
-    /// Up to how long they are held back, evenly drawn.
+    /// The maximum delay of a reordered message, uniformly distributed.
     pub reorder_delay_max: Duration,
 }
 
 impl Default for Faults {
-    /// A local network in order: 1 to 3 ms on the way.
+    /// A local network without loss, duplicates or reordering delays: transit times of 1 to 3 ms.
     fn default() -> Self {
         Self {
             loss: 0.0,
@@ -40,37 +42,40 @@
 /// The bounds of the network's queues, the same for every node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The largest datagram, in bytes.
+    /// The maximum size of a datagram, in bytes.
     pub datagram_max_bytes: usize,
-    /// The largest message on a stream, in bytes.
+    /// The maximum size of a message on a stream, in bytes.
     pub message_max_bytes: usize,
-    /// Messages that may wait for one peer: not yet acknowledged on a stream, on their way or held as datagrams.
+    /// The maximum number of messages waiting for one peer: unacknowledged on a stream, or datagrams in
+    /// flight or held.
     pub queue_capacity: usize,
-    /// Datagrams that came and were not read, a node; as a kernel would, it drops the rest.
+    /// The maximum number of received but unread datagrams of a node; further ones are dropped, as by a
+    /// kernel.
     pub backlog: usize,
-    /// A stream breaks when what waits on it has made no way for this long.
+    /// A stream breaks when the messages waiting on it have made no progress for this long.
     pub break_after: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            // What fits a frame of 1,500 bytes with the headers of IP and UDP, as the members' datagrams are cut to.
+            // Fits a frame of 1,500 bytes with IP and UDP headers, as membership limits its datagrams too.
             datagram_max_bytes: 1_400,
-            // A piece of catch-up or a policy document fits; 500 nodes' worth of them still fits a test machine.
+            // Fits a part of a catch-up transfer or a policy document, and messages of this size for 500
+            // nodes still fit in the memory of a test machine.
             message_max_bytes: 1 << 20,
-            // A second of a busy room's messages to one peer.
+            // One second of messages from a busy protocol to one peer.
             queue_capacity: 1_024,
-            // About what 212,992 bytes (Linux's default socket buffer) hold of small datagrams.
+            // About as many small datagrams as fit in 212,992 bytes, the default socket buffer of Linux.
             backlog: 256,
-            // Twice a lease of seconds, so that tests see leases end before connections do.
+            // Twice a lease of a few seconds, so that tests see leases expire before connections break.
             break_after: Duration::from_secs(10),
         }
     }
 }
 
 impl Limits {
-    /// What a transport of `kind` with these limits states of itself.
+    /// Returns the capabilities of a transport of `kind` with these limits.
     pub fn capabilities(&self, kind: Kind) -> Capabilities {
         let largest = match kind {
             Kind::Datagram => self.datagram_max_bytes,
--- a/crates/simnet/src/inbox.rs
+++ b/crates/simnet/src/inbox.rs
@@ -1,25 +1,26 @@
-//! What came to a node and was not read yet, as a kernel's sockets would hold it.
+//! Received but unread events of a node, as the sockets of a kernel would hold them.
 
 use std::collections::VecDeque;
 
 use magpietally_transport::{Event, Kind};
 
-/// One entry: when it came among all (to read both kinds in order), from whom, what.
+/// One entry: its position among all entries (for reading both kinds in order), the sender's number and the
+/// event.
 #[derive(Debug)]
-pub(crate) struct Came {
+pub(crate) struct InboxEntry {
     pub(crate) order: u64,
     pub(crate) from: usize,
     pub(crate) event: Event,
 }
 
-/// Both kinds' queues of one node.
+/// The queues of one node, one for each kind.
 #[derive(Debug, Default)]
 pub(crate) struct Inbox {
-    datagrams: VecDeque<Came>,
-    stream: VecDeque<Came>,
-    /// Datagrams that were dropped as the queue was full and of which the reader was not told.
+    datagrams: VecDeque<InboxEntry>,
+    stream: VecDeque<InboxEntry>,
+    /// Whether datagrams were dropped because the queue was full, and the reader has not been notified yet.
     overflowed: bool,
-    /// Notices of dropped stream messages that wait; bounded like the datagrams.
+    /// The number of waiting notices about dropped stream messages; bounded like the datagrams.
     notices: usize,
 }
 
@@ -32,49 +33,50 @@
         self.datagrams.len() + self.stream.len() + usize::from(self.overflowed)
     }
 
-    /// Whether `more` datagrams fit; if not, the reader will be told at its next read.
-    pub(crate) fn fits(&mut self, more: usize, backlog: usize) -> bool {
+    /// Returns whether `more` datagrams fit. If not, the reader is notified at its next read.
+    pub(crate) fn try_reserve(&mut self, more: usize, backlog: usize) -> bool {
         let fits = self.datagrams.len() + more <= backlog;
         self.overflowed |= !fits;
         fits
     }
 
-    /// The queue of `kind`, for what its caller has bounded.
-    pub(crate) fn of(&mut self, kind: Kind) -> &mut VecDeque<Came> {
+    /// Returns the queue of `kind`. The caller bounds what it adds.
+    pub(crate) fn queue_mut(&mut self, kind: Kind) -> &mut VecDeque<InboxEntry> {
         match kind {
             Kind::Datagram => &mut self.datagrams,
             Kind::Stream => &mut self.stream,
         }
     }
 
-    /// A notice that something was dropped; past `backlog` of them the reader has been told often enough.
-    pub(crate) fn notice(&mut self, kind: Kind, came: Came, backlog: usize) -> bool {
+    /// Adds a notice that a message was dropped. If `backlog` of them wait already, no further notice is
+    /// needed. Returns whether it was added.
+    pub(crate) fn push_notice(&mut self, kind: Kind, entry: InboxEntry, backlog: usize) -> bool {
         let fits = match kind {
-            Kind::Datagram => self.fits(1, backlog),
+            Kind::Datagram => self.try_reserve(1, backlog),
             Kind::Stream => self.notices < backlog,
         };
         if fits {
             self.notices += usize::from(kind == Kind::Stream);
-            self.of(kind).push_back(came);
+            self.queue_mut(kind).push_back(entry);
         }
         fits
     }
 
-    /// The next entry of `kind`.
-    pub(crate) fn read(&mut self, kind: Kind) -> Option<Came> {
+    /// Takes the oldest entry of `kind`.
+    pub(crate) fn read(&mut self, kind: Kind) -> Option<InboxEntry> {
         if kind == Kind::Datagram && self.overflowed {
             self.overflowed = false;
-            return Some(Came { order: 0, from: 0, event: Event::Dropped("the backlog was full") });
+            return Some(InboxEntry { order: 0, from: 0, event: Event::Dropped("the backlog was full") });
         }
-        let came = self.of(kind).pop_front()?;
-        if kind == Kind::Stream && matches!(came.event, Event::Dropped(_)) {
+        let entry = self.queue_mut(kind).pop_front()?;
+        if kind == Kind::Stream && matches!(entry.event, Event::Dropped(_)) {
             self.notices = self.notices.saturating_sub(1);
         }
-        Some(came)
+        Some(entry)
     }
 
-    /// The kind of the entry that came first.
-    pub(crate) fn first(&self) -> Option<Kind> {
+    /// Returns the kind of the oldest entry.
+    pub(crate) fn first_kind(&self) -> Option<Kind> {
         if self.overflowed {
             return Some(Kind::Datagram);
         }
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,11 +1,11 @@
-//! One network in virtual time for all rooms: faults, kills, pauses, clocks; seeded.
+//! A simulated network in virtual time for all protocols: faults, kills, pauses and clocks, seeded.
 //!
-//! The network is pure: no socket, no thread, no clock. The same seed and the same calls give the same run on every
-//! machine, and [`Net::trace`] is a number that says so. It is driven by events, so that time in which nothing happens
-//! costs nothing. What is modelled and what is not is written in `docs/design/simnet.md`.
+//! The network uses no sockets, threads or clocks. The same seed and the same calls give the same run on any
+//! machine; [`Net::trace`] is a hash of the run. The simulation is driven by events, so that idle time costs
+//! nothing. `docs/design/simnet.md` describes what is modelled and what is not.
 //!
-//! Central types: [`Net`] (the network alone), [`Port`] (one node's end of it as a `Transport`), [`World`] (rooms on it,
-//! with their [`Clocks`]), [`Faults`] and [`Limits`].
+//! Central types: [`Net`] (the network), [`Port`] (one node's end of it as a `Transport`), [`World`]
+//! (protocols on it, with their [`Clocks`]), [`Faults`] and [`Limits`].
 //!
 //! ```
 //! use std::time::Duration;
@@ -24,10 +24,10 @@
 
 mod clocks;
 mod faults;
-mod flight;
 mod inbox;
 mod net;
 mod port;
+mod scheduled;
 mod stream;
 #[cfg(test)]
 mod tests;
--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -1,4 +1,5 @@
-//! The network alone: named nodes, links between them with faults, and what is on its way. Streams are in `stream.rs`.
+//! The simulated network: named nodes, the links between them with their faults, and the messages in flight.
+//! Streams are in `stream.rs`.
 
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -9,94 +10,96 @@
 use rand_pcg::Pcg64;
 
 use crate::faults::{Faults, Limits};
-use crate::flight::{Flight, What};
-use crate::inbox::{Came, Inbox};
+use crate::inbox::{Inbox, InboxEntry};
 use crate::port::SharedNet;
-use crate::stream::{Inward, Outward};
+use crate::scheduled::{Action, ScheduledEvent};
+use crate::stream::{ReceiverState, SenderState};
 use crate::trace::Trace;
 
-/// Nodes at most: their links are a table of its square, about 60 MB at this size.
+/// The maximum number of nodes. The links are a table of the square of this size, about 60 MB.
 pub const NODES_MAX: usize = 1_024;
-/// Flights on their way at most in the whole network; past that a sender is told [`SendError::Full`]. About 100 MB.
+/// The maximum number of scheduled events (messages in flight and stream timers) in the whole network, about
+/// 100 MB. Beyond it, sending fails with [`SendError::Full`].
 pub const IN_FLIGHT_MAX: usize = 1 << 20;
 
-/// What a node sent, got and lost since it was added.
+/// Counters of one node's messages since it was added.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages taken from it, also those that were lost later.
+    /// Messages accepted from it, including those lost later.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the messages accepted from it.
     pub sent_bytes: u64,
     /// Messages it read.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the messages it read.
     pub received_bytes: u64,
-    /// Messages of its own that were refused with an error.
+    /// Messages from it that were refused with an error.
     pub refused: u64,
-    /// Messages to it that its full backlog dropped.
+    /// Messages to it that were dropped because its backlog was full.
     pub overflowed: u64,
-    /// Messages of its own whose loss a stream told.
+    /// Messages from it that a stream reported as lost.
     pub lost: u64,
-    /// Messages to it of an older session or connection, dropped.
+    /// Messages to it that were dropped because they were of an older session or connection.
     pub outdated: u64,
 }
 
-/// Why a node does not run.
+/// Whether a node is running, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Runs,
-    /// Its process is dead and its kernel says so to whom asks.
+enum Lifecycle {
+    Running,
+    /// Its process is dead; the kernel answers segments to it with a reset.
     Killed,
-    /// Its machine is dead or away: it says nothing.
-    Vanished,
+    /// Its host is down or unreachable; nothing is answered.
+    Unreachable,
 }
 
 struct Node {
     name: Name,
     session: Session,
-    life: Life,
+    lifecycle: Lifecycle,
     inbox: Inbox,
     counts: Counts,
 }
 
-/// Datagrams that wait on a held link, with their sender's session; at most [`Limits::queue_capacity`].
+/// Datagrams that wait on a held link, with the session of their sender; at most [`Limits::queue_capacity`].
 #[derive(Default)]
-struct Held {
+struct HeldDatagrams {
     waiting: VecDeque<(Session, Arc<Vec<u8>>)>,
 }
 
-/// One way from a node to another.
+/// The link from one node to another, in this direction only.
 #[derive(Default)]
 pub(crate) struct Link {
     pub(crate) cut: bool,
-    /// Datagrams that wait while the link is held.
-    held: Option<Box<Held>>,
+    /// Datagrams that wait while the link is held; `None` if it is not held.
+    held: Option<Box<HeldDatagrams>>,
     faults: Option<Box<Faults>>,
-    /// Datagrams on their way.
-    on_way: u32,
-    /// The greatest session of the sender that the reader has met, by datagrams and by streams; 0 is none.
-    met: [u64; 2],
+    /// The number of datagrams in flight.
+    in_flight: u32,
+    /// The latest session of the sender that the receiver has seen, by [`Kind`]: by datagrams and by streams.
+    /// 0 if none.
+    latest_session: [u64; 2],
     /// The sender's end of the stream.
-    pub(crate) out: Option<Box<Outward>>,
-    /// The reader's end of the stream.
-    pub(crate) inward: Option<Box<Inward>>,
+    pub(crate) sender: Option<Box<SenderState>>,
+    /// The receiver's end of the stream.
+    pub(crate) receiver: Option<Box<ReceiverState>>,
 }
 
 impl Link {
-    /// Whether what is sent now goes off.
+    /// Returns whether messages sent now leave the sender.
     pub(crate) fn is_open(&self) -> bool {
         !self.cut && self.held.is_none()
     }
 }
 
-/// The network. Nodes are numbered from 0 in the order they were added; a number that was never given out panics, as an
-/// index does.
+/// A simulated network. Nodes are numbered from 0 in the order in which they were added. Methods panic on a
+/// number that was never assigned, as indexing does.
 pub struct Net {
     nodes: Vec<Node>,
     by_name: BTreeMap<Name, usize>,
-    /// `links[from][to]`, as far as they were used.
+    /// `links[from][to]`, grown as links are used.
     links: Vec<Vec<Link>>,
-    flights: BinaryHeap<Flight>,
+    scheduled: BinaryHeap<ScheduledEvent>,
     pub(crate) order: u64,
     pub(crate) faults: Faults,
     pub(crate) limits: Limits,
@@ -105,17 +108,17 @@
     pub(crate) trace: Trace,
     sent_bytes: u64,
     #[cfg(test)]
-    pub(crate) planted: Option<crate::tests::Planted>,
+    pub(crate) injected_fault: Option<crate::tests::InjectedFault>,
 }
 
 impl Net {
-    /// No nodes yet, at time zero.
+    /// Creates a network without nodes, at time zero.
     pub fn new(seed: u64, faults: Faults, limits: Limits) -> Self {
         Self {
             nodes: Vec::new(),
             by_name: BTreeMap::new(),
             links: Vec::new(),
-            flights: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             order: 0,
             faults,
             limits,
@@ -124,16 +127,17 @@
             trace: Trace::default(),
             sent_bytes: 0,
             #[cfg(test)]
-            planted: None,
+            injected_fault: None,
         }
     }
 
-    /// For [`crate::Port`]s.
+    /// Wraps the network for use by [`crate::Port`]s.
     pub fn shared(self) -> SharedNet {
         Arc::new(Mutex::new(self))
     }
 
-    /// Adds a node that does not run yet, or finds the one of this name; its number. `None` past [`NODES_MAX`].
+    /// Adds a node that is not running yet, or finds the one of this name, and returns its number. Returns
+    /// `None` beyond [`NODES_MAX`] nodes.
     pub fn add(&mut self, name: &Name) -> Option<usize> {
         if let Some(&i) = self.by_name.get(name) {
             return Some(i);
@@ -147,113 +151,117 @@
         self.nodes.push(Node {
             name: name.clone(),
             session: Session(0),
-            life: Life::Vanished,
+            lifecycle: Lifecycle::Unreachable,
             inbox: Inbox::default(),
             counts: Counts::default(),
         });
         Some(i)
     }
 
-    /// How many nodes there are, whether they run or not.
+    /// Returns the number of nodes, running or not.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// No node at all.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// The number of the node named so.
+    /// Returns the number of the node of this name.
     pub fn index(&self, name: &Name) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    /// The node and its latest start; session 0 before the first.
+    /// Returns the node's name and its latest session, which is 0 before its first start.
     pub fn peer(&self, i: usize) -> Peer {
         Peer { name: self.nodes[i].name.clone(), session: self.nodes[i].session }
     }
 
-    /// Whether the node runs.
+    /// Returns whether the node is running.
     pub fn is_running(&self, i: usize) -> bool {
-        self.nodes[i].life == Life::Runs
+        self.nodes[i].lifecycle == Lifecycle::Running
     }
 
-    /// The network's time, which no node sees.
+    /// Returns the network's time, which no node sees.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// What was counted of a node.
+    /// Returns the node's counters.
     pub fn counts(&self, i: usize) -> &Counts {
         &self.nodes[i].counts
     }
 
-    /// Bytes sent by all nodes.
+    /// Returns the number of bytes sent by all nodes.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// A number for all that came, to whom and when, and for each start and end of a node: equal for equal runs.
+    /// Returns a hash of all deliveries with their receivers and times, and of each start and end of a node.
+    /// Equal runs have equal hashes.
     pub fn trace(&self) -> u64 {
         self.trace.value()
     }
 
-    /// Starts the node in a new session. If it ran, that session ends as if killed.
+    /// Starts the node in a new session. If it was running, that session ends as if killed.
     pub fn start(&mut self, i: usize) -> Peer {
-        self.end(i, Life::Runs);
+        self.end_session(i, Lifecycle::Running);
         self.nodes[i].session.0 += 1;
         let session = self.nodes[i].session.0;
         self.trace.fold((i as u64) << 32 | session);
         self.peer(i)
     }
 
-    /// The node's process dies (kill -9). What it sent goes on; its peers' streams are told when they next send.
+    /// Kills the node's process (kill -9). Messages it has sent are still delivered. Its peers' streams break
+    /// when they next send.
     pub fn kill(&mut self, i: usize) {
-        self.end(i, Life::Killed);
+        self.end_session(i, Lifecycle::Killed);
     }
 
-    /// The node's machine dies or goes away without a word: its peers' streams notice by [`Limits::break_after`] alone.
+    /// Takes the node's host down or off the network without notice. Its peers' streams detect it only by
+    /// [`Limits::break_after`].
     pub fn crash_host(&mut self, i: usize) {
-        self.end(i, Life::Vanished);
+        self.end_session(i, Lifecycle::Unreachable);
     }
 
-    fn end(&mut self, i: usize, life: Life) {
-        self.trace.fold((i as u64) << 32 | life as u64);
-        self.nodes[i].life = life;
+    fn end_session(&mut self, i: usize, lifecycle: Lifecycle) {
+        self.trace.fold((i as u64) << 32 | lifecycle as u64);
+        self.nodes[i].lifecycle = lifecycle;
         self.nodes[i].inbox.clear();
         for link in &mut self.links[i] {
-            link.out = None;
+            link.sender = None;
         }
         for links in &mut self.links {
             if let Some(link) = links.get_mut(i) {
-                link.met = [0; 2];
-                link.inward = None;
+                link.latest_session = [0; 2];
+                link.receiver = None;
             }
         }
     }
 
-    /// The network's faults from now on, on every link that has none of its own.
+    /// Sets the network's faults from now on, for every link that has no faults of its own.
     pub fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// The faults of one link, one way, in place of the network's; `None` gives it the network's again.
+    /// Sets the faults of one link, in this direction only, in place of the network's. `None` returns it to
+    /// the network's faults.
     pub fn set_link_faults(&mut self, from: usize, to: usize, faults: Option<Faults>) {
         self.link(from, to).faults = faults.map(Box::new);
     }
 
-    /// What is sent from `from` to `to` from now on does not arrive (one way).
+    /// Drops all messages sent from `from` to `to` from now on, in this direction only.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.link(from, to).cut = true;
     }
 
-    /// The link works again, one way.
+    /// Ends the cut of one link, in this direction only.
     pub fn restore(&mut self, from: usize, to: usize) {
         self.link(from, to).cut = false;
     }
 
-    /// Every link between a node of `a` and one of `b` is cut both ways.
+    /// Cuts every link between a node of `a` and a node of `b` in both directions.
     pub fn partition(&mut self, a: &[usize], b: &[usize]) {
         for &x in a {
             for &y in b {
@@ -263,19 +271,20 @@
         }
     }
 
-    /// No link is cut any more.
+    /// Ends the cuts of all links.
     pub fn heal(&mut self) {
         for link in self.links.iter_mut().flatten() {
             link.cut = false;
         }
     }
 
-    /// What is sent from `from` to `to` from now on waits (one way), datagrams up to [`Limits::queue_capacity`].
+    /// Makes messages sent from `from` to `to` wait from now on, in this direction only; datagrams up to
+    /// [`Limits::queue_capacity`].
     pub fn hold(&mut self, from: usize, to: usize) {
         self.link(from, to).held.get_or_insert_default();
     }
 
-    /// What waited on the link sets off now, all of it.
+    /// Ends the hold of a link and sends everything that waited on it.
     pub fn release(&mut self, from: usize, to: usize) {
         let held = self.link(from, to).held.take();
         for (session, bytes) in held.into_iter().flat_map(|h| h.waiting) {
@@ -284,10 +293,11 @@
         self.resend(from, to);
     }
 
-    /// Takes a message of node `from`. Taken is not arrived.
+    /// Accepts a message from node `from` for sending. Delivery is not guaranteed.
     ///
     /// # Errors
-    /// See [`SendError`]: too large, an unknown name, too many wait, or `from` does not run.
+    /// See [`SendError`]: the message is too large, the name is unknown, too many messages wait, or `from` is
+    /// not running.
     pub fn send(&mut self, from: usize, to: &Name, kind: Kind, bytes: Vec<u8>) -> Result<(), SendError> {
         let size = bytes.len();
         let result = self.try_send(from, to, kind, bytes);
@@ -304,20 +314,20 @@
 
     fn try_send(&mut self, from: usize, to: &Name, kind: Kind, bytes: Vec<u8>) -> Result<(), SendError> {
         if !self.is_running(from) {
-            return Err(SendError::Closed(format!("{} does not run", self.nodes[from].name)));
+            return Err(SendError::Closed(format!("{} is not running", self.nodes[from].name)));
         }
-        let most = self.limits.capabilities(kind).message_max_bytes;
-        if bytes.len() > most {
-            return Err(SendError::TooLarge { size: bytes.len(), max: most });
+        let max = self.limits.capabilities(kind).message_max_bytes;
+        if bytes.len() > max {
+            return Err(SendError::TooLarge { size: bytes.len(), max });
         }
         let peer = self.index(to).ok_or_else(|| SendError::Unknown(to.clone()))?;
         let capacity = self.limits.queue_capacity;
         let link = self.link(from, peer);
         let waiting = match kind {
-            Kind::Datagram => link.on_way as usize + link.held.as_ref().map_or(0, |h| h.waiting.len()),
-            Kind::Stream => link.out.as_ref().map_or(0, |o| o.waiting()),
+            Kind::Datagram => link.in_flight as usize + link.held.as_ref().map_or(0, |h| h.waiting.len()),
+            Kind::Stream => link.sender.as_ref().map_or(0, |s| s.waiting()),
         };
-        if waiting >= capacity || self.flights.len() >= IN_FLIGHT_MAX {
+        if waiting >= capacity || self.scheduled.len() >= IN_FLIGHT_MAX {
             return Err(SendError::Full { to: to.clone(), max: capacity });
         }
         let (session, bytes) = (self.nodes[from].session, Arc::new(bytes));
@@ -337,33 +347,33 @@
             held.waiting.push_back((session, bytes));
             return;
         }
-        let f = self.faults_of(from, to);
-        if self.share(f.loss) {
+        let faults = self.faults_of(from, to);
+        if self.chance(faults.loss) {
             return;
         }
-        let copies = if self.share(f.duplicate) { 2 } else { 1 };
+        let copies = if self.chance(faults.duplicate) { 2 } else { 1 };
         for _ in 0..copies {
-            let mut way = self.way(&f);
-            if self.share(f.reorder) {
-                way += self.drawn(f.reorder_delay_max);
+            let mut transit = self.transit_time(&faults);
+            if self.chance(faults.reorder) {
+                transit += self.random_delay(faults.reorder_delay_max);
             }
-            self.link(from, to).on_way += 1;
-            self.fly(way, from, to, What::Datagram { session, bytes: Arc::clone(&bytes) });
+            self.link(from, to).in_flight += 1;
+            self.schedule(transit, from, to, Action::Datagram { session, bytes: Arc::clone(&bytes) });
         }
     }
 
-    /// When [`Net::step`] has something to do next.
+    /// Returns when [`Net::step`] next has an event to process.
     pub fn next_due(&self) -> Option<Duration> {
-        self.flights.peek().map(|f| f.due)
+        self.scheduled.peek().map(|e| e.due)
     }
 
-    /// Goes on to the next moment at which something comes to a node, at most to `until`: the node's number, for
-    /// [`Net::read`]; `None` when nothing more comes by `until`.
+    /// Advances the time to the next event that gives a node something to read, but not past `until`. Returns
+    /// the node's number, for [`Net::read`], or `None` if there is no such event by `until`.
     pub fn step(&mut self, until: Duration) -> Option<usize> {
-        while self.flights.peek().is_some_and(|f| f.due <= until) {
-            let Some(flight) = self.flights.pop() else { break };
-            self.now = self.now.max(flight.due);
-            if let Some(node) = self.arrive(flight) {
+        while self.scheduled.peek().is_some_and(|e| e.due <= until) {
+            let Some(event) = self.scheduled.pop() else { break };
+            self.now = self.now.max(event.due);
+            if let Some(node) = self.arrive(event) {
                 return Some(node);
             }
         }
@@ -371,52 +381,52 @@
         None
     }
 
-    /// What came to a node first and was not read yet, of one kind or of both.
+    /// Returns the node's oldest unread event, of one kind or, with `None`, of both.
     pub fn read(&mut self, i: usize, kind: Option<Kind>) -> Option<Event> {
-        let kind = kind.or_else(|| self.nodes[i].inbox.first())?;
-        let mut came = self.nodes[i].inbox.read(kind)?;
-        match &mut came.event {
+        let kind = kind.or_else(|| self.nodes[i].inbox.first_kind())?;
+        let mut entry = self.nodes[i].inbox.read(kind)?;
+        match &mut entry.event {
             Event::Message { bytes, .. } => {
                 let counts = &mut self.nodes[i].counts;
                 counts.received += 1;
                 counts.received_bytes += bytes.len() as u64;
                 if kind == Kind::Stream {
-                    self.was_read(came.from, i);
+                    self.mark_read(entry.from, i);
                 }
             }
-            Event::Lost { messages, .. } => *messages = self.take_lost(i, came.from),
+            Event::Lost { messages, .. } => *messages = self.take_lost(i, entry.from),
             Event::NewSession(_) | Event::Dropped(_) => {}
         }
-        Some(came.event)
+        Some(entry.event)
     }
 
-    /// How many entries wait to be read by the node.
+    /// Returns the number of the node's unread entries.
     pub fn unread(&self, i: usize) -> usize {
         self.nodes[i].inbox.len()
     }
 
-    fn arrive(&mut self, flight: Flight) -> Option<usize> {
-        let Flight { from, to, what, .. } = flight;
-        match what {
-            What::Datagram { session, bytes } => {
-                let on_way = &mut self.link(from, to).on_way;
-                *on_way = on_way.saturating_sub(1);
-                let comes = self.is_running(to) && self.deliver(from, to, Kind::Datagram, session, bytes);
-                comes.then_some(to)
+    fn arrive(&mut self, event: ScheduledEvent) -> Option<usize> {
+        let ScheduledEvent { from, to, action, .. } = event;
+        match action {
+            Action::Datagram { session, bytes } => {
+                let in_flight = &mut self.link(from, to).in_flight;
+                *in_flight = in_flight.saturating_sub(1);
+                let delivered = self.is_running(to) && self.deliver(from, to, Kind::Datagram, session, bytes);
+                delivered.then_some(to)
             }
-            What::Segment { session, conn, seq, bytes } => {
+            Action::Segment { session, conn, seq, bytes } => {
                 self.on_segment(from, to, session, conn, seq, bytes).then_some(to)
             }
-            What::Ack { conn, below } => {
-                self.on_ack(to, from, conn, below);
+            Action::Ack { conn, next_expected } => {
+                self.on_ack(to, from, conn, next_expected);
                 None
             }
-            What::Reset { conn } => self.on_reset(to, from, conn).then_some(to),
-            What::Check { conn } => self.on_check(from, to, conn).then_some(from),
+            Action::Reset { conn } => self.on_reset(to, from, conn).then_some(to),
+            Action::RetransmitTimer { conn } => self.on_retransmit_timer(from, to, conn).then_some(from),
         }
     }
 
-    /// Hands a message to a node that runs; whether anything came of it that the node can read.
+    /// Delivers a message to a running node. Returns whether the node has something new to read.
     pub(crate) fn deliver(
         &mut self,
         from: usize,
@@ -425,44 +435,47 @@
         session: Session,
         bytes: Arc<Vec<u8>>,
     ) -> bool {
-        let met = self.link(from, to).met[kind as usize];
-        if session.0 < met && !self.mixes_sessions() {
-            return self.outdated(from, to, kind);
+        let latest_session = self.link(from, to).latest_session[kind as usize];
+        if session.0 < latest_session && !self.accepts_outdated_sessions() {
+            return self.drop_outdated(from, to, kind);
         }
-        let news = session.0 > met;
+        let is_new_session = session.0 > latest_session;
         let backlog = self.limits.backlog;
         let node = &mut self.nodes[to];
-        if kind == Kind::Datagram && !node.inbox.fits(1 + usize::from(news), backlog) {
+        if kind == Kind::Datagram && !node.inbox.try_reserve(1 + usize::from(is_new_session), backlog) {
             node.counts.overflowed += 1;
             return false;
         }
         let peer = Peer { name: self.nodes[from].name.clone(), session };
-        if news {
-            self.link(from, to).met[kind as usize] = session.0;
-            self.put(to, kind, from, Event::NewSession(peer.clone()));
+        if is_new_session {
+            self.link(from, to).latest_session[kind as usize] = session.0;
+            self.push_event(to, kind, from, Event::NewSession(peer.clone()));
         }
         self.trace.fold(self.now.as_nanos() as u64);
         self.trace.fold((from as u64) << 32 | (to as u64) << 1 | kind as u64);
-        self.trace.bytes(&bytes);
+        self.trace.fold_bytes(&bytes);
         let bytes = Arc::try_unwrap(bytes).unwrap_or_else(|shared| (*shared).clone());
-        self.put(to, kind, from, Event::Message { from: peer, bytes });
+        self.push_event(to, kind, from, Event::Message { from: peer, bytes });
         #[cfg(test)]
-        crate::tests::Planted::after_delivery(self.planted, self.nodes[to].inbox.of(kind));
+        crate::tests::InjectedFault::after_delivery(
+            self.injected_fault,
+            self.nodes[to].inbox.queue_mut(kind),
+        );
         true
     }
 
-    /// A message of an older session or connection came; whether the node is told.
-    pub(crate) fn outdated(&mut self, from: usize, to: usize, kind: Kind) -> bool {
+    /// Drops a message of an older session or connection. Returns whether the node is notified.
+    pub(crate) fn drop_outdated(&mut self, from: usize, to: usize, kind: Kind) -> bool {
         let (backlog, order) = (self.limits.backlog, self.next_order());
         let node = &mut self.nodes[to];
         node.counts.outdated += 1;
         let event = Event::Dropped("a message of an older session");
-        node.inbox.notice(kind, Came { order, from, event }, backlog)
+        node.inbox.push_notice(kind, InboxEntry { order, from, event }, backlog)
     }
 
-    pub(crate) fn put(&mut self, to: usize, kind: Kind, from: usize, event: Event) {
+    pub(crate) fn push_event(&mut self, to: usize, kind: Kind, from: usize, event: Event) {
         let order = self.next_order();
-        self.nodes[to].inbox.of(kind).push_back(Came { order, from, event });
+        self.nodes[to].inbox.queue_mut(kind).push_back(InboxEntry { order, from, event });
     }
 
     pub(crate) fn session(&self, i: usize) -> Session {
@@ -473,9 +486,9 @@
         &self.nodes[i].name
     }
 
-    /// Whether the node's kernel says that nobody is there.
+    /// Returns whether the node was killed, so that its kernel answers segments with a reset.
     pub(crate) fn was_killed(&self, i: usize) -> bool {
-        self.nodes[i].life == Life::Killed
+        self.nodes[i].lifecycle == Lifecycle::Killed
     }
 
     pub(crate) fn counts_mut(&mut self, i: usize) -> &mut Counts {
@@ -498,23 +511,23 @@
         }
     }
 
-    pub(crate) fn share(&mut self, share: f64) -> bool {
+    pub(crate) fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random_bool(share.clamp(0.0, 1.0))
     }
 
-    fn drawn(&mut self, most: Duration) -> Duration {
-        let most = most.as_micros() as u64;
-        Duration::from_micros(if most == 0 { 0 } else { self.rng.random_range(0..=most) })
+    fn random_delay(&mut self, max: Duration) -> Duration {
+        let max = max.as_micros() as u64;
+        Duration::from_micros(if max == 0 { 0 } else { self.rng.random_range(0..=max) })
     }
 
-    /// Time on the way of one message, but for what holds it back.
-    pub(crate) fn way(&mut self, f: &Faults) -> Duration {
-        f.delay + self.drawn(f.jitter)
+    /// Draws the transit time of one message, without delays for reordering or retransmission.
+    pub(crate) fn transit_time(&mut self, faults: &Faults) -> Duration {
+        faults.delay + self.random_delay(faults.jitter)
     }
 
-    pub(crate) fn fly(&mut self, after: Duration, from: usize, to: usize, what: What) {
+    pub(crate) fn schedule(&mut self, after: Duration, from: usize, to: usize, action: Action) {
         let order = self.next_order();
-        self.flights.push(Flight { due: self.now + after, order, from, to, what });
+        self.scheduled.push(ScheduledEvent { due: self.now + after, order, from, to, action });
     }
 
     fn next_order(&mut self) -> u64 {
@@ -523,12 +536,12 @@
     }
 
     #[cfg(test)]
-    fn mixes_sessions(&self) -> bool {
-        self.planted == Some(crate::tests::Planted::MixesSessions)
+    fn accepts_outdated_sessions(&self) -> bool {
+        self.injected_fault == Some(crate::tests::InjectedFault::MixesSessions)
     }
 
     #[cfg(not(test))]
-    fn mixes_sessions(&self) -> bool {
+    fn accepts_outdated_sessions(&self) -> bool {
         false
     }
 }
--- a/crates/simnet/src/port.rs
+++ b/crates/simnet/src/port.rs
@@ -7,14 +7,15 @@
 
 use crate::net::Net;
 
-/// A network that several [`Port`]s stand on.
+/// A network shared by several [`Port`]s.
 pub type SharedNet = Arc<Mutex<Net>>;
 
-/// One node's end of a network, of one kind. A port of each kind may stand on one start of a node; each reads its own.
+/// One node's end of a network, of one kind. One session of a node can have a port of each kind, and each
+/// port reads only its own kind.
 ///
-/// A message sets off at the network's time, and [`Transport::poll`] takes the network to the time it is handed, for all
-/// ports. A port lives as long as the start of the node that it was opened on: after a later one, or a kill, it refuses
-/// with [`SendError::Closed`] and has nothing to read.
+/// Messages are sent at the network's time. [`Transport::poll`] advances the network to the given time for
+/// all ports. A port is valid for the session in which it was opened: after a later start or a kill, sending
+/// fails with [`SendError::Closed`] and there is nothing to read.
 pub struct Port {
     net: SharedNet,
     node: usize,
@@ -23,26 +24,26 @@
 }
 
 impl Port {
-    /// Starts the node named so in a new session, adding it if there is none, and opens an end of it.
+    /// Starts the node of this name in a new session, adding it if it does not exist, and opens a port on it.
     ///
     /// # Errors
-    /// [`SendError::Closed`] when the network holds as many nodes as it may.
+    /// [`SendError::Closed`] if the network has the maximum number of nodes.
     pub fn open(net: &SharedNet, name: &Name, kind: Kind) -> Result<Self, SendError> {
         let mut guard = lock(net);
         let Some(node) = guard.add(name) else {
-            return Err(SendError::Closed("the network is full of nodes".to_owned()));
+            return Err(SendError::Closed("the network has the maximum number of nodes".to_owned()));
         };
         let me = guard.start(node);
         drop(guard);
         Ok(Self { net: Arc::clone(net), node, me, kind })
     }
 
-    /// An end of another kind on the same start of the node.
+    /// Returns a port of another kind in the same session of the node.
     pub fn with_kind(&self, kind: Kind) -> Self {
         Self { net: Arc::clone(&self.net), node: self.node, me: self.me.clone(), kind }
     }
 
-    /// The node's number on the network, for its faults.
+    /// Returns the node's number on the network, for injecting faults.
     pub fn node(&self) -> usize {
         self.node
     }
@@ -64,7 +65,7 @@
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
         let mut net = lock(&self.net);
         if !self.is_current(&net) {
-            return Err(SendError::Closed(format!("{} is over", self.me)));
+            return Err(SendError::Closed(format!("session {} has ended", self.me)));
         }
         net.send(self.node, to, self.kind, message.to_vec())
     }
@@ -80,7 +81,8 @@
     }
 }
 
-/// A test that panicked elsewhere leaves a network that is whole: every call ends before its lock does.
+/// Ignores poisoning: every change of the network is complete before its lock is released, so a panic in
+/// another test leaves it consistent.
 fn lock(net: &SharedNet) -> MutexGuard<'_, Net> {
     net.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/simnet/src/tests/mod.rs
+++ b/crates/simnet/src/tests/mod.rs
@@ -1,10 +1,11 @@
-//! Each fault of the network in a sentence, and planted faults that the tests' own checks name.
+//! Tests of each fault of the network, and faults injected into the network that the tests' checks must
+//! detect.
 
 use std::collections::VecDeque;
 
 use magpietally_transport::Event;
 
-use crate::inbox::Came;
+use crate::inbox::InboxEntry;
 
 mod check;
 mod datagrams;
@@ -12,35 +13,35 @@
 mod streams;
 mod worlds;
 
-/// Faults of the network itself, to show that the checks find them.
+/// Faults injected into the network itself, to show that the checks detect them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Planted {
+pub(crate) enum InjectedFault {
     /// A message of a stream overtakes the one before it.
-    StreamReorders,
-    /// Each message comes to a reader twice.
-    Doubles,
-    /// One byte of a message is another.
-    Alters,
-    /// What an older session sent is handed over after the newer was met.
+    ReordersStream,
+    /// Each message is delivered twice.
+    Duplicates,
+    /// One byte of a message is changed.
+    Corrupts,
+    /// Messages of an older session are delivered after a newer session was seen.
     MixesSessions,
 }
 
-impl Planted {
-    /// Spoils what was just put into a reader's queue.
-    pub(crate) fn after_delivery(planted: Option<Self>, queue: &mut VecDeque<Came>) {
+impl InjectedFault {
+    /// Applies the fault to the entry just added to a reader's queue.
+    pub(crate) fn after_delivery(injected_fault: Option<Self>, queue: &mut VecDeque<InboxEntry>) {
         let Some(last) = queue.len().checked_sub(1) else { return };
-        match planted {
-            Some(Self::StreamReorders)
+        match injected_fault {
+            Some(Self::ReordersStream)
                 if last > 0 && matches!(queue[last - 1].event, Event::Message { .. }) =>
             {
                 queue.swap(last, last - 1);
             }
-            Some(Self::Doubles) => {
-                let Came { order, from, event } = &queue[last];
-                let twice = Came { order: *order, from: *from, event: event.clone() };
-                queue.push_back(twice);
+            Some(Self::Duplicates) => {
+                let InboxEntry { order, from, event } = &queue[last];
+                let copy = InboxEntry { order: *order, from: *from, event: event.clone() };
+                queue.push_back(copy);
             }
-            Some(Self::Alters) => {
+            Some(Self::Corrupts) => {
                 if let Event::Message { bytes, .. } = &mut queue[last].event {
                     if let Some(byte) = bytes.last_mut() {
                         *byte ^= 1;
--- a/crates/simnet/src/tests/ports.rs
+++ b/crates/simnet/src/tests/ports.rs
@@ -1,4 +1,4 @@
-//! One node's end as a `Transport`.
+//! Tests of [`Port`] as a `Transport`.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::{Faults, Limits, Net, Port};
 
 #[test]
-fn a_port_carries_messages_of_its_kind_and_ends_with_its_session() {
+fn a_port_carries_messages_of_its_kind_and_closes_with_its_session() {
     let net = Net::new(1, Faults::default(), Limits::default()).shared();
-    let mut a = Port::open(&net, &name(0), Kind::Stream).expect("place");
-    let mut b = Port::open(&net, &name(1), Kind::Stream).expect("place");
+    let mut a = Port::open(&net, &name(0), Kind::Stream).expect("the network accepts the node");
+    let mut b = Port::open(&net, &name(1), Kind::Stream).expect("the network accepts the node");
     let mut datagrams = b.with_kind(Kind::Datagram);
     assert_eq!(a.capabilities(), Limits::default().capabilities(Kind::Stream));
-    a.with_kind(Kind::Datagram).send(&name(1), b"datagram").expect("taken");
-    a.send(&name(1), b"stream").expect("taken");
+    a.with_kind(Kind::Datagram).send(&name(1), b"datagram").expect("message is accepted");
+    a.send(&name(1), b"stream").expect("message is accepted");
     let from = a.me().clone();
     let message = |bytes: &[u8]| Some(Event::Message { from: from.clone(), bytes: bytes.to_vec() });
     assert_eq!(b.poll(Duration::ZERO), None);
@@ -26,9 +26,9 @@
     assert_eq!(datagrams.poll(S), message(b"datagram"));
     assert_eq!(a.send(&name(9), b""), Err(SendError::Unknown(name(9))));
 
-    let mut again = Port::open(&net, &name(0), Kind::Stream).expect("place");
-    assert_eq!(a.send(&name(1), b"late"), Err(SendError::Closed("n0#1 is over".to_owned())));
-    again.send(&name(1), b"anew").expect("taken");
+    let mut again = Port::open(&net, &name(0), Kind::Stream).expect("the network accepts the node");
+    assert_eq!(a.send(&name(1), b"late"), Err(SendError::Closed("session n0#1 has ended".to_owned())));
+    again.send(&name(1), b"anew").expect("message is accepted");
     assert_eq!(b.poll(2 * S), Some(Event::NewSession(again.me().clone())));
     assert_eq!(b.poll(2 * S), Some(Event::Message { from: again.me().clone(), bytes: b"anew".to_vec() }));
 }
