--- a/crates/contracts/src/relay/streams.rs
+++ b/crates/contracts/src/relay/streams.rs
@@ -17,38 +17,38 @@
 
 /// What a link does to the bytes of its connections, one way (by who sends them, not by who dialled).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Stream {
+pub struct StreamLink {
     /// Time added on the way.
     pub delay: Duration,
     /// Bytes are held, and go on once it is off: a path that is cut for a while.
-    pub held: bool,
+    pub paused: bool,
     /// Bytes, and the end of a connection, are swallowed without a word: the other side is gone, and nobody told. A
     /// connection that lost bytes so never passes any again.
-    pub silent: bool,
+    pub blackhole: bool,
     /// Bytes a second; none is no limit.
-    pub rate: Option<u64>,
+    pub bytes_per_s: Option<u64>,
     /// The share of pieces at which the whole connection is reset instead, drawn by the seed.
-    pub reset: f64,
+    pub reset_share: f64,
     /// New connections that this side dials are reset at once.
-    pub refused: bool,
+    pub refuse_connections: bool,
 }
 
 /// Bytes read at a time; with a rate, what passes at a time.
-const PIECE: usize = 4096;
+const CHUNK_BYTES: usize = 4096;
 /// Pieces a connection holds for their delay, one way: 1 MiB, and past it the sender feels it.
-const PIECES: usize = 256;
+const CHUNKS_MAX: usize = 256;
 /// How often a held link looks whether it is still held.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Default)]
 struct State {
-    links: BTreeMap<(usize, usize), Stream>,
-    usual: Stream,
-    backs: BTreeMap<usize, SocketAddr>,
+    links: BTreeMap<(usize, usize), StreamLink>,
+    default_link: StreamLink,
+    backends: BTreeMap<usize, SocketAddr>,
     /// Raised at each reset of a pair: connections older than that end.
     resets: BTreeMap<(usize, usize), u64>,
     connections: u64,
-    broken: u64,
+    aborted: u64,
 }
 
 struct Inner {
@@ -60,9 +60,9 @@
 }
 
 /// The relay for TCP; its thread ends when it is dropped, and all connections with it.
-pub struct Streams {
+pub struct StreamRelay {
     inner: Arc<Inner>,
-    fronts: BTreeMap<(usize, usize), SocketAddr>,
+    frontends: BTreeMap<(usize, usize), SocketAddr>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -70,7 +70,7 @@
     (a.min(b), a.max(b))
 }
 
-impl Streams {
+impl StreamRelay {
     /// A relay between `n` nodes. Each ordered pair has a front of its own, as a connection does not say who dials.
     pub fn new(n: usize, seed: u64) -> Self {
         let inner = Arc::new(Inner {
@@ -79,57 +79,57 @@
             reset: Notify::new(),
             stop: Notify::new(),
         });
-        let (mut fronts, mut listeners) = (BTreeMap::new(), Vec::new());
-        for way in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b) {
+        let (mut frontends, mut listeners) = (BTreeMap::new(), Vec::new());
+        for direction in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b) {
             let listener = StdListener::bind("127.0.0.1:0").expect("a port");
             listener.set_nonblocking(true).expect("a socket");
-            fronts.insert(way, listener.local_addr().expect("bound"));
-            listeners.push((way, listener));
+            frontends.insert(direction, listener.local_addr().expect("bound"));
+            listeners.push((direction, listener));
         }
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let carried = inner.clone();
+        let shared = inner.clone();
         let thread = std::thread::spawn(move || {
             runtime.block_on(async {
-                for (way, listener) in listeners {
+                for (direction, listener) in listeners {
                     let listener = TcpListener::from_std(listener).expect("inside the runtime");
-                    tokio::spawn(carried.clone().front(way, listener));
+                    tokio::spawn(shared.clone().accept_loop(direction, listener));
                 }
-                carried.stop.notified().await;
+                shared.stop.notified().await;
             });
         });
-        Self { inner, fronts, thread: Some(thread) }
+        Self { inner, frontends, thread: Some(thread) }
     }
 
     /// Where `from` dials to reach `to`.
-    pub fn front(&self, from: usize, to: usize) -> SocketAddr {
-        self.fronts[&(from, to)]
+    pub fn frontend(&self, from: usize, to: usize) -> SocketAddr {
+        self.frontends[&(from, to)]
     }
 
     /// Node `i`'s own listener (again after a restart).
-    pub fn attach(&self, i: usize, back: SocketAddr) {
-        self.inner.state().backs.insert(i, back);
+    pub fn attach(&self, i: usize, backend: SocketAddr) {
+        self.inner.state().backends.insert(i, backend);
     }
 
     /// Node `i` has no listener: whoever dials it is reset.
     pub fn detach(&self, i: usize) {
-        self.inner.state().backs.remove(&i);
+        self.inner.state().backends.remove(&i);
     }
 
     /// What the link from `from` to `to` does from now on.
-    pub fn set(&self, from: usize, to: usize, link: Stream) {
+    pub fn set_link(&self, from: usize, to: usize, link: StreamLink) {
         self.inner.state().links.insert((from, to), link);
     }
 
     /// What every link without a setting of its own does.
-    pub fn set_all(&self, link: Stream) {
-        self.inner.state().usual = link;
+    pub fn set_default_link(&self, link: StreamLink) {
+        self.inner.state().default_link = link;
     }
 
     /// Every link passes all again; a connection that lost bytes stays dead.
     pub fn heal(&self) {
         let mut s = self.inner.state();
         s.links.clear();
-        s.usual = Stream::default();
+        s.default_link = StreamLink::default();
     }
 
     /// Resets all connections between two nodes, whoever dialled; new ones may be made.
@@ -142,8 +142,8 @@
     pub fn partition(&self, a: &[usize], b: &[usize]) {
         for &x in a {
             for &y in b {
-                self.set(x, y, Stream { refused: true, ..Stream::default() });
-                self.set(y, x, Stream { refused: true, ..Stream::default() });
+                self.set_link(x, y, StreamLink { refuse_connections: true, ..StreamLink::default() });
+                self.set_link(y, x, StreamLink { refuse_connections: true, ..StreamLink::default() });
                 self.reset(x, y);
             }
         }
@@ -152,11 +152,11 @@
     /// Connections passed on so far, and those that the relay itself broke or refused.
     pub fn counts(&self) -> (u64, u64) {
         let s = self.inner.state();
-        (s.connections, s.broken)
+        (s.connections, s.aborted)
     }
 }
 
-impl Drop for Streams {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         self.inner.stop.notify_one();
         if let Some(thread) = self.thread.take() {
@@ -170,85 +170,85 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn link(&self, way: (usize, usize)) -> Stream {
+    fn link(&self, direction: (usize, usize)) -> StreamLink {
         let s = self.state();
-        s.links.get(&way).copied().unwrap_or(s.usual)
+        s.links.get(&direction).copied().unwrap_or(s.default_link)
     }
 
-    fn resets(&self, way: (usize, usize)) -> u64 {
-        self.state().resets.get(&pair(way.0, way.1)).copied().unwrap_or(0)
+    fn resets(&self, direction: (usize, usize)) -> u64 {
+        self.state().resets.get(&pair(direction.0, direction.1)).copied().unwrap_or(0)
     }
 
-    async fn front(self: Arc<Self>, way: (usize, usize), listener: TcpListener) {
+    async fn accept_loop(self: Arc<Self>, direction: (usize, usize), listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             };
-            tokio::spawn(self.clone().connection(way, stream));
+            tokio::spawn(self.clone().relay_connection(direction, stream));
         }
     }
 
-    async fn connection(self: Arc<Self>, way: (usize, usize), mut dialler: TcpStream) {
-        let resets = self.resets(way);
-        let back = self.state().backs.get(&way.1).copied();
-        let listener = match back.filter(|_| !self.link(way).refused) {
-            Some(back) => TcpStream::connect(back).await.ok(),
+    async fn relay_connection(self: Arc<Self>, direction: (usize, usize), mut client: TcpStream) {
+        let resets = self.resets(direction);
+        let backend = self.state().backends.get(&direction.1).copied();
+        let listener = match backend.filter(|_| !self.link(direction).refuse_connections) {
+            Some(backend) => TcpStream::connect(backend).await.ok(),
             None => None,
         };
         let Some(mut listener) = listener else {
-            self.state().broken += 1;
-            abort(dialler);
+            self.state().aborted += 1;
+            abort(client);
             return;
         };
         self.state().connections += 1;
-        let _ = (dialler.set_nodelay(true), listener.set_nodelay(true));
+        let _ = (client.set_nodelay(true), listener.set_nodelay(true));
         // Borrowed halves: an owned one says the end of its way when it is dropped, before any reset.
-        let (from_dialler, to_dialler) = dialler.split();
+        let (from_client, to_client) = client.split();
         let (from_listener, to_listener) = listener.split();
-        let back_way = (way.1, way.0);
-        let broken = tokio::select! {
+        let return_direction = (direction.1, direction.0);
+        let aborted = tokio::select! {
             ends = async { tokio::try_join!(
-                self.pass(way, from_dialler, to_listener),
-                self.pass(back_way, from_listener, to_dialler),
+                self.copy_direction(direction, from_client, to_listener),
+                self.copy_direction(return_direction, from_listener, to_client),
             ) } => ends.is_err(),
-            () = self.until_reset(way, resets) => true,
+            () = self.wait_for_reset(direction, resets) => true,
         };
-        if broken {
-            self.state().broken += 1;
-            abort(dialler);
+        if aborted {
+            self.state().aborted += 1;
+            abort(client);
             abort(listener);
         }
     }
 
-    async fn until_reset(&self, way: (usize, usize), before: u64) {
+    async fn wait_for_reset(&self, direction: (usize, usize), before: u64) {
         loop {
-            let told = self.reset.notified();
-            tokio::pin!(told);
-            told.as_mut().enable();
-            if self.resets(way) != before {
+            let notified = self.reset.notified();
+            tokio::pin!(notified);
+            notified.as_mut().enable();
+            if self.resets(direction) != before {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 
     /// One way of a connection, with its link's faults. An error where either socket breaks: the connection ends.
-    async fn pass(
+    async fn copy_direction(
         &self,
-        way: (usize, usize),
+        direction: (usize, usize),
         mut from: ReadHalf<'_>,
         mut to: WriteHalf<'_>,
     ) -> io::Result<()> {
-        let (push, mut pull) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
+        let (sender, mut receiver) = mpsc::channel::<(Instant, Vec<u8>)>(CHUNKS_MAX);
         let read = async move {
-            let mut buffer = vec![0; PIECE];
-            let mut swallowed = false;
+            let mut buffer = vec![0; CHUNK_BYTES];
+            let mut blackholed = false;
             loop {
                 let n = from.read(&mut buffer).await;
-                let link = self.link(way);
-                swallowed |= link.silent;
-                if swallowed {
+                let link = self.link(direction);
+                blackholed |= link.blackhole;
+                if blackholed {
                     match n {
                         // Its end is not told either. The other way's end, or a reset, ends the connection.
                         Ok(0) | Err(_) => std::future::pending::<()>().await,
@@ -259,22 +259,24 @@
                 if n == 0 {
                     return Ok(());
                 }
-                if link.reset > 0.0 && self.random.lock().is_ok_and(|mut r| r.random::<f64>() < link.reset) {
+                if link.reset_share > 0.0
+                    && self.random.lock().is_ok_and(|mut r| r.random::<f64>() < link.reset_share)
+                {
                     return Err(io::ErrorKind::ConnectionReset.into());
                 }
-                let _ = push.send((Instant::now() + link.delay, buffer[..n].to_vec())).await;
+                let _ = sender.send((Instant::now() + link.delay, buffer[..n].to_vec())).await;
             }
         };
         let write = async {
-            while let Some((due, piece)) = pull.recv().await {
+            while let Some((due, chunk)) = receiver.recv().await {
                 sleep_until(due).await;
-                while self.link(way).held {
-                    sleep(LOOK).await;
+                while self.link(direction).paused {
+                    sleep(POLL_INTERVAL).await;
                 }
-                if let Some(rate) = self.link(way).rate {
-                    sleep(Duration::from_secs_f64(piece.len() as f64 / rate.max(1) as f64)).await;
+                if let Some(rate) = self.link(direction).bytes_per_s {
+                    sleep(Duration::from_secs_f64(chunk.len() as f64 / rate.max(1) as f64)).await;
                 }
-                to.write_all(&piece).await?;
+                to.write_all(&chunk).await?;
             }
             to.shutdown().await
         };
--- a/crates/contracts/src/store.rs
+++ b/crates/contracts/src/store.rs
@@ -4,8 +4,8 @@
 //! troubles can be played there. [`check`] says which clauses were played and held, or which one is broken.
 
 mod clauses;
-mod course;
-pub mod places;
+pub mod media;
+mod script;
 
 use std::fmt;
 
@@ -47,28 +47,28 @@
 
 /// A clause that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub clause: Clause,
     /// What was seen.
-    pub what: String,
+    pub detail: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.clause, self.what)
+        write!(f, "{:?}: {}", self.clause, self.detail)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Violation {}
 
 /// A trouble that a place may be able to play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum MediumFault {
     /// Space for so many bytes more.
     Full {
         /// In bytes.
-        room: usize,
+        free_bytes: usize,
     },
     /// The directory is gone.
     Missing,
@@ -78,28 +78,28 @@
     SyncFails,
 }
 
-/// What a crash left.
-pub struct Left<P> {
+/// What a crash image.
+pub struct CrashImage<M> {
     /// It, nobody having it open.
-    pub place: P,
+    pub medium: M,
     /// The last mark that was set before.
-    pub marked: usize,
+    pub last_mark: usize,
     /// Where it happened, for people.
-    pub moment: String,
+    pub description: String,
     /// It ends within a record, so that something must be cut.
     pub torn: bool,
 }
 
 /// What is done with each thing a crash may leave.
-pub type Visit<'a, P> = dyn FnMut(Left<P>) -> Result<(), Broken> + 'a;
+pub type CrashVisitor<'a, M> = dyn FnMut(CrashImage<M>) -> Result<(), Violation> + 'a;
 
 /// Where a store lies.
-pub trait Place: Sized {
+pub trait StoreMedium: Sized {
     /// The store.
     type Store: Store;
 
     /// A new place with nothing there.
-    fn fresh() -> Self;
+    fn new_empty() -> Self;
 
     /// Opens the store.
     ///
@@ -108,32 +108,32 @@
     fn open(&self) -> Result<(Self::Store, Recovered), StoreError>;
 
     /// Notes that something was promised.
-    fn mark(&self, what: usize);
+    fn mark(&self, label: usize);
 
     /// Goes through what a crash may leave, at each moment that this place knows of.
     ///
     /// # Errors
     /// The first of the visitor's.
-    fn crashes(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken>;
+    fn visit_crashes(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation>;
 
     /// Goes through what a crash in the middle of what was written since the last mark may leave.
     ///
     /// # Errors
     /// The first of the visitor's.
-    fn tears(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken>;
+    fn visit_torn_writes(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation>;
 
     /// Goes through this place with one bit flipped, by where.
     ///
     /// # Errors
     /// The first of the visitor's.
-    fn flips(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken>;
+    fn visit_bit_flips(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation>;
 
     /// What a kill of the process at this moment leaves.
-    fn killed(&self) -> Self;
+    fn after_process_kill(&self) -> Self;
 
     /// Plays a trouble from now on; false where it can't be played here.
-    fn trouble(&self, trouble: Trouble) -> bool;
+    fn inject_fault(&self, fault: MediumFault) -> bool;
 
     /// Ends all trouble.
-    fn repair(&self);
+    fn clear_faults(&self);
 }
--- a/crates/contracts/src/store/clauses.rs
+++ b/crates/contracts/src/store/clauses.rs
@@ -2,36 +2,36 @@
 
 use magpietally_store::{Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
-use super::course::{broken, play, sound, OrBreaks, Step};
-use super::{Broken, Clause, Place, Trouble};
+use super::script::{check_records, run_script, violation, OrViolation, Step};
+use super::{Clause, MediumFault, StoreMedium, Violation};
 
 /// Plays a clause; whether its trouble could be played.
-type Play = fn() -> Result<bool, Broken>;
+type ClauseCheck = fn() -> Result<bool, Violation>;
 
 /// A place, the store on it, and what was appended.
-type Filled<P> = (P, <P as Place>::Store, Vec<Vec<u8>>);
+type FilledMedium<M> = (M, <M as StoreMedium>::Store, Vec<Vec<u8>>);
 
 /// Holds a store to every clause that its place can play, and says which those are.
 ///
 /// # Errors
 /// The first clause that is broken.
-pub fn check<P: Place>() -> Result<Vec<Clause>, Broken> {
+pub fn check<M: StoreMedium>() -> Result<Vec<Clause>, Violation> {
     let mut held = Vec::new();
     // The quick ones first.
-    let clauses: [(Clause, Play); 13] = [
-        (Clause::OversizedRefusedWhole, oversized::<P>),
-        (Clause::EmptyIsARecord, empty::<P>),
-        (Clause::OrderWithoutGap, order::<P>),
-        (Clause::NumbersGoOn, numbers::<P>),
-        (Clause::OneOpens, one_opens::<P>),
-        (Clause::MissingIsSaid, missing::<P>),
-        (Clause::ReadOnlyIsSaid, read_only::<P>),
-        (Clause::TornTailCutAndSaid, torn::<P>),
-        (Clause::SyncedOutlivesCrash, crash::<P>),
-        (Clause::SnapshotWholeOrNothing, snapshot::<P>),
-        (Clause::FullRefusesAndGoesOn, full::<P>),
-        (Clause::DoubtUntilOpened, doubt::<P>),
-        (Clause::FlippedBitFound, flipped::<P>),
+    let clauses: [(Clause, ClauseCheck); 13] = [
+        (Clause::OversizedRefusedWhole, oversized::<M>),
+        (Clause::EmptyIsARecord, empty::<M>),
+        (Clause::OrderWithoutGap, order::<M>),
+        (Clause::NumbersGoOn, numbers::<M>),
+        (Clause::OneOpens, one_opens::<M>),
+        (Clause::MissingIsSaid, missing::<M>),
+        (Clause::ReadOnlyIsSaid, read_only::<M>),
+        (Clause::TornTailCutAndSaid, torn::<M>),
+        (Clause::SyncedOutlivesCrash, crash::<M>),
+        (Clause::SnapshotWholeOrNothing, snapshot::<M>),
+        (Clause::FullRefusesAndGoesOn, full::<M>),
+        (Clause::DoubtUntilOpened, doubt::<M>),
+        (Clause::FlippedBitFound, flipped::<M>),
     ];
     for (clause, played) in clauses {
         if played()? {
@@ -46,182 +46,182 @@
     (0..n * 13 % 90).map(|k| (n * 31 + k * 7) as u8).collect()
 }
 
-fn filled<P: Place>(clause: Clause, records: usize) -> Result<Filled<P>, Broken> {
-    let place = P::fresh();
-    let (mut store, got) = place.open().breaks(clause, "opening a new store")?;
+fn filled_medium<M: StoreMedium>(clause: Clause, records: usize) -> Result<FilledMedium<M>, Violation> {
+    let medium = M::new_empty();
+    let (mut store, got) = medium.open().or_violation(clause, "opening a new store")?;
     if got != Recovered::default() {
-        return broken(clause, format!("a new store gave {got:?}"));
+        return violation(clause, format!("a new store gave {got:?}"));
     }
     let all: Vec<_> = (1..=records).map(record).collect();
     for record in &all {
-        store.append(record).breaks(clause, "append")?;
+        store.append(record).or_violation(clause, "append")?;
     }
-    store.sync().breaks(clause, "sync")?;
-    Ok((place, store, all))
+    store.sync().or_violation(clause, "sync")?;
+    Ok((medium, store, all))
 }
 
-fn opened<P: Place>(clause: Clause, place: &P, all: &[Vec<u8>]) -> Result<P::Store, Broken> {
-    let (store, got) = place.open().breaks(clause, "opening it again")?;
-    let last = sound(clause, &got, all)?;
+fn reopen<M: StoreMedium>(clause: Clause, medium: &M, all: &[Vec<u8>]) -> Result<M::Store, Violation> {
+    let (store, got) = medium.open().or_violation(clause, "opening it again")?;
+    let last = check_records(clause, &got, all)?;
     if last != all.len() as u64 {
-        return broken(clause, format!("{last} records, promised were {}", all.len()));
+        return violation(clause, format!("{last} records, promised were {}", all.len()));
     }
     Ok(store)
 }
 
-fn oversized<P: Place>() -> Result<bool, Broken> {
+fn oversized<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::OversizedRefusedWhole;
-    let (place, mut store, mut all) = filled::<P>(clause, 2)?;
+    let (medium, mut store, mut all) = filled_medium::<M>(clause, 2)?;
     let large = vec![7; RECORD_MAX_BYTES + 1];
     match store.append(&large) {
         Err(StoreError::TooLarge { size }) if size == large.len() => {}
-        other => return broken(clause, format!("{} bytes: {other:?}", large.len())),
+        other => return violation(clause, format!("{} bytes: {other:?}", large.len())),
     }
     match store.snapshot(Seq(1), &large) {
         Err(StoreError::TooLarge { .. }) => {}
-        other => return broken(clause, format!("a snapshot of {} bytes: {other:?}", large.len())),
+        other => return violation(clause, format!("a snapshot of {} bytes: {other:?}", large.len())),
     }
     all.push(large[1..].to_vec());
-    store.append(&large[1..]).breaks(clause, "the largest")?;
-    store.sync().breaks(clause, "sync")?;
+    store.append(&large[1..]).or_violation(clause, "the largest")?;
+    store.sync().or_violation(clause, "sync")?;
     drop(store);
-    opened(clause, &place, &all)?;
+    reopen(clause, &medium, &all)?;
     Ok(true)
 }
 
-fn empty<P: Place>() -> Result<bool, Broken> {
+fn empty<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::EmptyIsARecord;
-    let (place, mut store, mut all) = filled::<P>(clause, 1)?;
+    let (medium, mut store, mut all) = filled_medium::<M>(clause, 1)?;
     for n in 2..=4 {
-        let seq = store.append(&[]).breaks(clause, "append")?;
+        let seq = store.append(&[]).or_violation(clause, "append")?;
         if seq != Seq(n) {
-            return broken(clause, format!("{seq:?} for record {n}"));
+            return violation(clause, format!("{seq:?} for record {n}"));
         }
         all.push(Vec::new());
     }
-    store.sync().breaks(clause, "sync")?;
+    store.sync().or_violation(clause, "sync")?;
     drop(store);
-    opened(clause, &place, &all)?;
+    reopen(clause, &medium, &all)?;
     Ok(true)
 }
 
-fn order<P: Place>() -> Result<bool, Broken> {
+fn order<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::OrderWithoutGap;
-    let (place, store, all) = filled::<P>(clause, 40)?;
+    let (medium, store, all) = filled_medium::<M>(clause, 40)?;
     drop(store);
     for _ in 0..3 {
-        opened(clause, &place, &all)?;
+        reopen(clause, &medium, &all)?;
     }
     Ok(true)
 }
 
-fn numbers<P: Place>() -> Result<bool, Broken> {
+fn numbers<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::NumbersGoOn;
-    let (place, mut store, all) = filled::<P>(clause, 5)?;
-    let next = |store: &mut P::Store, wanted: u64| {
+    let (medium, mut store, all) = filled_medium::<M>(clause, 5)?;
+    let next = |store: &mut M::Store, wanted: u64| {
         let before = store.last();
-        let seq = store.append(b"n").breaks(clause, "append")?;
-        store.sync().breaks(clause, "sync")?;
+        let seq = store.append(b"n").or_violation(clause, "append")?;
+        store.sync().or_violation(clause, "sync")?;
         if (before, seq, store.last()) != (Seq(wanted - 1), Seq(wanted), Seq(wanted)) {
-            return broken(clause, format!("{seq:?} behind {before:?}, wanted was {wanted}"));
+            return violation(clause, format!("{seq:?} behind {before:?}, wanted was {wanted}"));
         }
         Ok(())
     };
     drop(store);
-    store = opened(clause, &place, &all)?;
+    store = reopen(clause, &medium, &all)?;
     next(&mut store, 6)?;
-    store.snapshot(Seq(6), b"six").breaks(clause, "snapshot")?;
+    store.snapshot(Seq(6), b"six").or_violation(clause, "snapshot")?;
     next(&mut store, 7)?;
-    store.snapshot(Seq(7), b"seven").breaks(clause, "snapshot")?;
+    store.snapshot(Seq(7), b"seven").or_violation(clause, "snapshot")?;
     drop(store);
     // Nothing is left but the snapshot.
-    let (mut store, _) = place.open().breaks(clause, "opening it again")?;
+    let (mut store, _) = medium.open().or_violation(clause, "opening it again")?;
     next(&mut store, 8)?;
     Ok(true)
 }
 
-fn one_opens<P: Place>() -> Result<bool, Broken> {
+fn one_opens<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::OneOpens;
-    let (place, store, all) = filled::<P>(clause, 3)?;
-    match place.open() {
+    let (medium, store, all) = filled_medium::<M>(clause, 3)?;
+    match medium.open() {
         Err(StoreError::Locked(_)) => {}
-        Err(other) => return broken(clause, format!("a second opening: {other}")),
-        Ok(_) => return broken(clause, "two have it open"),
+        Err(other) => return violation(clause, format!("a second opening: {other}")),
+        Ok(_) => return violation(clause, "two have it open"),
     }
     drop(store);
-    opened(clause, &place, &all)?;
+    reopen(clause, &medium, &all)?;
     Ok(true)
 }
 
-fn missing<P: Place>() -> Result<bool, Broken> {
+fn missing<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::MissingIsSaid;
-    let place = P::fresh();
-    if !place.trouble(Trouble::Missing) {
+    let medium = M::new_empty();
+    if !medium.inject_fault(MediumFault::Missing) {
         return Ok(false);
     }
-    match place.open() {
+    match medium.open() {
         Err(StoreError::MissingDirectory(_)) => Ok(true),
-        Err(other) => broken(clause, format!("said was: {other}")),
-        Ok(_) => broken(clause, "it opened"),
+        Err(other) => violation(clause, format!("said was: {other}")),
+        Ok(_) => violation(clause, "it opened"),
     }
 }
 
-fn read_only<P: Place>() -> Result<bool, Broken> {
+fn read_only<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::ReadOnlyIsSaid;
-    let (place, store, all) = filled::<P>(clause, 2)?;
+    let (medium, store, all) = filled_medium::<M>(clause, 2)?;
     drop(store);
-    if !place.trouble(Trouble::ReadOnly) {
+    if !medium.inject_fault(MediumFault::ReadOnly) {
         return Ok(false);
     }
-    match place.open() {
+    match medium.open() {
         Err(StoreError::ReadOnly) => {}
-        Err(other) => return broken(clause, format!("said was: {other}")),
-        Ok(_) => return broken(clause, "it opened"),
+        Err(other) => return violation(clause, format!("said was: {other}")),
+        Ok(_) => return violation(clause, "it opened"),
     }
-    place.repair();
-    opened(clause, &place, &all)?;
+    medium.clear_faults();
+    reopen(clause, &medium, &all)?;
     Ok(true)
 }
 
-fn torn<P: Place>() -> Result<bool, Broken> {
+fn torn<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::TornTailCutAndSaid;
-    let (place, mut store, mut all) = filled::<P>(clause, 3)?;
-    place.mark(1);
+    let (medium, mut store, mut all) = filled_medium::<M>(clause, 3)?;
+    medium.mark(1);
     all.push(vec![0xA5; 50]);
-    store.append(&all[3]).breaks(clause, "append")?;
+    store.append(&all[3]).or_violation(clause, "append")?;
     let mut torn = 0;
-    place.tears(&mut |left| {
-        torn += usize::from(left.torn);
-        let at = &left.moment;
-        let (store, got) = left.place.open().breaks(clause, at)?;
-        let last = sound(clause, &got, &all)?;
-        if last < 3 || (left.torn && last > 3) {
-            return broken(clause, format!("{at}: {last} records, three were promised"));
+    medium.visit_torn_writes(&mut |image| {
+        torn += usize::from(image.torn);
+        let at = &image.description;
+        let (store, got) = image.medium.open().or_violation(clause, at)?;
+        let last = check_records(clause, &got, &all)?;
+        if last < 3 || (image.torn && last > 3) {
+            return violation(clause, format!("{at}: {last} records, three were promised"));
         }
-        if left.torn != got.torn_tail.is_some() {
-            return broken(clause, format!("{at}: torn is {}, said was {:?}", left.torn, got.torn_tail));
+        if image.torn != got.torn_tail.is_some() {
+            return violation(clause, format!("{at}: torn is {}, said was {:?}", image.torn, got.torn_tail));
         }
         drop(store);
-        let (_, again) = left.place.open().breaks(clause, at)?;
+        let (_, again) = image.medium.open().or_violation(clause, at)?;
         if again.torn_tail.is_some() || again.records != got.records {
-            return broken(clause, format!("{at}: opened again it gave {again:?}"));
+            return violation(clause, format!("{at}: opened again it gave {again:?}"));
         }
         Ok(())
     })?;
     if torn == 0 {
-        return broken(clause, "the place tore nothing");
+        return violation(clause, "the medium tore nothing");
     }
     Ok(true)
 }
 
 /// Space for this many bytes more is tried, each number: more than a record with its head needs, and a segment's.
-const ROOM: usize = 260;
+const FREE_BYTES_END: usize = 260;
 
-fn full<P: Place>() -> Result<bool, Broken> {
+fn full<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::FullRefusesAndGoesOn;
-    for room in 0..ROOM {
-        let (place, mut store, mut all) = filled::<P>(clause, 3)?;
-        if !place.trouble(Trouble::Full { room }) {
+    for free_bytes in 0..FREE_BYTES_END {
+        let (medium, mut store, mut all) = filled_medium::<M>(clause, 3)?;
+        if !medium.inject_fault(MediumFault::Full { free_bytes }) {
             return Ok(false);
         }
         let wanted = vec![0x3C; 100];
@@ -231,115 +231,119 @@
             match store.append(&wanted) {
                 Ok(_) => all.push(wanted.clone()),
                 Err(StoreError::Full) => refused += 1,
-                Err(other) => return broken(clause, format!("room for {room}: {other}")),
+                Err(other) => return violation(clause, format!("room for {free_bytes}: {other}")),
             }
-            if all.len() > 3 + ROOM / wanted.len() {
-                return broken(clause, format!("room for {room}: it took {} records", all.len()));
+            if all.len() > 3 + FREE_BYTES_END / wanted.len() {
+                return violation(clause, format!("room for {free_bytes}: it took {} records", all.len()));
             }
         }
-        match store.snapshot(Seq(2), &[1; 4 * ROOM]) {
+        match store.snapshot(Seq(2), &[1; 4 * FREE_BYTES_END]) {
             Err(StoreError::Full) => {}
-            other => return broken(clause, format!("room for {room}: a snapshot: {other:?}")),
+            other => return violation(clause, format!("room for {free_bytes}: a snapshot: {other:?}")),
         }
-        store.sync().breaks(clause, "a sync of what was taken")?;
+        store.sync().or_violation(clause, "a sync of what was taken")?;
         // What a crash now leaves has all that was promised and nothing of what was refused.
-        drop(opened(clause, &place.killed(), &all)?);
-        place.repair();
+        drop(reopen(clause, &medium.after_process_kill(), &all)?);
+        medium.clear_faults();
         all.push(b"there is space".to_vec());
-        let seq = store.append(&all[all.len() - 1]).breaks(clause, "append when there is space again")?;
+        let seq =
+            store.append(&all[all.len() - 1]).or_violation(clause, "append when there is space again")?;
         if seq != Seq(all.len() as u64) {
-            return broken(clause, format!("room for {room}: {seq:?} for record {}", all.len()));
+            return violation(clause, format!("room for {free_bytes}: {seq:?} for record {}", all.len()));
         }
-        store.sync().breaks(clause, "sync")?;
-        drop(opened(clause, &place.killed(), &all)?);
+        store.sync().or_violation(clause, "sync")?;
+        drop(reopen(clause, &medium.after_process_kill(), &all)?);
         drop(store);
-        opened(clause, &place, &all)?;
+        reopen(clause, &medium, &all)?;
     }
     Ok(true)
 }
 
-fn doubt<P: Place>() -> Result<bool, Broken> {
+fn doubt<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::DoubtUntilOpened;
-    let (place, mut store, mut all) = filled::<P>(clause, 3)?;
+    let (medium, mut store, mut all) = filled_medium::<M>(clause, 3)?;
     all.push(record(4));
-    store.append(&all[3]).breaks(clause, "append")?;
-    if !place.trouble(Trouble::SyncFails) {
+    store.append(&all[3]).or_violation(clause, "append")?;
+    if !medium.inject_fault(MediumFault::SyncFails) {
         return Ok(false);
     }
-    let doubted = |what: &str, got: Result<(), StoreError>| match got {
+    let expect_reopen_required = |what: &str, got: Result<(), StoreError>| match got {
         Err(StoreError::ReopenRequired(_)) => Ok(()),
-        other => broken(clause, format!("{what}: {other:?}")),
+        other => violation(clause, format!("{what}: {other:?}")),
     };
-    doubted("the sync that fails", store.sync())?;
-    place.repair();
-    doubted("a sync after it", store.sync())?;
-    doubted("an append after it", store.append(b"x").map(drop))?;
-    doubted("a snapshot after it", store.snapshot(Seq(3), b"x"))?;
+    expect_reopen_required("the sync that fails", store.sync())?;
+    medium.clear_faults();
+    expect_reopen_required("a sync after it", store.sync())?;
+    expect_reopen_required("an append after it", store.append(b"x").map(drop))?;
+    expect_reopen_required("a snapshot after it", store.snapshot(Seq(3), b"x"))?;
     drop(store);
-    // What it gives out now is promised, whatever the failed sync left.
-    let (store, got) = place.open().breaks(clause, "opening it again")?;
-    let last = sound(clause, &got, &all)?;
+    // What it gives out now is promised, whatever the failed sync image.
+    let (store, got) = medium.open().or_violation(clause, "opening it again")?;
+    let last = check_records(clause, &got, &all)?;
     if last < 3 {
-        return broken(clause, format!("{last} records, three were promised"));
+        return violation(clause, format!("{last} records, three were promised"));
     }
-    place.mark(1);
+    medium.mark(1);
     drop(store);
-    place.crashes(&mut |left| {
-        let (_, after) = left.place.open().breaks(clause, &left.moment)?;
-        let kept = sound(clause, &after, &all)?;
-        let wanted = if left.marked == 1 { last } else { 0 };
+    medium.visit_crashes(&mut |image| {
+        let (_, after) = image.medium.open().or_violation(clause, &image.description)?;
+        let kept = check_records(clause, &after, &all)?;
+        let wanted = if image.last_mark == 1 { last } else { 0 };
         if kept < wanted {
-            return broken(clause, format!("{}: {kept} records, given out were {last}", left.moment));
+            return violation(
+                clause,
+                format!("{}: {kept} records, given out were {last}", image.description),
+            );
         }
         Ok(())
     })?;
     Ok(true)
 }
 
-fn flipped<P: Place>() -> Result<bool, Broken> {
+fn flipped<M: StoreMedium>() -> Result<bool, Violation> {
     for (again, covered) in [(false, false), (true, false), (false, true)] {
-        flipped_once::<P>(again, covered)?;
+        flipped_once::<M>(again, covered)?;
     }
     Ok(true)
 }
 
 /// With the store as it was left, or opened `again` since, or all of it `covered` by a snapshot.
-fn flipped_once<P: Place>(again: bool, covered: bool) -> Result<(), Broken> {
+fn flipped_once<M: StoreMedium>(again: bool, covered: bool) -> Result<(), Violation> {
     let clause = Clause::FlippedBitFound;
-    let (place, mut store, mut all) = filled::<P>(clause, 4)?;
-    store.snapshot(Seq(3), b"the state of three").breaks(clause, "snapshot")?;
+    let (medium, mut store, mut all) = filled_medium::<M>(clause, 4)?;
+    store.snapshot(Seq(3), b"the state of three").or_violation(clause, "snapshot")?;
     for n in 5..=7 {
         // Short, so that they lie in one file, the later ones behind the earlier.
         all.push(vec![n as u8; 10]);
-        store.append(&all[n - 1]).breaks(clause, "append")?;
-        store.sync().breaks(clause, "sync")?;
+        store.append(&all[n - 1]).or_violation(clause, "append")?;
+        store.sync().or_violation(clause, "sync")?;
     }
     if covered {
-        store.snapshot(Seq(7), b"the state of seven").breaks(clause, "snapshot")?;
+        store.snapshot(Seq(7), b"the state of seven").or_violation(clause, "snapshot")?;
     }
     drop(store);
     if again {
-        opened(clause, &place, &all)?;
+        reopen(clause, &medium, &all)?;
     }
-    let (_, whole) = place.killed().open().breaks(clause, "opening it unharmed")?;
+    let (_, whole) = medium.after_process_kill().open().or_violation(clause, "opening it unharmed")?;
     let mut flips = 0;
-    place.flips(&mut |left| {
+    medium.visit_bit_flips(&mut |image| {
         flips += 1;
-        let at = &left.moment;
-        let got = match left.place.open() {
+        let at = &image.description;
+        let got = match image.medium.open() {
             Err(StoreError::Corrupted { .. }) => return Ok(()),
-            Err(other) => return broken(clause, format!("{at}: {other}")),
+            Err(other) => return violation(clause, format!("{at}: {other}")),
             Ok((_, got)) => got,
         };
-        let last =
-            sound(clause, &got, &all).map_err(|b| Broken { what: format!("{at}: {}", b.what), ..b })?;
+        let last = check_records(clause, &got, &all)
+            .map_err(|b| Violation { detail: format!("{at}: {}", b.detail), ..b })?;
         if got.snapshot.is_some() && got.snapshot != whole.snapshot {
-            return broken(clause, format!("{at}: an altered snapshot"));
+            return violation(clause, format!("{at}: an altered snapshot"));
         }
         // Nothing can tell the flip of the very last from a tear, but it must be said.
-        let least = all.len() as u64 - u64::from(got.torn_tail.is_some());
-        if last < least {
-            return broken(
+        let expected_min = all.len() as u64 - u64::from(got.torn_tail.is_some());
+        if last < expected_min {
+            return violation(
                 clause,
                 format!("{at}: {last} of {} records, said was {:?}", all.len(), got.torn_tail),
             );
@@ -347,12 +351,12 @@
         Ok(())
     })?;
     if flips == 0 {
-        return broken(clause, "the place flipped nothing");
+        return violation(clause, "the medium flipped nothing");
     }
     Ok(())
 }
 
-fn crash<P: Place>() -> Result<bool, Broken> {
+fn crash<M: StoreMedium>() -> Result<bool, Violation> {
     let mut steps = Vec::new();
     for n in 1..=12 {
         steps.push(Step::Append(record(n)));
@@ -364,11 +368,11 @@
         }
     }
     steps.push(Step::Reopen);
-    play::<P>(Clause::SyncedOutlivesCrash, &steps)?;
+    run_script::<M>(Clause::SyncedOutlivesCrash, &steps)?;
     Ok(true)
 }
 
-fn snapshot<P: Place>() -> Result<bool, Broken> {
+fn snapshot<M: StoreMedium>() -> Result<bool, Violation> {
     let append = |n| Step::Append(record(n));
     let state = |n: u64, size: usize| Step::Snapshot(n, (0..size).map(|k| (k as u64 * n) as u8).collect());
     let steps = [
@@ -391,6 +395,6 @@
         append(8),
         Step::Sync,
     ];
-    play::<P>(Clause::SnapshotWholeOrNothing, &steps)?;
+    run_script::<M>(Clause::SnapshotWholeOrNothing, &steps)?;
     Ok(true)
 }
--- a/crates/contracts/src/store/course.rs
+++ b/crates/contracts/src/store/script.rs
@@ -2,7 +2,7 @@
 
 use magpietally_store::{Recovered, Seq, Store};
 
-use super::{Broken, Clause, Left, Place};
+use super::{Clause, CrashImage, StoreMedium, Violation};
 
 /// One step.
 pub enum Step {
@@ -38,106 +38,110 @@
 }
 
 /// A violation of a clause.
-pub fn broken<T>(clause: Clause, what: impl Into<String>) -> Result<T, Broken> {
-    Err(Broken { clause, what: what.into() })
+pub fn violation<T>(clause: Clause, detail: impl Into<String>) -> Result<T, Violation> {
+    Err(Violation { clause, detail: detail.into() })
 }
 
 /// What failed that should not, as a violation.
-pub trait OrBreaks<T> {
+pub trait OrViolation<T> {
     /// Names the clause.
-    fn breaks(self, clause: Clause, doing: &str) -> Result<T, Broken>;
+    fn or_violation(self, clause: Clause, doing: &str) -> Result<T, Violation>;
 }
 
-impl<T, E: std::fmt::Display> OrBreaks<T> for Result<T, E> {
-    fn breaks(self, clause: Clause, doing: &str) -> Result<T, Broken> {
-        self.map_err(|error| Broken { clause, what: format!("{doing}: {error}") })
+impl<T, E: std::fmt::Display> OrViolation<T> for Result<T, E> {
+    fn or_violation(self, clause: Clause, doing: &str) -> Result<T, Violation> {
+        self.map_err(|error| Violation { clause, detail: format!("{doing}: {error}") })
     }
 }
 
 /// Holds what was recovered against what was `appended` in all: nothing invented, altered or left out in between. The
 /// number of the last.
-pub fn sound(clause: Clause, got: &Recovered, appended: &[Vec<u8>]) -> Result<u64, Broken> {
+pub fn check_records(clause: Clause, got: &Recovered, appended: &[Vec<u8>]) -> Result<u64, Violation> {
     let covered = got.snapshot.as_ref().map_or(0, |(covers, _)| covers.0);
     for (n, (seq, record)) in got.records.iter().enumerate() {
         if seq.0 != covered + 1 + n as u64 {
-            return broken(clause, format!("record {} where {} should be", seq.0, covered + 1 + n as u64));
+            return violation(clause, format!("record {} where {} should be", seq.0, covered + 1 + n as u64));
         }
         if appended.get(seq.0 as usize - 1) != Some(record) {
-            return broken(clause, format!("record {} is not the one that was appended", seq.0));
+            return violation(clause, format!("record {} is not the one that was appended", seq.0));
         }
     }
     Ok(covered + got.records.len() as u64)
 }
 
 /// Plays the course, and holds what each crash leaves against what was promised by then.
-pub fn play<P: Place>(clause: Clause, steps: &[Step]) -> Result<(), Broken> {
-    let place = P::fresh();
-    let (mut store, _) = place.open().breaks(clause, "opening a new store")?;
+pub fn run_script<M: StoreMedium>(clause: Clause, steps: &[Step]) -> Result<(), Violation> {
+    let medium = M::new_empty();
+    let (mut store, _) = medium.open().or_violation(clause, "opening a new store")?;
     let mut models = vec![Model::default()];
-    place.mark(0);
+    medium.mark(0);
     for (n, step) in steps.iter().enumerate() {
         let mut model = models[n].clone();
         match step {
             Step::Append(record) => {
-                let seq = store.append(record).breaks(clause, "append")?;
+                let seq = store.append(record).or_violation(clause, "append")?;
                 if seq.0 != model.appended.len() as u64 + 1 || store.last() != seq {
-                    return broken(
+                    return violation(
                         Clause::NumbersGoOn,
                         format!("{seq:?} behind {} records", model.appended.len()),
                     );
                 }
             }
-            Step::Sync => store.sync().breaks(clause, "sync")?,
+            Step::Sync => store.sync().or_violation(clause, "sync")?,
             Step::Snapshot(covers, state) => {
-                store.snapshot(Seq(*covers), state).breaks(clause, "snapshot")?
+                store.snapshot(Seq(*covers), state).or_violation(clause, "snapshot")?
             }
             Step::Reopen => {
                 drop(store);
-                let (again, got) = place.open().breaks(clause, "opening it again")?;
+                let (again, got) = medium.open().or_violation(clause, "opening it again")?;
                 if got.snapshot != model.snapshot
-                    || sound(clause, &got, &model.appended)? != model.appended.len() as u64
+                    || check_records(clause, &got, &model.appended)? != model.appended.len() as u64
                 {
-                    return broken(clause, format!("step {n}: opened again it gave {got:?}"));
+                    return violation(clause, format!("step {n}: opened again it gave {got:?}"));
                 }
                 store = again;
             }
         }
         model.step(step);
         models.push(model);
-        place.mark(n + 1);
+        medium.mark(n + 1);
     }
     drop(store);
-    place.crashes(&mut |left| judge(clause, left, &models))
+    medium.visit_crashes(&mut |image| check_crash_image(clause, image, &models))
 }
 
-fn judge<P: Place>(clause: Clause, left: Left<P>, models: &[Model]) -> Result<(), Broken> {
-    let (before, at) = (&models[left.marked], &left.moment);
-    let after = models.get(left.marked + 1).unwrap_or(before);
-    let (mut store, got) = left.place.open().breaks(clause, at)?;
-    let last = sound(clause, &got, &after.appended)
-        .map_err(|b| Broken { what: format!("{at}: {}", b.what), ..b })?;
+fn check_crash_image<M: StoreMedium>(
+    clause: Clause,
+    image: CrashImage<M>,
+    models: &[Model],
+) -> Result<(), Violation> {
+    let (before, at) = (&models[image.last_mark], &image.description);
+    let after = models.get(image.last_mark + 1).unwrap_or(before);
+    let (mut store, got) = image.medium.open().or_violation(clause, at)?;
+    let last = check_records(clause, &got, &after.appended)
+        .map_err(|b| Violation { detail: format!("{at}: {}", b.detail), ..b })?;
     if got.snapshot != before.snapshot && got.snapshot != after.snapshot {
-        return broken(
+        return violation(
             clause,
             format!("{at}: snapshot {:?}, promised was {:?}", got.snapshot, before.snapshot),
         );
     }
     if last < before.synced as u64 {
-        return broken(clause, format!("{at}: {last} records, promised were {}", before.synced));
+        return violation(clause, format!("{at}: {last} records, promised were {}", before.synced));
     }
     // It goes on from there, and nothing of what was cut comes back.
-    let seq = store.append(b"next").breaks(clause, at)?;
+    let seq = store.append(b"next").or_violation(clause, at)?;
     if seq.0 != last + 1 {
-        return broken(Clause::NumbersGoOn, format!("{at}: {seq:?} behind {last}"));
+        return violation(Clause::NumbersGoOn, format!("{at}: {seq:?} behind {last}"));
     }
-    store.sync().breaks(clause, at)?;
+    store.sync().or_violation(clause, at)?;
     drop(store);
-    let (store, again) = left.place.open().breaks(clause, at)?;
+    let (store, again) = image.medium.open().or_violation(clause, at)?;
     let mut wanted = got;
     wanted.records.push((seq, b"next".to_vec()));
     wanted.torn_tail = None;
     if again != wanted || store.last() != seq {
-        return broken(clause, format!("{at}: opened once more it gave {again:?} for {wanted:?}"));
+        return violation(clause, format!("{at}: opened once more it gave {again:?} for {wanted:?}"));
     }
     Ok(())
 }
--- a/crates/contracts/src/transport.rs
+++ b/crates/contracts/src/transport.rs
@@ -3,9 +3,9 @@
 //! Where a clause needs what a rig can't do (a half-open link without a relay), or speaks of what its kind does not
 //! promise (order of datagrams), it is skipped and named as such in [`Held`], so that a test can state which those are.
 
-mod book;
 mod clauses;
-mod world;
+mod cluster;
+mod sent_messages;
 
 use std::fmt;
 use std::time::Duration;
@@ -86,41 +86,41 @@
 
 /// A clause that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub clause: Clause,
     /// What was seen.
-    pub what: String,
+    pub detail: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.clause, self.what)
+        write!(f, "{}: {}", self.clause, self.detail)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Violation {}
 
 /// What was played and what was not. The rules on messages (altered, invented, order, once, older sessions) are held
 /// in all that is played.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct CheckReport {
     /// Clauses that were played and hold.
-    pub held: Vec<Clause>,
+    pub passed: Vec<Clause>,
     /// Clauses that this kind does not promise or this rig can't play.
     pub skipped: Vec<Clause>,
 }
 
 /// The name of a rig's node.
-pub fn name_of(node: usize) -> Name {
+pub fn node_name(node: usize) -> Name {
     Name::new(&format!("n{node}")).expect("letters and digits, short")
 }
 
 /// Makes and breaks ends of one transport. Nodes are numbered from 0, named by [`name_of`], of one fleet, and each that
 /// runs knows where all of them are (those that do not run, too).
-pub trait Rig {
+pub trait Harness {
     /// How many nodes it can run at a time; at least 3.
-    fn nodes(&self) -> usize;
+    fn node_count(&self) -> usize;
 
     /// Starts a node, which does not run, at a session later than any it had; which.
     fn start(&mut self, node: usize) -> Session;
@@ -129,44 +129,51 @@
     fn kill(&mut self, node: usize);
 
     /// Acts on a running node's end at the present moment.
-    fn at(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration));
+    fn with_node(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration));
 
     /// Lets time pass, real or virtual.
-    fn pass(&mut self, time: Duration);
+    fn advance(&mut self, time: Duration);
 
     /// The longest that anything may take to be seen: generous, it is only waited for on a fault.
-    fn patience(&self) -> Duration;
+    fn timeout(&self) -> Duration;
 
     /// After this long, what would come has come.
-    fn quiet(&self) -> Duration;
+    fn settle_time(&self) -> Duration;
 
     /// Messages that a stream may hold for a peer that does not read, beside those that wait: its window, the peer's
     /// inbox, and one in hand.
-    fn under_way(&self) -> usize;
+    fn in_flight_max(&self) -> usize;
 
     /// Whether the links between nodes lose or break of themselves.
-    fn faulty(&self) -> bool {
+    fn is_lossy(&self) -> bool {
         false
     }
 
     /// Says `bytes` to node `to` as a node of that name and session would, of this fleet or of another, from a place
     /// of its own; false where the rig can't.
-    fn ghost(&mut self, _ghost: &Name, _session: Session, _foreign: bool, _to: usize, _bytes: &[u8]) -> bool {
+    fn send_as(
+        &mut self,
+        _ghost: &Name,
+        _session: Session,
+        _foreign: bool,
+        _to: usize,
+        _bytes: &[u8],
+    ) -> bool {
         false
     }
 
     /// Hands node `to` these very bytes, as a stranger might; false where the rig can't.
-    fn inject(&mut self, _to: usize, _bytes: &[u8]) -> bool {
+    fn inject_bytes(&mut self, _to: usize, _bytes: &[u8]) -> bool {
         false
     }
 
     /// All between two nodes is swallowed without a word, or passes again; false where the rig can't.
-    fn silence(&mut self, _a: usize, _b: usize, _on: bool) -> bool {
+    fn set_blackhole(&mut self, _a: usize, _b: usize, _on: bool) -> bool {
         false
     }
 
     /// Breaks what connections there are between two nodes; false where the rig can't.
-    fn reset(&mut self, _a: usize, _b: usize) -> bool {
+    fn reset_connections(&mut self, _a: usize, _b: usize) -> bool {
         false
     }
 }
@@ -175,6 +182,6 @@
 ///
 /// # Errors
 /// The first clause that does not hold.
-pub fn hold(rig: &mut impl Rig) -> Result<Held, Broken> {
-    clauses::play(rig)
+pub fn check(harness: &mut impl Harness) -> Result<CheckReport, Violation> {
+    clauses::check_clauses(harness)
 }
--- a/crates/contracts/src/transport/clauses.rs
+++ b/crates/contracts/src/transport/clauses.rs
@@ -4,18 +4,18 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::book::{broken, TAG};
-use super::world::World;
-use super::{name_of, Broken, Clause, Held, Rig};
+use super::cluster::Cluster;
+use super::sent_messages::{violation, TAG_BYTES};
+use super::{node_name, CheckReport, Clause, Harness, Violation};
 
 /// A clause's outcome: whether it was played.
-type Played = Result<bool, Broken>;
-type Story<R> = fn(&mut World<'_, R>) -> Played;
+type ScenarioResult = Result<bool, Violation>;
+type Scenario<R> = fn(&mut Cluster<'_, R>) -> ScenarioResult;
 
-pub fn play<R: Rig>(rig: &mut R) -> Result<Held, Broken> {
-    let mut w = World::new(rig);
-    let mut out = Held::default();
-    let stories: [(Clause, Story<R>); 14] = [
+pub fn check_clauses<R: Harness>(harness: &mut R) -> Result<CheckReport, Violation> {
+    let mut cluster = Cluster::new(harness);
+    let mut out = CheckReport::default();
+    let scenarios: [(Clause, Scenario<R>); 14] = [
         (Clause::UnknownTold, unknown),
         (Clause::BothWays, both_ways),
         (Clause::EmptyPasses, empty),
@@ -31,202 +31,211 @@
         (Clause::BreakMended, breaks),
         (Clause::ManyPeers, many),
     ];
-    for (clause, story) in stories {
-        if story(&mut w)? { &mut out.held } else { &mut out.skipped }.push(clause);
+    for (clause, scenario) in scenarios {
+        if scenario(&mut cluster)? { &mut out.passed } else { &mut out.skipped }.push(clause);
     }
     let messages = [Clause::NothingAltered, Clause::NothingInvented, Clause::Calm];
     let streams = [Clause::Order, Clause::AtMostOnce, Clause::LossTold];
-    out.held.extend(messages);
-    if w.stream() { &mut out.held } else { &mut out.skipped }.extend(streams);
-    w.begin(&[]);
+    out.passed.extend(messages);
+    if cluster.is_stream() { &mut out.passed } else { &mut out.skipped }.extend(streams);
+    cluster.restart_with(&[]);
     Ok(out)
 }
 
-fn unknown<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0]);
+fn unknown<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0]);
     let nobody = Name::new("nobody").expect("letters");
-    let mut answer = Ok(());
-    w.rig.at(0, &mut |end, _| answer = end.send(&nobody, b"is there anybody?"));
-    match answer {
+    let mut result = Ok(());
+    cluster.harness.with_node(0, &mut |end, _| result = end.send(&nobody, b"is there anybody?"));
+    match result {
         Err(SendError::Unknown(name)) if name == nobody => Ok(true),
-        other => broken(Clause::UnknownTold, format!("to nobody: {other:?}")),
+        other => violation(Clause::UnknownTold, format!("to nobody: {other:?}")),
     }
 }
 
-fn both_ways<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    let most = w.promise.message_max_bytes.min(600);
+fn both_ways<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    let max = cluster.capabilities.message_max_bytes.min(600);
     for i in 0..100 {
         for (from, to) in [(0, 1), (1, 0)] {
             // A full queue is a told drop; on this way the message simply was not sent.
-            w.offer(from, to, TAG + (i * 37) % (most - TAG))?;
+            cluster.try_send(from, to, TAG_BYTES + (i * 37) % (max - TAG_BYTES))?;
         }
         if i % 4 == 3 {
-            w.step()?;
+            cluster.step()?;
         }
     }
     for (from, to) in [(0, 1), (1, 0)] {
-        w.accounted(from, to, false)?;
-        w.heard(Clause::BothWays, from, to, 100)?;
+        cluster.expect_accounted(from, to, false)?;
+        cluster.expect_delivery(Clause::BothWays, from, to, 100)?;
     }
     // Whatever came twice or was made up has its time to come.
-    w.settle()?;
+    cluster.settle()?;
     Ok(true)
 }
 
-fn empty<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    w.heard(Clause::EmptyPasses, 0, 1, 0)?;
-    w.heard(Clause::BothWays, 1, 0, 40)?;
+fn empty<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    cluster.expect_delivery(Clause::EmptyPasses, 0, 1, 0)?;
+    cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
     Ok(true)
 }
 
-fn largest<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    let size = w.promise.message_max_bytes;
-    w.heard(Clause::LargestPasses, 0, 1, size)?;
-    w.heard(Clause::LargestPasses, 1, 0, size)?;
+fn largest<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    let size = cluster.capabilities.message_max_bytes;
+    cluster.expect_delivery(Clause::LargestPasses, 0, 1, size)?;
+    cluster.expect_delivery(Clause::LargestPasses, 1, 0, size)?;
     Ok(true)
 }
 
-fn oversized<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    w.heard(Clause::BothWays, 0, 1, 40)?;
-    let most = w.promise.message_max_bytes;
-    for size in [most + 1, 2 * most + 1] {
-        match w.send(0, 1, size) {
-            Err(SendError::TooLarge { size: s, max: m }) if s == size && m == most => {}
+fn oversized<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
+    let max = cluster.capabilities.message_max_bytes;
+    for size in [max + 1, 2 * max + 1] {
+        match cluster.send(0, 1, size) {
+            Err(SendError::TooLarge { size: s, max: m }) if s == size && m == max => {}
             // What was taken comes whole, cut or not at all: all three break the promise, a cut is the worst.
             Ok(_) => {
-                w.settle()?;
-                return broken(
+                cluster.settle()?;
+                return violation(
                     Clause::OversizedRefused,
-                    format!("{size} bytes were taken, {most} are carried"),
+                    format!("{size} bytes were accepted, {max} are carried"),
                 );
             }
-            Err(e) => return broken(Clause::OversizedRefused, format!("{size} bytes: {e}")),
+            Err(e) => return violation(Clause::OversizedRefused, format!("{size} bytes: {e}")),
         }
     }
-    w.heard(Clause::BothWays, 0, 1, 40)?;
-    w.settle()?;
+    cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
+    cluster.settle()?;
     Ok(true)
 }
 
-fn full<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0]);
-    let most = w.promise.queue_capacity;
-    let mut taken = 0;
+fn full<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0]);
+    let max = cluster.capabilities.queue_capacity;
+    let mut accepted = 0;
     // On streams the peer is not there: all wait. Datagrams may be gone at once; they may only be refused as full.
-    for _ in 0..2 * most + 1 {
-        match w.send(0, 1, 40) {
-            Ok(_) => taken += 1,
-            Err(SendError::Full { to, max: told }) if to == name_of(1) && told == most => break,
-            Err(e) => return broken(Clause::FullTold, format!("after {taken} messages: {e}")),
+    for _ in 0..2 * max + 1 {
+        match cluster.send(0, 1, 40) {
+            Ok(_) => accepted += 1,
+            Err(SendError::Full { to, max: reported }) if to == node_name(1) && reported == max => break,
+            Err(e) => return violation(Clause::FullTold, format!("after {accepted} messages: {e}")),
         }
     }
-    if !w.stream() {
+    if !cluster.is_stream() {
         return Ok(true);
     }
-    if taken != most {
-        return broken(Clause::FullTold, format!("{taken} messages were taken, {most} may wait"));
+    if accepted != max {
+        return violation(Clause::FullTold, format!("{accepted} messages were accepted, {max} may wait"));
     }
-    w.start(1);
-    w.accounted(0, 1, false)?;
-    w.heard(Clause::FullTold, 0, 1, 40)?;
+    cluster.start(1);
+    cluster.expect_accounted(0, 1, false)?;
+    cluster.expect_delivery(Clause::FullTold, 0, 1, 40)?;
     Ok(true)
 }
 
-fn slow<R: Rig>(w: &mut World<'_, R>) -> Played {
-    if !w.stream() {
+fn slow<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    if !cluster.is_stream() {
         return Ok(false);
     }
-    w.begin(&[0, 1, 2]);
-    w.heard(Clause::BothWays, 0, 1, 40)?;
-    w.stalled = Some(1);
-    let bound = w.promise.queue_capacity + w.rig.under_way();
-    let (mut taken, mut refused) = (0, 0);
+    cluster.restart_with(&[0, 1, 2]);
+    cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
+    cluster.stalled = Some(1);
+    let bound = cluster.capabilities.queue_capacity + cluster.harness.in_flight_max();
+    let (mut accepted, mut refused) = (0, 0);
     // Full for a while on end: whatever could move on has moved on.
-    w.until(Clause::SlowAlone, "a peer that does not read was never told as full", |w, _| {
-        let before = taken;
-        while taken <= bound + w.book.lost(0, 1) && w.offer(0, 1, 60)? {
-            taken += 1;
-        }
-        if taken > bound + w.book.lost(0, 1) {
-            return broken(
-                Clause::SlowAlone,
-                format!("{taken} were taken for a peer that reads none, at most {bound}"),
-            );
-        }
-        refused = if taken == before { refused + 1 } else { 0 };
-        Ok(refused >= 20)
-    })?;
-    w.heard(Clause::SlowAlone, 0, 2, 40)?;
-    w.heard(Clause::SlowAlone, 2, 0, 40)?;
-    w.stalled = None;
-    w.accounted(0, 1, true)?;
-    w.heard(Clause::SlowAlone, 0, 1, 40)?;
+    cluster.wait_until(
+        Clause::SlowAlone,
+        "a peer that does not read was never told as full",
+        |cluster, _| {
+            let before = accepted;
+            while accepted <= bound + cluster.sent.lost_count(0, 1) && cluster.try_send(0, 1, 60)? {
+                accepted += 1;
+            }
+            if accepted > bound + cluster.sent.lost_count(0, 1) {
+                return violation(
+                    Clause::SlowAlone,
+                    format!("{accepted} were taken for a peer that reads none, at most {bound}"),
+                );
+            }
+            refused = if accepted == before { refused + 1 } else { 0 };
+            Ok(refused >= 20)
+        },
+    )?;
+    cluster.expect_delivery(Clause::SlowAlone, 0, 2, 40)?;
+    cluster.expect_delivery(Clause::SlowAlone, 2, 0, 40)?;
+    cluster.stalled = None;
+    cluster.expect_accounted(0, 1, true)?;
+    cluster.expect_delivery(Clause::SlowAlone, 0, 1, 40)?;
     Ok(true)
 }
 
-fn restart<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    w.heard(Clause::BothWays, 1, 0, 40)?;
-    w.heard(Clause::BothWays, 0, 1, 40)?;
+fn restart<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
+    cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
     for _ in 0..3 {
         // Some are still under way when their sender ends; they may come, but not once its next start was met.
         for _ in 0..5 {
-            w.offer(1, 0, 50)?;
+            cluster.try_send(1, 0, 50)?;
         }
-        w.kill(1);
-        w.start(1);
-        w.heard(Clause::RestartTold, 1, 0, 40)?;
-        w.heard(Clause::RestartTold, 0, 1, 40)?;
+        cluster.kill(1);
+        cluster.start(1);
+        cluster.expect_delivery(Clause::RestartTold, 1, 0, 40)?;
+        cluster.expect_delivery(Clause::RestartTold, 0, 1, 40)?;
     }
-    w.settle()?;
+    cluster.settle()?;
     Ok(true)
 }
 
 /// A ghost speaks until it is told as dropped; the book breaks the clause where it is heard.
-fn haunted<R: Rig>(w: &mut World<'_, R>, clause: Clause, session: Session, foreign: bool) -> Played {
-    let says = format!("a ghost for {clause}");
-    w.book.expect_ghost(clause, says.as_bytes());
-    let before = w.book.dropped(0);
-    if !w.rig.ghost(&name_of(1), session, foreign, 0, says.as_bytes()) {
+fn reject_impersonator<R: Harness>(
+    cluster: &mut Cluster<'_, R>,
+    clause: Clause,
+    session: Session,
+    foreign: bool,
+) -> ScenarioResult {
+    let message = format!("a ghost for {clause}");
+    cluster.sent.expect_rejected(clause, message.as_bytes());
+    let before = cluster.sent.dropped_count(0);
+    if !cluster.harness.send_as(&node_name(1), session, foreign, 0, message.as_bytes()) {
         return Ok(false);
     }
-    w.until(clause, "what was dropped was not told", |w, step| {
+    cluster.wait_until(clause, "what was dropped was not told", |cluster, step| {
         if step % 50 == 49 {
-            w.rig.ghost(&name_of(1), session, foreign, 0, says.as_bytes());
+            cluster.harness.send_as(&node_name(1), session, foreign, 0, message.as_bytes());
         }
-        Ok(w.book.dropped(0) > before)
+        Ok(cluster.sent.dropped_count(0) > before)
     })?;
-    w.settle()?;
-    w.heard(clause, 1, 0, 40)?;
-    w.heard(clause, 0, 1, 40)?;
+    cluster.settle()?;
+    cluster.expect_delivery(clause, 1, 0, 40)?;
+    cluster.expect_delivery(clause, 0, 1, 40)?;
     Ok(true)
 }
 
-fn older<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    let earlier = w.session(1);
-    w.kill(1);
-    w.start(1);
-    w.heard(Clause::BothWays, 1, 0, 40)?;
-    haunted(w, Clause::NothingOlder, earlier, false)
+fn older<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    let earlier = cluster.session(1);
+    cluster.kill(1);
+    cluster.start(1);
+    cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
+    reject_impersonator(cluster, Clause::NothingOlder, earlier, false)
 }
 
-fn foreign<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    w.heard(Clause::BothWays, 1, 0, 40)?;
-    let later = Session(w.session(1).0 + 1_000_000);
-    haunted(w, Clause::NothingForeign, later, true)
+fn foreign<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
+    let later = Session(cluster.session(1).0 + 1_000_000);
+    reject_impersonator(cluster, Clause::NothingForeign, later, true)
 }
 
-fn strange<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    w.heard(Clause::BothWays, 1, 0, 40)?;
+fn strange<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
     let mut random = Pcg64::seed_from_u64(28);
-    let before = w.book.dropped(0);
+    let before = cluster.sent.dropped_count(0);
     for i in 0..30 {
         let length = random.random_range(1..400);
         let mut bytes: Vec<u8> = (0..length).map(|_| random.random()).collect();
@@ -234,84 +243,86 @@
             // A small length in front, as a frame has it, so that what follows is looked at.
             bytes.splice(0..0, (length as u32 / 2).to_be_bytes());
         }
-        if !w.rig.inject(0, &bytes) {
+        if !cluster.harness.inject_bytes(0, &bytes) {
             return Ok(false);
         }
-        w.step()?;
+        cluster.step()?;
     }
-    w.until(Clause::StrangeDropped, "strange bytes were not told as dropped", |w, _| {
-        Ok(w.book.dropped(0) > before)
+    cluster.wait_until(Clause::StrangeDropped, "strange bytes were not told as dropped", |cluster, _| {
+        Ok(cluster.sent.dropped_count(0) > before)
     })?;
-    w.heard(Clause::StrangeDropped, 1, 0, 40)?;
-    w.heard(Clause::StrangeDropped, 0, 1, 40)?;
+    cluster.expect_delivery(Clause::StrangeDropped, 1, 0, 40)?;
+    cluster.expect_delivery(Clause::StrangeDropped, 0, 1, 40)?;
     Ok(true)
 }
 
-fn half_open<R: Rig>(w: &mut World<'_, R>) -> Played {
-    w.begin(&[0, 1]);
-    w.heard(Clause::BothWays, 0, 1, 40)?;
-    w.accounted(0, 1, true)?;
-    if !w.rig.silence(0, 1, true) {
+fn half_open<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    cluster.restart_with(&[0, 1]);
+    cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
+    cluster.expect_accounted(0, 1, true)?;
+    if !cluster.harness.set_blackhole(0, 1, true) {
         return Ok(false);
     }
-    let before = w.book.lost(0, 1);
+    let before = cluster.sent.lost_count(0, 1);
     for _ in 0..3 {
-        w.offer(0, 1, 40)?;
+        cluster.try_send(0, 1, 40)?;
     }
-    if w.stream() {
-        w.until(Clause::HalfOpenNoticed, "a peer that fell silent was not told", |w, _| {
-            Ok(w.book.lost(0, 1) > before)
-        })?;
+    if cluster.is_stream() {
+        cluster.wait_until(
+            Clause::HalfOpenNoticed,
+            "a peer that fell silent was not told",
+            |cluster, _| Ok(cluster.sent.lost_count(0, 1) > before),
+        )?;
     } else {
-        w.settle()?;
+        cluster.settle()?;
     }
-    w.rig.silence(0, 1, false);
-    w.heard(Clause::HalfOpenNoticed, 0, 1, 40)?;
-    w.heard(Clause::HalfOpenNoticed, 1, 0, 40)?;
-    w.accounted(0, 1, true)?;
+    cluster.harness.set_blackhole(0, 1, false);
+    cluster.expect_delivery(Clause::HalfOpenNoticed, 0, 1, 40)?;
+    cluster.expect_delivery(Clause::HalfOpenNoticed, 1, 0, 40)?;
+    cluster.expect_accounted(0, 1, true)?;
     Ok(true)
 }
 
-fn breaks<R: Rig>(w: &mut World<'_, R>) -> Played {
-    if !w.stream() {
+fn breaks<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    if !cluster.is_stream() {
         return Ok(false);
     }
-    w.begin(&[0, 1]);
+    cluster.restart_with(&[0, 1]);
     for round in 0..15 {
         for i in 0..8 {
-            w.offer(0, 1, TAG + i * 40)?;
-            w.offer(1, 0, TAG + i * 40)?;
+            cluster.try_send(0, 1, TAG_BYTES + i * 40)?;
+            cluster.try_send(1, 0, TAG_BYTES + i * 40)?;
         }
         for _ in 0..round % 4 {
-            w.step()?;
+            cluster.step()?;
         }
-        if !w.rig.reset(0, 1) {
+        if !cluster.harness.reset_connections(0, 1) {
             return Ok(false);
         }
-        w.pass(w.rig.quiet() / 4)?;
+        cluster.advance(cluster.harness.settle_time() / 4)?;
     }
     for (from, to) in [(0, 1), (1, 0)] {
-        w.heard(Clause::BreakMended, from, to, 40)?;
-        w.accounted(from, to, true)?;
+        cluster.expect_delivery(Clause::BreakMended, from, to, 40)?;
+        cluster.expect_accounted(from, to, true)?;
     }
-    w.settle()?;
+    cluster.settle()?;
     Ok(true)
 }
 
-fn many<R: Rig>(w: &mut World<'_, R>) -> Played {
-    let nodes: Vec<usize> = (0..w.rig.nodes()).collect();
-    w.begin(&nodes);
+fn many<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+    let nodes: Vec<usize> = (0..cluster.harness.node_count()).collect();
+    cluster.restart_with(&nodes);
     let pairs: Vec<(usize, usize)> =
         nodes.iter().flat_map(|&a| nodes.iter().filter(move |&&b| b != a).map(move |&b| (a, b))).collect();
     for _ in 0..5 {
         for &(from, to) in &pairs {
-            w.offer(from, to, 64)?;
+            cluster.try_send(from, to, 64)?;
         }
-        w.step()?;
+        cluster.step()?;
     }
     for (from, to) in pairs {
-        w.accounted(from, to, false)?;
-        w.heard(Clause::ManyPeers, from, to, 64)?;
+        cluster.expect_accounted(from, to, false)?;
+        cluster.expect_delivery(Clause::ManyPeers, from, to, 64)?;
     }
     Ok(true)
 }
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -2,8 +2,10 @@
 
 use std::io;
 
-use magpietally_contracts::store::places::{sim_crashes, sim_flips, sim_tears, sim_trouble};
-use magpietally_contracts::store::{check, Broken, Clause, Place, Trouble, Visit};
+use magpietally_contracts::store::media::{
+    inject_sim_fault, visit_sim_bit_flips, visit_sim_crashes, visit_sim_torn_writes,
+};
+use magpietally_contracts::store::{check, Clause, CrashVisitor, MediumFault, StoreMedium, Violation};
 use magpietally_store::disk::{Disk, LockError};
 use magpietally_store::sim::{SimDisk, SimFile};
 use magpietally_store::{Log, Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
@@ -24,9 +26,9 @@
 const NAMES_NOT_SYNCED: usize = 13;
 
 /// A disk with faults of its own under the store.
-struct BadDisk<const FAULT: usize>(SimDisk);
+struct FaultyDisk<const FAULT: usize>(SimDisk);
 
-impl<const FAULT: usize> Disk for BadDisk<FAULT> {
+impl<const FAULT: usize> Disk for FaultyDisk<FAULT> {
     type File = SimFile;
     type Lock = Option<<SimDisk as Disk>::Lock>;
 
@@ -79,13 +81,13 @@
     }
 }
 
-struct BadStore<const FAULT: usize> {
-    log: Log<BadDisk<FAULT>>,
+struct FaultyStore<const FAULT: usize> {
+    log: Log<FaultyDisk<FAULT>>,
     before: u64,
-    doubted: bool,
+    sync_failed: bool,
 }
 
-impl<const FAULT: usize> Store for BadStore<FAULT> {
+impl<const FAULT: usize> Store for FaultyStore<FAULT> {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         let record = match FAULT {
             CUTS_THE_OVERSIZED => &record[..record.len().min(RECORD_MAX_BYTES)],
@@ -102,11 +104,11 @@
     }
 
     fn sync(&mut self) -> Result<(), StoreError> {
-        let was = std::mem::replace(&mut self.doubted, true);
+        let was = std::mem::replace(&mut self.sync_failed, true);
         match self.log.sync() {
             Err(StoreError::ReopenRequired(_)) if FAULT == TRUSTS_A_SECOND_SYNC && was => Ok(()),
             other => {
-                self.doubted = other.is_err();
+                self.sync_failed = other.is_err();
                 other
             }
         }
@@ -122,21 +124,21 @@
 }
 
 #[derive(Clone, Default)]
-struct Bad<const FAULT: usize>(SimDisk);
+struct FaultyMedium<const FAULT: usize>(SimDisk);
 
-impl<const FAULT: usize> Place for Bad<FAULT> {
-    type Store = BadStore<FAULT>;
+impl<const FAULT: usize> StoreMedium for FaultyMedium<FAULT> {
+    type Store = FaultyStore<FAULT>;
 
-    fn fresh() -> Self {
+    fn new_empty() -> Self {
         Self::default()
     }
 
-    fn open(&self) -> Result<(BadStore<FAULT>, Recovered), StoreError> {
-        let (log, mut got) = match Log::open_with_segment_bytes(BadDisk(self.0.clone()), "node-1", 200) {
+    fn open(&self) -> Result<(FaultyStore<FAULT>, Recovered), StoreError> {
+        let (log, mut got) = match Log::open_with_segment_bytes(FaultyDisk(self.0.clone()), "node-1", 200) {
             Err(StoreError::Corrupted { .. }) if FAULT == GIVES_OUT_A_FLIPPED_RECORD => {
                 // As a store without checksums does: what lies there is what it gives out.
                 let (log, mut got) =
-                    Log::open_with_segment_bytes(BadDisk(SimDisk::default()), "node-1", 200)?;
+                    Log::open_with_segment_bytes(FaultyDisk(SimDisk::default()), "node-1", 200)?;
                 got.records.push((Seq(1), b"altered".to_vec()));
                 (log, got)
             }
@@ -148,35 +150,35 @@
             _ => {}
         }
         let before = if FAULT == FORGETS_NUMBERS { log.last().0 } else { 0 };
-        Ok((BadStore { log, before, doubted: false }, got))
+        Ok((FaultyStore { log, before, sync_failed: false }, got))
     }
 
-    fn mark(&self, what: usize) {
-        self.0.mark(what);
+    fn mark(&self, label: usize) {
+        self.0.mark(label);
     }
 
-    fn crashes(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken> {
-        sim_crashes(&self.0.ops(), Self, visit)
+    fn visit_crashes(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation> {
+        visit_sim_crashes(&self.0.ops(), Self, visit)
     }
 
-    fn tears(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken> {
-        sim_tears(&self.0.ops(), Self, visit)
+    fn visit_torn_writes(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation> {
+        visit_sim_torn_writes(&self.0.ops(), Self, visit)
     }
 
-    fn flips(&self, visit: &mut Visit<'_, Self>) -> Result<(), Broken> {
-        sim_flips(&self.0, Self, visit)
+    fn visit_bit_flips(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation> {
+        visit_sim_bit_flips(&self.0, Self, visit)
     }
 
-    fn killed(&self) -> Self {
+    fn after_process_kill(&self) -> Self {
         Self(SimDisk::with_files(self.0.files()))
     }
 
-    fn trouble(&self, trouble: Trouble) -> bool {
-        sim_trouble(&self.0, trouble);
+    fn inject_fault(&self, fault: MediumFault) -> bool {
+        inject_sim_fault(&self.0, fault);
         true
     }
 
-    fn repair(&self) {
+    fn clear_faults(&self) {
         self.0.repair();
     }
 }
@@ -186,14 +188,14 @@
 
 #[test]
 fn the_same_store_without_a_fault_holds_every_clause() {
-    assert_eq!(check::<Bad<NONE>>().map(|held| held.len()), Ok(13));
+    assert_eq!(check::<FaultyMedium<NONE>>().map(|held| held.len()), Ok(13));
 }
 
 macro_rules! caught {
     ($($name:ident: $fault:ident by $clause:ident;)*) => {$(
         #[test]
         fn $name() {
-            let broken = check::<Bad<$fault>>().expect_err("it is broken");
+            let broken = check::<FaultyMedium<$fault>>().expect_err("it is broken");
             assert_eq!(broken.clause, Clause::$clause, "{broken}");
         }
     )*};
--- a/crates/contracts/tests/memory/mod.rs
+++ b/crates/contracts/tests/memory/mod.rs
@@ -5,154 +5,155 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use magpietally_contracts::transport::{name_of, Rig};
+use magpietally_contracts::transport::{node_name, Harness};
 use magpietally_transport::{Capabilities, Event, Kind, Name, Peer, SendError, Session, Transport};
 
-pub const LARGEST: usize = 2000;
-pub const WAITING: usize = 8;
-pub const INBOX: usize = 16;
+pub const MESSAGE_MAX_BYTES: usize = 2000;
+pub const QUEUE_MAX: usize = 8;
+pub const INBOX_MAX: usize = 16;
 /// A peer that is silent for so long is told as gone.
-const DEAD: Duration = Duration::from_millis(200);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum InjectedFault {
     None,
-    LosesOnFull,
-    QueuesWithoutEnd,
-    DeliversTwice,
-    CutsTheOversized,
-    RefusesTheLargest,
+    DropsWhenFull,
+    UnboundedQueue,
+    DuplicatesMessages,
+    TruncatesOversized,
+    RejectsLargest,
     MixesSessions,
-    HearsOldSessions,
+    AcceptsOldSessions,
     HidesRestarts,
-    HearsAnotherFleet,
-    AltersAByte,
-    InventsAMessage,
+    AcceptsOtherFleet,
+    AltersByte,
+    InventsMessage,
     Reorders,
     HidesLoss,
-    SwallowsTheEmpty,
-    TakesForAnybody,
-    NeverMissesAnybody,
-    SlowHoldsUpAll,
-    DropsUntold,
-    BelievesStrangers,
-    StaysBroken,
+    DropsEmpty,
+    AcceptsUnknownPeer,
+    IgnoresSilence,
+    SlowPeerBlocksAll,
+    DropsSilently,
+    AcceptsUnverified,
+    NeverReconnects,
 }
 
 struct Node {
     me: Peer,
     inbox: VecDeque<Event>,
     out: BTreeMap<Name, VecDeque<Vec<u8>>>,
-    met: BTreeMap<Name, Session>,
+    sessions: BTreeMap<Name, Session>,
     /// Peers that are silent, since when.
     silent: BTreeMap<Name, Duration>,
 }
 
-struct Hub {
-    fault: Fault,
+struct Network {
+    fault: InjectedFault,
     now: Duration,
     nodes: BTreeMap<Name, Node>,
     /// What ended nodes had not delivered: only a fault hands it out.
-    limbo: Vec<(Name, Name, Vec<u8>)>,
+    undelivered: Vec<(Name, Name, Vec<u8>)>,
     silent: BTreeSet<(usize, usize)>,
     broken: bool,
     delivered: usize,
 }
 
-struct End {
+struct Endpoint {
     me: Peer,
-    hub: Rc<RefCell<Hub>>,
+    network: Rc<RefCell<Network>>,
 }
 
 pub struct Memory {
-    hub: Rc<RefCell<Hub>>,
-    ends: BTreeMap<usize, End>,
+    network: Rc<RefCell<Network>>,
+    endpoints: BTreeMap<usize, Endpoint>,
     sessions: u64,
 }
 
 impl Memory {
-    pub fn new(fault: Fault) -> Self {
-        let hub = Hub {
+    pub fn new(fault: InjectedFault) -> Self {
+        let network = Network {
             fault,
             now: Duration::ZERO,
             nodes: BTreeMap::new(),
-            limbo: Vec::new(),
+            undelivered: Vec::new(),
             silent: BTreeSet::new(),
             broken: false,
             delivered: 0,
         };
-        Self { hub: Rc::new(RefCell::new(hub)), ends: BTreeMap::new(), sessions: 0 }
+        Self { network: Rc::new(RefCell::new(network)), endpoints: BTreeMap::new(), sessions: 0 }
     }
 }
 
-impl Transport for End {
+impl Transport for Endpoint {
     fn me(&self) -> &Peer {
         &self.me
     }
 
     fn capabilities(&self) -> Capabilities {
-        Capabilities { kind: Kind::Stream, message_max_bytes: LARGEST, queue_capacity: WAITING }
+        Capabilities { kind: Kind::Stream, message_max_bytes: MESSAGE_MAX_BYTES, queue_capacity: QUEUE_MAX }
     }
 
     fn send(&mut self, to: &Name, message: &[u8]) -> Result<(), SendError> {
-        let mut hub = self.hub.borrow_mut();
-        let fault = hub.fault;
-        let most = if fault == Fault::RefusesTheLargest { LARGEST - 1 } else { LARGEST };
+        let mut network = self.network.borrow_mut();
+        let fault = network.fault;
+        let limit =
+            if fault == InjectedFault::RejectsLargest { MESSAGE_MAX_BYTES - 1 } else { MESSAGE_MAX_BYTES };
         let mut message = message.to_vec();
-        if message.len() > most {
-            if fault != Fault::CutsTheOversized {
-                return Err(SendError::TooLarge { size: message.len(), max: most });
+        if message.len() > limit {
+            if fault != InjectedFault::TruncatesOversized {
+                return Err(SendError::TooLarge { size: message.len(), max: limit });
             }
-            message.truncate(most);
+            message.truncate(limit);
         }
-        if !(0..4).any(|n| name_of(n) == *to) {
-            return if fault == Fault::TakesForAnybody {
+        if !(0..4).any(|n| node_name(n) == *to) {
+            return if fault == InjectedFault::AcceptsUnknownPeer {
                 Ok(())
             } else {
                 Err(SendError::Unknown(to.clone()))
             };
         }
-        let node = hub.nodes.get_mut(&self.me.name).expect("it runs");
+        let node = network.nodes.get_mut(&self.me.name).expect("it runs");
         let queue = node.out.entry(to.clone()).or_default();
-        if queue.len() >= WAITING {
+        if queue.len() >= QUEUE_MAX {
             match fault {
-                Fault::LosesOnFull => return Ok(()),
-                Fault::QueuesWithoutEnd => {}
-                _ => return Err(SendError::Full { to: to.clone(), max: WAITING }),
+                InjectedFault::DropsWhenFull => return Ok(()),
+                InjectedFault::UnboundedQueue => {}
+                _ => return Err(SendError::Full { to: to.clone(), max: QUEUE_MAX }),
             }
         }
-        if !(fault == Fault::SwallowsTheEmpty && message.is_empty()) {
+        if !(fault == InjectedFault::DropsEmpty && message.is_empty()) {
             queue.push_back(message);
         }
         Ok(())
     }
 
     fn poll(&mut self, _now: Duration) -> Option<Event> {
-        self.hub.borrow_mut().nodes.get_mut(&self.me.name)?.inbox.pop_front()
+        self.network.borrow_mut().nodes.get_mut(&self.me.name)?.inbox.pop_front()
     }
 }
 
-impl Hub {
+impl Network {
     fn is_silent(&self, a: &Name, b: &Name) -> bool {
         self.silent.iter().any(|&(x, y)| {
-            let (x, y) = (name_of(x), name_of(y));
+            let (x, y) = (node_name(x), node_name(y));
             (x == *a && y == *b) || (x == *b && y == *a)
         })
     }
 
-    fn meet(&mut self, at: &Name, from: &Peer) -> bool {
+    fn accept_session(&mut self, at: &Name, from: &Peer) -> bool {
         let fault = self.fault;
         let node = self.nodes.get_mut(at).expect("it runs");
-        let known = node.met.get(&from.name).copied();
-        if known.is_some_and(|k| k > from.session) && fault != Fault::HearsOldSessions {
-            if fault != Fault::DropsUntold {
+        let known = node.sessions.get(&from.name).copied();
+        if known.is_some_and(|k| k > from.session) && fault != InjectedFault::AcceptsOldSessions {
+            if fault != InjectedFault::DropsSilently {
                 node.inbox.push_back(Event::Dropped("older"));
             }
             return false;
         }
         if known.is_none_or(|k| k < from.session) {
-            node.met.insert(from.name.clone(), from.session);
-            if !(fault == Fault::HidesRestarts && known.is_some()) {
+            node.sessions.insert(from.name.clone(), from.session);
+            if !(fault == InjectedFault::HidesRestarts && known.is_some()) {
                 node.inbox.push_back(Event::NewSession(from.clone()));
             }
         }
@@ -160,36 +161,36 @@
     }
 
     fn deliver(&mut self, from: &Peer, to: &Name, mut bytes: Vec<u8>) {
-        if !self.meet(to, from) {
+        if !self.accept_session(to, from) {
             return;
         }
         self.delivered += 1;
         let odd = self.delivered % 7 == 6;
-        if odd && self.fault == Fault::AltersAByte {
+        if odd && self.fault == InjectedFault::AltersByte {
             if let Some(byte) = bytes.last_mut() {
                 *byte ^= 0x40;
             }
         }
-        let times = if odd && self.fault == Fault::DeliversTwice { 2 } else { 1 };
+        let times = if odd && self.fault == InjectedFault::DuplicatesMessages { 2 } else { 1 };
         let inbox = &mut self.nodes.get_mut(to).expect("it runs").inbox;
         for _ in 0..times {
             inbox.push_back(Event::Message { from: from.clone(), bytes: bytes.clone() });
         }
-        if odd && self.fault == Fault::InventsAMessage {
+        if odd && self.fault == InjectedFault::InventsMessage {
             inbox.push_back(Event::Message {
                 from: from.clone(),
                 bytes: b"what nobody ever sent to anybody".to_vec(),
             });
         }
         let end = inbox.len();
-        if odd && self.fault == Fault::Reorders && end >= 2 {
+        if odd && self.fault == InjectedFault::Reorders && end >= 2 {
             if let Event::Message { .. } = inbox[end - 2] {
                 inbox.swap(end - 1, end - 2);
             }
         }
     }
 
-    fn carry(&mut self) {
+    fn deliver_queued(&mut self) {
         let names: Vec<Name> = self.nodes.keys().cloned().collect();
         let messages = |n: &Node| n.inbox.iter().filter(|e| matches!(e, Event::Message { .. })).count();
         for from in &names {
@@ -197,14 +198,14 @@
                 let me = self.nodes[from].me.clone();
                 if self.is_silent(from, to) {
                     let now = self.now;
-                    let hide = self.fault == Fault::NeverMissesAnybody;
+                    let hide = self.fault == InjectedFault::IgnoresSilence;
                     let node = self.nodes.get_mut(from).expect("it runs");
                     let waiting = node.out.get_mut(to).map(std::mem::take).unwrap_or_default();
                     let since = *node.silent.entry(to.clone()).or_insert(now);
                     if waiting.is_empty() {
                         continue;
                     }
-                    if now - since < DEAD {
+                    if now - since < SILENCE_TIMEOUT {
                         node.out.insert(to.clone(), waiting);
                     } else if !hide {
                         let messages = waiting.len() as u64;
@@ -213,12 +214,13 @@
                     continue;
                 }
                 self.nodes.get_mut(from).expect("it runs").silent.remove(to);
-                if self.broken && self.fault == Fault::StaysBroken {
+                if self.broken && self.fault == InjectedFault::NeverReconnects {
                     continue;
                 }
                 loop {
-                    let any_full = self.nodes.values().any(|n| messages(n) >= INBOX);
-                    if messages(&self.nodes[to]) >= INBOX || (any_full && self.fault == Fault::SlowHoldsUpAll)
+                    let any_full = self.nodes.values().any(|n| messages(n) >= INBOX_MAX);
+                    if messages(&self.nodes[to]) >= INBOX_MAX
+                        || (any_full && self.fault == InjectedFault::SlowPeerBlocksAll)
                     {
                         break;
                     }
@@ -229,7 +231,7 @@
             }
         }
         // The fault: what an earlier session left comes under the later one's name.
-        for (from, to, bytes) in std::mem::take(&mut self.limbo) {
+        for (from, to, bytes) in std::mem::take(&mut self.undelivered) {
             if let (Some(peer), true) =
                 (self.nodes.get(&from).map(|n| n.me.clone()), self.nodes.contains_key(&to))
             {
@@ -239,105 +241,107 @@
     }
 }
 
-impl Rig for Memory {
-    fn nodes(&self) -> usize {
+impl Harness for Memory {
+    fn node_count(&self) -> usize {
         4
     }
 
     fn start(&mut self, node: usize) -> Session {
         self.sessions += 1;
         let session = Session(self.sessions);
-        let me = Peer { name: name_of(node), session };
+        let me = Peer { name: node_name(node), session };
         let fresh = Node {
             me: me.clone(),
             inbox: VecDeque::new(),
             out: BTreeMap::new(),
-            met: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             silent: BTreeMap::new(),
         };
-        self.hub.borrow_mut().nodes.insert(me.name.clone(), fresh);
-        self.ends.insert(node, End { me, hub: self.hub.clone() });
+        self.network.borrow_mut().nodes.insert(me.name.clone(), fresh);
+        self.endpoints.insert(node, Endpoint { me, network: self.network.clone() });
         session
     }
 
     fn kill(&mut self, node: usize) {
-        self.ends.remove(&node);
-        let mut hub = self.hub.borrow_mut();
-        hub.broken = false;
-        if let (Some(ended), Fault::MixesSessions) = (hub.nodes.remove(&name_of(node)), hub.fault) {
+        self.endpoints.remove(&node);
+        let mut network = self.network.borrow_mut();
+        network.broken = false;
+        if let (Some(ended), InjectedFault::MixesSessions) =
+            (network.nodes.remove(&node_name(node)), network.fault)
+        {
             let left = ended.out.into_iter().flat_map(|(to, q)| q.into_iter().map(move |b| (to.clone(), b)));
-            hub.limbo.extend(left.map(|(to, bytes)| (name_of(node), to, bytes)));
+            network.undelivered.extend(left.map(|(to, bytes)| (node_name(node), to, bytes)));
         }
     }
 
-    fn at(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
-        let now = self.hub.borrow().now;
-        act(self.ends.get_mut(&node).expect("it runs"), now);
+    fn with_node(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
+        let now = self.network.borrow().now;
+        act(self.endpoints.get_mut(&node).expect("it runs"), now);
     }
 
-    fn pass(&mut self, time: Duration) {
-        let mut hub = self.hub.borrow_mut();
-        hub.now += time;
-        hub.carry();
+    fn advance(&mut self, time: Duration) {
+        let mut network = self.network.borrow_mut();
+        network.now += time;
+        network.deliver_queued();
     }
 
-    fn patience(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         Duration::from_secs(4)
     }
 
-    fn quiet(&self) -> Duration {
+    fn settle_time(&self) -> Duration {
         Duration::from_millis(40)
     }
 
-    fn under_way(&self) -> usize {
-        INBOX
+    fn in_flight_max(&self) -> usize {
+        INBOX_MAX
     }
 
-    fn ghost(&mut self, ghost: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
-        let mut hub = self.hub.borrow_mut();
-        let (to, fault) = (name_of(to), hub.fault);
-        if foreign && fault != Fault::HearsAnotherFleet {
-            if fault != Fault::DropsUntold {
-                hub.nodes.get_mut(&to).expect("it runs").inbox.push_back(Event::Dropped("another fleet"));
+    fn send_as(&mut self, name: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
+        let mut network = self.network.borrow_mut();
+        let (to, fault) = (node_name(to), network.fault);
+        if foreign && fault != InjectedFault::AcceptsOtherFleet {
+            if fault != InjectedFault::DropsSilently {
+                network.nodes.get_mut(&to).expect("it runs").inbox.push_back(Event::Dropped("another fleet"));
             }
             return true;
         }
-        hub.deliver(&Peer { name: ghost.clone(), session }, &to, bytes.to_vec());
+        network.deliver(&Peer { name: name.clone(), session }, &to, bytes.to_vec());
         true
     }
 
-    fn inject(&mut self, to: usize, bytes: &[u8]) -> bool {
-        let mut hub = self.hub.borrow_mut();
-        let event = match hub.fault {
-            Fault::BelievesStrangers => {
-                let from = hub.nodes[&name_of(1)].me.clone();
+    fn inject_bytes(&mut self, to: usize, bytes: &[u8]) -> bool {
+        let mut network = self.network.borrow_mut();
+        let event = match network.fault {
+            InjectedFault::AcceptsUnverified => {
+                let from = network.nodes[&node_name(1)].me.clone();
                 Event::Message { from, bytes: bytes.to_vec() }
             }
             _ => Event::Dropped("strange"),
         };
-        hub.nodes.get_mut(&name_of(to)).expect("it runs").inbox.push_back(event);
+        network.nodes.get_mut(&node_name(to)).expect("it runs").inbox.push_back(event);
         true
     }
 
-    fn silence(&mut self, a: usize, b: usize, on: bool) -> bool {
-        let mut hub = self.hub.borrow_mut();
+    fn set_blackhole(&mut self, a: usize, b: usize, on: bool) -> bool {
+        let mut network = self.network.borrow_mut();
         if on {
-            hub.silent.insert((a, b));
+            network.silent.insert((a, b));
         } else {
-            hub.silent.remove(&(a, b));
+            network.silent.remove(&(a, b));
         }
         true
     }
 
-    fn reset(&mut self, a: usize, b: usize) -> bool {
-        let mut hub = self.hub.borrow_mut();
-        hub.broken = true;
-        let hide = hub.fault == Fault::HidesLoss;
+    fn reset_connections(&mut self, a: usize, b: usize) -> bool {
+        let mut network = self.network.borrow_mut();
+        network.broken = true;
+        let hide = network.fault == InjectedFault::HidesLoss;
         for (from, to) in [(a, b), (b, a)] {
-            let node = hub.nodes.get_mut(&name_of(from)).expect("it runs");
-            let lost = node.out.remove(&name_of(to)).map_or(0, |q| q.len() as u64);
+            let node = network.nodes.get_mut(&node_name(from)).expect("it runs");
+            let lost = node.out.remove(&node_name(to)).map_or(0, |q| q.len() as u64);
             if lost > 0 && !hide {
-                node.inbox.push_back(Event::Lost { to: name_of(to), messages: lost });
+                node.inbox.push_back(Event::Lost { to: node_name(to), messages: lost });
             }
         }
         true
--- a/crates/contracts/tests/relay.rs
+++ b/crates/contracts/tests/relay.rs
@@ -4,19 +4,19 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use magpietally_contracts::relay::{Stream, Streams};
+use magpietally_contracts::relay::{StreamLink, StreamRelay};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Long enough for loopback and a relay many times over.
-const WHILE: Duration = Duration::from_millis(150);
+const QUIET_PERIOD: Duration = Duration::from_millis(150);
 
 /// A connection from node 0 to node 1 through the relay, both ends.
-fn pair(relay: &Streams) -> (TcpStream, TcpStream) {
+fn pair(relay: &StreamRelay) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     relay.attach(1, listener.local_addr().expect("bound"));
-    let dialler = TcpStream::connect(relay.front(0, 1)).expect("a front");
+    let client = TcpStream::connect(relay.frontend(0, 1)).expect("a front");
     let (accepted, _) = listener.accept().expect("the relay dials on");
-    (dialler, accepted)
+    (client, accepted)
 }
 
 /// What comes within a while.
@@ -28,58 +28,58 @@
 
 #[test]
 fn a_held_link_keeps_its_bytes_and_a_silent_one_never_gives_them_back() {
-    let relay = Streams::new(2, 1);
+    let relay = StreamRelay::new(2, 1);
     let (mut a, mut b) = pair(&relay);
-    relay.set(0, 1, Stream { held: true, ..Stream::default() });
+    relay.set_link(0, 1, StreamLink { paused: true, ..StreamLink::default() });
     a.write_all(b"held").expect("taken");
-    assert_eq!(read(&mut b, WHILE), Err(ErrorKind::WouldBlock));
+    assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock));
     // The other way is another link.
     b.write_all(b"back").expect("taken");
-    assert_eq!(read(&mut a, PATIENCE), Ok(b"back".to_vec()));
+    assert_eq!(read(&mut a, TIMEOUT), Ok(b"back".to_vec()));
     relay.heal();
-    assert_eq!(read(&mut b, PATIENCE), Ok(b"held".to_vec()));
+    assert_eq!(read(&mut b, TIMEOUT), Ok(b"held".to_vec()));
 
-    relay.set(0, 1, Stream { silent: true, ..Stream::default() });
+    relay.set_link(0, 1, StreamLink { blackhole: true, ..StreamLink::default() });
     a.write_all(b"swallowed").expect("taken");
-    assert_eq!(read(&mut b, WHILE), Err(ErrorKind::WouldBlock));
+    assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock));
     relay.heal();
     a.write_all(b"too").expect("taken");
-    assert_eq!(read(&mut b, WHILE), Err(ErrorKind::WouldBlock));
+    assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock));
     drop(a);
-    assert_eq!(read(&mut b, WHILE), Err(ErrorKind::WouldBlock), "its end is not told either");
+    assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock), "its end is not told either");
 }
 
 #[test]
 fn a_reset_ends_what_there_is_and_a_refusal_what_comes() {
-    let relay = Streams::new(2, 1);
+    let relay = StreamRelay::new(2, 1);
     let (mut a, mut b) = pair(&relay);
     a.write_all(b"before").expect("taken");
-    assert_eq!(read(&mut b, PATIENCE), Ok(b"before".to_vec()));
+    assert_eq!(read(&mut b, TIMEOUT), Ok(b"before".to_vec()));
     relay.reset(1, 0);
-    assert_eq!(read(&mut a, PATIENCE), Err(ErrorKind::ConnectionReset));
-    assert_eq!(read(&mut b, PATIENCE), Err(ErrorKind::ConnectionReset));
+    assert_eq!(read(&mut a, TIMEOUT), Err(ErrorKind::ConnectionReset));
+    assert_eq!(read(&mut b, TIMEOUT), Err(ErrorKind::ConnectionReset));
     let (mut a, _b) = pair(&relay);
     relay.partition(&[0], &[1]);
-    assert_eq!(read(&mut a, PATIENCE), Err(ErrorKind::ConnectionReset));
-    let mut refused = TcpStream::connect(relay.front(0, 1)).expect("a front");
-    assert_eq!(read(&mut refused, PATIENCE), Err(ErrorKind::ConnectionReset));
+    assert_eq!(read(&mut a, TIMEOUT), Err(ErrorKind::ConnectionReset));
+    let mut refused = TcpStream::connect(relay.frontend(0, 1)).expect("a front");
+    assert_eq!(read(&mut refused, TIMEOUT), Err(ErrorKind::ConnectionReset));
     assert_eq!(relay.counts(), (2, 3));
 }
 
 #[test]
 fn a_delay_and_a_rate_are_at_least_what_they_say() {
-    let relay = Streams::new(2, 1);
+    let relay = StreamRelay::new(2, 1);
     let (mut a, mut b) = pair(&relay);
-    relay.set(0, 1, Stream { delay: WHILE, ..Stream::default() });
+    relay.set_link(0, 1, StreamLink { delay: QUIET_PERIOD, ..StreamLink::default() });
     let start = Instant::now();
     a.write_all(b"late").expect("taken");
-    assert_eq!(read(&mut b, PATIENCE), Ok(b"late".to_vec()));
-    assert!(start.elapsed() >= WHILE);
+    assert_eq!(read(&mut b, TIMEOUT), Ok(b"late".to_vec()));
+    assert!(start.elapsed() >= QUIET_PERIOD);
 
-    relay.set(0, 1, Stream { rate: Some(100_000), ..Stream::default() });
+    relay.set_link(0, 1, StreamLink { bytes_per_s: Some(100_000), ..StreamLink::default() });
     let start = Instant::now();
     a.write_all(&[7; 20_000]).expect("taken");
-    b.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    b.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     b.read_exact(&mut [0; 20_000]).expect("all of it");
     assert!(start.elapsed() >= Duration::from_millis(180), "{:?}", start.elapsed());
 }
@@ -87,12 +87,12 @@
 #[test]
 fn the_share_of_resets_is_drawn_by_the_seed() {
     let broken = |seed| {
-        let relay = Streams::new(2, seed);
-        relay.set_all(Stream { reset: 0.5, ..Stream::default() });
+        let relay = StreamRelay::new(2, seed);
+        relay.set_default_link(StreamLink { reset_share: 0.5, ..StreamLink::default() });
         let survived = |_| {
             let (mut a, mut b) = pair(&relay);
             a.write_all(b"?").expect("taken");
-            read(&mut b, PATIENCE) == Ok(b"?".to_vec())
+            read(&mut b, TIMEOUT) == Ok(b"?".to_vec())
         };
         (0..20).map(survived).collect::<Vec<bool>>()
     };
--- a/crates/contracts/tests/sockets/mod.rs
+++ b/crates/contracts/tests/sockets/mod.rs
@@ -5,23 +5,23 @@
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-use magpietally_contracts::relay::{Link, Relay, Stream, Streams};
-use magpietally_contracts::transport::{name_of, Rig};
+use magpietally_contracts::relay::{DatagramLink, DatagramRelay, StreamLink, StreamRelay};
+use magpietally_contracts::transport::{node_name, Harness};
 use magpietally_transport::envelope::{encode, FleetId, Header, MessageType, RecipientId};
 use magpietally_transport::tcp::{Settings, Tcp};
 use magpietally_transport::udp::Udp;
 use magpietally_transport::{Name, Peer, Session, Transport};
 
 /// Only waited for on a fault, so generous beyond any busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
-const QUIET: Duration = Duration::from_millis(120);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_millis(120);
 
-fn any() -> SocketAddr {
+fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// Where nobody listens: a node that never ran.
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
@@ -30,94 +30,100 @@
 }
 
 /// UDP, with a relay where there is a link to put on every way.
-pub struct Datagrams {
+pub struct UdpHarness {
     origin: Instant,
     sessions: u64,
-    relay: Option<(Relay, Link)>,
-    ends: BTreeMap<usize, Udp>,
-    at: BTreeMap<usize, SocketAddr>,
+    relay: Option<(DatagramRelay, DatagramLink)>,
+    endpoints: BTreeMap<usize, Udp>,
+    addresses: BTreeMap<usize, SocketAddr>,
 }
 
-impl Datagrams {
+impl UdpHarness {
     const NODES: usize = 6;
 
-    pub fn new(link: Option<Link>) -> Self {
+    pub fn new(link: Option<DatagramLink>) -> Self {
         let relay = link.map(|link| {
-            let relay = Relay::new(Self::NODES, 28);
-            relay.set_all(link);
+            let relay = DatagramRelay::new(Self::NODES, 28);
+            relay.set_default_link(link);
             (relay, link)
         });
-        Self { origin: Instant::now(), sessions: 0, relay, ends: BTreeMap::new(), at: BTreeMap::new() }
+        Self {
+            origin: Instant::now(),
+            sessions: 0,
+            relay,
+            endpoints: BTreeMap::new(),
+            addresses: BTreeMap::new(),
+        }
     }
 
     /// Datagrams that the relay passed and dropped.
-    pub fn relayed(&self) -> (u64, u64) {
+    pub fn relay_counts(&self) -> (u64, u64) {
         self.relay.as_ref().map_or((0, 0), |(relay, _)| relay.counts())
     }
 
-    fn way(&self, to: usize) -> SocketAddr {
-        let own = self.at.get(&to).copied().unwrap_or_else(nowhere);
-        self.relay.as_ref().map_or(own, |(relay, _)| relay.front(to))
+    fn peer_address(&self, to: usize) -> SocketAddr {
+        let address = self.addresses.get(&to).copied().unwrap_or_else(unused_address);
+        self.relay.as_ref().map_or(address, |(relay, _)| relay.frontend(to))
     }
 }
 
-impl Rig for Datagrams {
-    fn nodes(&self) -> usize {
+impl Harness for UdpHarness {
+    fn node_count(&self) -> usize {
         Self::NODES
     }
 
     fn start(&mut self, node: usize) -> Session {
         self.sessions += 1;
         let session = Session(self.sessions);
-        let me = Peer { name: name_of(node), session };
-        let mut end = Udp::bind(me, fleet(false), any()).expect("a port");
-        let own = end.address().expect("bound");
-        self.at.insert(node, own);
+        let me = Peer { name: node_name(node), session };
+        let mut endpoint = Udp::bind(me, fleet(false), loopback()).expect("a port");
+        let address = endpoint.address().expect("bound");
+        self.addresses.insert(node, address);
         if let Some((relay, _)) = &self.relay {
-            relay.attach(node, own);
+            relay.attach(node, address);
         }
         for other in (0..Self::NODES).filter(|o| *o != node) {
-            assert!(end.set_peer(name_of(other), self.way(other)));
+            assert!(endpoint.set_peer(node_name(other), self.peer_address(other)));
         }
-        let way = self.way(node);
-        for other in self.ends.values_mut() {
-            assert!(other.set_peer(name_of(node), way));
+        let address = self.peer_address(node);
+        for other in self.endpoints.values_mut() {
+            assert!(other.set_peer(node_name(node), address));
         }
-        self.ends.insert(node, end);
+        self.endpoints.insert(node, endpoint);
         session
     }
 
     fn kill(&mut self, node: usize) {
-        self.ends.remove(&node);
+        self.endpoints.remove(&node);
     }
 
-    fn at(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
-        act(self.ends.get_mut(&node).expect("it runs"), self.origin.elapsed());
+    fn with_node(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
+        act(self.endpoints.get_mut(&node).expect("it runs"), self.origin.elapsed());
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         std::thread::sleep(time);
     }
 
-    fn patience(&self) -> Duration {
-        PATIENCE
+    fn timeout(&self) -> Duration {
+        TIMEOUT
     }
 
-    fn quiet(&self) -> Duration {
-        QUIET
+    fn settle_time(&self) -> Duration {
+        SETTLE_TIME
     }
 
-    fn under_way(&self) -> usize {
+    fn in_flight_max(&self) -> usize {
         0
     }
 
-    fn faulty(&self) -> bool {
+    fn is_lossy(&self) -> bool {
         self.relay.is_some()
     }
 
-    fn ghost(&mut self, ghost: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
-        let from = Peer { name: ghost.clone(), session };
-        let to_name = RecipientId::from_name(&name_of(to));
+    fn send_as(&mut self, name: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
+        let from = Peer { name: name.clone(), session };
+        let to_name = RecipientId::from_name(&node_name(to));
         let head = Header {
             fleet: fleet(foreign),
             to: to_name,
@@ -125,41 +131,41 @@
             from,
             number: 0,
         };
-        self.inject(to, &encode(&head, bytes))
+        self.inject_bytes(to, &encode(&head, bytes))
     }
 
-    fn inject(&mut self, to: usize, bytes: &[u8]) -> bool {
-        let socket = UdpSocket::bind(any()).expect("a port");
-        socket.send_to(bytes, self.at[&to]).is_ok()
+    fn inject_bytes(&mut self, to: usize, bytes: &[u8]) -> bool {
+        let socket = UdpSocket::bind(loopback()).expect("a port");
+        socket.send_to(bytes, self.addresses[&to]).is_ok()
     }
 
-    fn silence(&mut self, a: usize, b: usize, on: bool) -> bool {
-        let Some((relay, usual)) = &self.relay else { return false };
+    fn set_blackhole(&mut self, a: usize, b: usize, on: bool) -> bool {
+        let Some((relay, default_link)) = &self.relay else { return false };
         for (from, to) in [(a, b), (b, a)] {
-            relay.set(from, to, Link { cut: on, ..*usual });
+            relay.set_link(from, to, DatagramLink { cut: on, ..*default_link });
         }
         true
     }
 }
 
 /// Framed TCP, with a relay where there is a link to put on every way.
-pub struct Frames {
+pub struct TcpHarness {
     origin: Instant,
     sessions: u64,
     settings: Settings,
-    relay: Option<(Streams, Stream)>,
-    ends: BTreeMap<usize, Tcp>,
-    at: BTreeMap<usize, SocketAddr>,
-    ghosts: Vec<Tcp>,
+    relay: Option<(StreamRelay, StreamLink)>,
+    endpoints: BTreeMap<usize, Tcp>,
+    addresses: BTreeMap<usize, SocketAddr>,
+    impersonators: Vec<Tcp>,
 }
 
-impl Frames {
+impl TcpHarness {
     const NODES: usize = 5;
 
-    pub fn new(link: Option<Stream>) -> Self {
+    pub fn new(link: Option<StreamLink>) -> Self {
         let relay = link.map(|link| {
-            let relay = Streams::new(Self::NODES, 28);
-            relay.set_all(link);
+            let relay = StreamRelay::new(Self::NODES, 28);
+            relay.set_default_link(link);
             (relay, link)
         });
         let ms = Duration::from_millis;
@@ -177,112 +183,112 @@
         };
         if relay.is_none() {
             // Without a fault nothing may be lost: a thread that a busy machine held up is no broken connection.
-            (settings.liveness_timeout, settings.connect_timeout) = (PATIENCE, PATIENCE);
+            (settings.liveness_timeout, settings.connect_timeout) = (TIMEOUT, TIMEOUT);
         }
         Self {
             origin: Instant::now(),
             sessions: 0,
             settings,
             relay,
-            ends: BTreeMap::new(),
-            at: BTreeMap::new(),
-            ghosts: Vec::new(),
+            endpoints: BTreeMap::new(),
+            addresses: BTreeMap::new(),
+            impersonators: Vec::new(),
         }
     }
 
     /// Connections that the relay passed and broke.
-    pub fn relayed(&self) -> (u64, u64) {
+    pub fn relay_counts(&self) -> (u64, u64) {
         self.relay.as_ref().map_or((0, 0), |(relay, _)| relay.counts())
     }
 
-    fn way(&self, from: usize, to: usize) -> SocketAddr {
-        let own = self.at.get(&to).copied().unwrap_or_else(nowhere);
-        self.relay.as_ref().map_or(own, |(relay, _)| relay.front(from, to))
+    fn peer_address(&self, from: usize, to: usize) -> SocketAddr {
+        let address = self.addresses.get(&to).copied().unwrap_or_else(unused_address);
+        self.relay.as_ref().map_or(address, |(relay, _)| relay.frontend(from, to))
     }
 }
 
-impl Rig for Frames {
-    fn nodes(&self) -> usize {
+impl Harness for TcpHarness {
+    fn node_count(&self) -> usize {
         Self::NODES
     }
 
     fn start(&mut self, node: usize) -> Session {
         self.sessions += 1;
         let session = Session(self.sessions);
-        self.ghosts.clear();
-        let me = Peer { name: name_of(node), session };
-        let mut end = Tcp::bind(me, fleet(false), any(), self.settings.clone()).expect("a port");
-        self.at.insert(node, end.address());
+        self.impersonators.clear();
+        let me = Peer { name: node_name(node), session };
+        let mut endpoint = Tcp::bind(me, fleet(false), loopback(), self.settings.clone()).expect("a port");
+        self.addresses.insert(node, endpoint.address());
         if let Some((relay, _)) = &self.relay {
-            relay.attach(node, end.address());
+            relay.attach(node, endpoint.address());
         }
         for other in (0..Self::NODES).filter(|o| *o != node) {
-            assert!(end.set_peer(name_of(other), self.way(node, other)));
+            assert!(endpoint.set_peer(node_name(other), self.peer_address(node, other)));
         }
-        let ways: Vec<SocketAddr> = self.ends.keys().map(|o| self.way(*o, node)).collect();
-        for (other, way) in self.ends.values_mut().zip(ways) {
-            assert!(other.set_peer(name_of(node), way));
+        let addresses: Vec<SocketAddr> = self.endpoints.keys().map(|o| self.peer_address(*o, node)).collect();
+        for (other, address) in self.endpoints.values_mut().zip(addresses) {
+            assert!(other.set_peer(node_name(node), address));
         }
-        self.ends.insert(node, end);
+        self.endpoints.insert(node, endpoint);
         session
     }
 
     fn kill(&mut self, node: usize) {
-        self.ghosts.clear();
-        self.ends.remove(&node);
+        self.impersonators.clear();
+        self.endpoints.remove(&node);
         if let Some((relay, _)) = &self.relay {
             relay.detach(node);
         }
     }
 
-    fn at(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
-        act(self.ends.get_mut(&node).expect("it runs"), self.origin.elapsed());
+    fn with_node(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
+        act(self.endpoints.get_mut(&node).expect("it runs"), self.origin.elapsed());
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         std::thread::sleep(time);
     }
 
-    fn patience(&self) -> Duration {
-        PATIENCE
+    fn timeout(&self) -> Duration {
+        TIMEOUT
     }
 
-    fn quiet(&self) -> Duration {
-        QUIET
+    fn settle_time(&self) -> Duration {
+        SETTLE_TIME
     }
 
-    fn under_way(&self) -> usize {
+    fn in_flight_max(&self) -> usize {
         // The window, the inbox, and one that was read as the inbox filled, from each of two.
         self.settings.window + self.settings.inbox_messages + 2
     }
 
-    fn faulty(&self) -> bool {
+    fn is_lossy(&self) -> bool {
         self.relay.is_some()
     }
 
-    fn ghost(&mut self, ghost: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
-        let me = Peer { name: ghost.clone(), session };
-        let mut end = Tcp::bind(me, fleet(foreign), any(), self.settings.clone()).expect("a port");
-        assert!(end.set_peer(name_of(to), self.at[&to]));
-        let said = end.send(&name_of(to), bytes).is_ok();
-        self.ghosts.push(end);
-        said
+    fn send_as(&mut self, name: &Name, session: Session, foreign: bool, to: usize, bytes: &[u8]) -> bool {
+        let me = Peer { name: name.clone(), session };
+        let mut endpoint = Tcp::bind(me, fleet(foreign), loopback(), self.settings.clone()).expect("a port");
+        assert!(endpoint.set_peer(node_name(to), self.addresses[&to]));
+        let sent = endpoint.send(&node_name(to), bytes).is_ok();
+        self.impersonators.push(endpoint);
+        sent
     }
 
-    fn inject(&mut self, to: usize, bytes: &[u8]) -> bool {
-        let Ok(mut stranger) = TcpStream::connect(self.at[&to]) else { return false };
-        stranger.write_all(bytes).is_ok()
+    fn inject_bytes(&mut self, to: usize, bytes: &[u8]) -> bool {
+        let Ok(mut stream) = TcpStream::connect(self.addresses[&to]) else { return false };
+        stream.write_all(bytes).is_ok()
     }
 
-    fn silence(&mut self, a: usize, b: usize, on: bool) -> bool {
-        let Some((relay, usual)) = &self.relay else { return false };
+    fn set_blackhole(&mut self, a: usize, b: usize, on: bool) -> bool {
+        let Some((relay, default_link)) = &self.relay else { return false };
         for (from, to) in [(a, b), (b, a)] {
-            relay.set(from, to, Stream { silent: on, ..*usual });
+            relay.set_link(from, to, StreamLink { blackhole: on, ..*default_link });
         }
         true
     }
 
-    fn reset(&mut self, a: usize, b: usize) -> bool {
+    fn reset_connections(&mut self, a: usize, b: usize) -> bool {
         let Some((relay, _)) = &self.relay else { return false };
         relay.reset(a, b);
         true
--- a/crates/contracts/tests/stores.rs
+++ b/crates/contracts/tests/stores.rs
@@ -1,18 +1,18 @@
 //! The stores of this repository pass the suite.
 
-use magpietally_contracts::store::places::{Directory, Shelved, Sim};
-use magpietally_contracts::store::{check, Clause, Place};
+use magpietally_contracts::store::media::{Directory, InMemory, SimulatedDisk};
+use magpietally_contracts::store::{check, Clause, StoreMedium};
 use magpietally_store::{Store, StoreError};
 
 #[test]
 fn a_store_on_a_simulated_disk_holds_every_clause() {
-    let held = check::<Sim>().expect("holds");
+    let held = check::<SimulatedDisk>().expect("holds");
     assert_eq!(held.len(), 13, "{held:?}");
 }
 
 #[test]
 fn a_store_in_memory_holds_every_clause() {
-    let held = check::<Shelved>().expect("holds");
+    let held = check::<InMemory>().expect("holds");
     assert_eq!(held.len(), 13, "{held:?}");
 }
 
@@ -34,13 +34,13 @@
         let met = magpietally_store::Log::open_dir(path.as_ref(), "node-1");
         std::process::exit(if matches!(met, Err(StoreError::Locked(_))) { 41 } else { 42 });
     }
-    let place = Directory::fresh();
-    let (mut store, _) = place.open().expect("opens");
+    let medium = Directory::new_empty();
+    let (mut store, _) = medium.open().expect("opens");
     store.append(b"mine").expect("taken");
     let child = || {
         let own = std::env::current_exe().expect("the test's file");
         let mut other = std::process::Command::new(own);
-        other.args(["--exact", "two_processes_cannot_open_one_store"]).env(CHILD, place.path());
+        other.args(["--exact", "two_processes_cannot_open_one_store"]).env(CHILD, medium.path());
         other.status().expect("runs").code()
     };
     assert_eq!(child(), Some(41));
--- a/crates/contracts/tests/transport_faults.rs
+++ b/crates/contracts/tests/transport_faults.rs
@@ -2,43 +2,43 @@
 
 mod memory;
 
-use magpietally_contracts::transport::{hold, Clause};
-use memory::{Fault, Memory};
+use magpietally_contracts::transport::{check, Clause};
+use memory::{InjectedFault, Memory};
 
 #[test]
 fn a_right_transport_holds_every_clause() {
-    let held = hold(&mut Memory::new(Fault::None)).unwrap_or_else(|broken| panic!("{broken}"));
-    assert_eq!(held.skipped, []);
-    assert_eq!(held.held.len(), 20, "{:?}", held.held);
+    let report = check(&mut Memory::new(InjectedFault::None)).unwrap_or_else(|broken| panic!("{broken}"));
+    assert_eq!(report.skipped, []);
+    assert_eq!(report.passed.len(), 20, "{:?}", report.passed);
 }
 
 #[test]
 fn each_broken_transport_is_caught_by_name() {
     let faults = [
-        (Fault::LosesOnFull, Clause::FullTold),
-        (Fault::QueuesWithoutEnd, Clause::FullTold),
-        (Fault::DeliversTwice, Clause::AtMostOnce),
-        (Fault::CutsTheOversized, Clause::OversizedRefused),
-        (Fault::RefusesTheLargest, Clause::LargestPasses),
-        (Fault::MixesSessions, Clause::NothingOlder),
-        (Fault::HearsOldSessions, Clause::NothingOlder),
-        (Fault::HidesRestarts, Clause::RestartTold),
-        (Fault::HearsAnotherFleet, Clause::NothingForeign),
-        (Fault::AltersAByte, Clause::NothingAltered),
-        (Fault::InventsAMessage, Clause::NothingInvented),
-        (Fault::Reorders, Clause::Order),
-        (Fault::HidesLoss, Clause::LossTold),
-        (Fault::SwallowsTheEmpty, Clause::EmptyPasses),
-        (Fault::TakesForAnybody, Clause::UnknownTold),
-        (Fault::NeverMissesAnybody, Clause::HalfOpenNoticed),
-        (Fault::SlowHoldsUpAll, Clause::SlowAlone),
-        (Fault::DropsUntold, Clause::NothingOlder),
-        (Fault::BelievesStrangers, Clause::NothingInvented),
-        (Fault::StaysBroken, Clause::BreakMended),
+        (InjectedFault::DropsWhenFull, Clause::FullTold),
+        (InjectedFault::UnboundedQueue, Clause::FullTold),
+        (InjectedFault::DuplicatesMessages, Clause::AtMostOnce),
+        (InjectedFault::TruncatesOversized, Clause::OversizedRefused),
+        (InjectedFault::RejectsLargest, Clause::LargestPasses),
+        (InjectedFault::MixesSessions, Clause::NothingOlder),
+        (InjectedFault::AcceptsOldSessions, Clause::NothingOlder),
+        (InjectedFault::HidesRestarts, Clause::RestartTold),
+        (InjectedFault::AcceptsOtherFleet, Clause::NothingForeign),
+        (InjectedFault::AltersByte, Clause::NothingAltered),
+        (InjectedFault::InventsMessage, Clause::NothingInvented),
+        (InjectedFault::Reorders, Clause::Order),
+        (InjectedFault::HidesLoss, Clause::LossTold),
+        (InjectedFault::DropsEmpty, Clause::EmptyPasses),
+        (InjectedFault::AcceptsUnknownPeer, Clause::UnknownTold),
+        (InjectedFault::IgnoresSilence, Clause::HalfOpenNoticed),
+        (InjectedFault::SlowPeerBlocksAll, Clause::SlowAlone),
+        (InjectedFault::DropsSilently, Clause::NothingOlder),
+        (InjectedFault::AcceptsUnverified, Clause::NothingInvented),
+        (InjectedFault::NeverReconnects, Clause::BreakMended),
     ];
     let mut missed = Vec::new();
     for (fault, clause) in faults {
-        match hold(&mut Memory::new(fault)) {
+        match check(&mut Memory::new(fault)) {
             Err(broken) if broken.clause == clause => {}
             other => missed.push(format!("{fault:?}, to be caught by {clause:?}: {other:?}")),
         }
--- a/crates/contracts/tests/transports.rs
+++ b/crates/contracts/tests/transports.rs
@@ -5,19 +5,19 @@
 
 use std::time::Duration;
 
-use magpietally_contracts::relay::{Link, Stream};
-use magpietally_contracts::transport::{hold, Clause, Held, Rig};
+use magpietally_contracts::relay::{DatagramLink, StreamLink};
+use magpietally_contracts::transport::{check, CheckReport, Clause, Harness};
 use magpietally_simnet::Faults;
 use magpietally_transport::Kind;
-use sockets::{Datagrams, Frames};
-use virtual_time::Virtual;
+use sockets::{TcpHarness, UdpHarness};
+use virtual_time::VirtualHarness;
 
 /// What a datagram does not promise, and what takes a relay.
 const STREAMS_ONLY: [Clause; 5] =
     [Clause::SlowAlone, Clause::BreakMended, Clause::Order, Clause::AtMostOnce, Clause::LossTold];
 
-fn held(rig: &mut impl Rig) -> Held {
-    hold(rig).unwrap_or_else(|broken| panic!("{broken}"))
+fn check_all(harness: &mut impl Harness) -> CheckReport {
+    check(harness).unwrap_or_else(|broken| panic!("{broken}"))
 }
 
 fn sorted(clauses: &[Clause]) -> Vec<Clause> {
@@ -28,42 +28,43 @@
 
 #[test]
 fn udp_holds_the_contract() {
-    let held = held(&mut Datagrams::new(None));
+    let report = check_all(&mut UdpHarness::new(None));
     let skipped = [&STREAMS_ONLY[..], &[Clause::HalfOpenNoticed]].concat();
-    assert_eq!(sorted(&held.skipped), sorted(&skipped));
+    assert_eq!(sorted(&report.skipped), sorted(&skipped));
 }
 
 #[test]
 fn udp_through_loss_doubles_and_delay_holds_the_contract() {
-    let link = Link { drop: 0.2, duplicate: 0.2, delay: Duration::from_millis(5), cut: false };
-    let mut rig = Datagrams::new(Some(link));
-    let held = held(&mut rig);
-    assert_eq!(sorted(&held.skipped), sorted(&STREAMS_ONLY));
-    let (passed, dropped) = rig.relayed();
+    let link =
+        DatagramLink { drop_share: 0.2, duplicate_share: 0.2, delay: Duration::from_millis(5), cut: false };
+    let mut harness = UdpHarness::new(Some(link));
+    let report = check_all(&mut harness);
+    assert_eq!(sorted(&report.skipped), sorted(&STREAMS_ONLY));
+    let (passed, dropped) = harness.relay_counts();
     assert!(passed > 100 && dropped > 10, "the relay passed {passed} and dropped {dropped}");
 }
 
 #[test]
 fn framed_tcp_holds_the_contract() {
-    let held = held(&mut Frames::new(None));
-    assert_eq!(sorted(&held.skipped), [Clause::HalfOpenNoticed, Clause::BreakMended]);
+    let report = check_all(&mut TcpHarness::new(None));
+    assert_eq!(sorted(&report.skipped), [Clause::HalfOpenNoticed, Clause::BreakMended]);
 }
 
 #[test]
 fn framed_tcp_through_delay_and_resets_holds_the_contract() {
-    let rough = Stream { delay: Duration::from_millis(3), reset: 0.01, ..Stream::default() };
-    let mut rig = Frames::new(Some(rough));
-    let held = held(&mut rig);
-    assert_eq!(held.skipped, []);
-    let (connections, broken) = rig.relayed();
+    let rough = StreamLink { delay: Duration::from_millis(3), reset_share: 0.01, ..StreamLink::default() };
+    let mut harness = TcpHarness::new(Some(rough));
+    let report = check_all(&mut harness);
+    assert_eq!(report.skipped, []);
+    let (connections, broken) = harness.relay_counts();
     assert!(connections > 20 && broken > 15, "of {connections} connections {broken} were broken");
 }
 
 #[test]
 fn framed_tcp_through_a_narrow_link_holds_the_contract() {
-    let narrow = Stream { rate: Some(2 << 20), ..Stream::default() };
-    let held = held(&mut Frames::new(Some(narrow)));
-    assert_eq!(held.skipped, []);
+    let narrow = StreamLink { bytes_per_s: Some(2 << 20), ..StreamLink::default() };
+    let report = check_all(&mut TcpHarness::new(Some(narrow)));
+    assert_eq!(report.skipped, []);
 }
 
 /// The network in virtual time has one fleet, hands out the sessions itself, and carries no bytes but its ports'.
@@ -78,8 +79,8 @@
 fn streams_in_virtual_time_hold_the_contract() {
     for seed in 0..5 {
         for faults in [Faults::default(), rough()] {
-            let held = held(&mut Virtual::new(Kind::Stream, faults, seed));
-            assert_eq!(sorted(&held.skipped), sorted(&ONE_FLEET));
+            let report = check_all(&mut VirtualHarness::new(Kind::Stream, faults, seed));
+            assert_eq!(sorted(&report.skipped), sorted(&ONE_FLEET));
         }
     }
 }
@@ -88,11 +89,11 @@
 fn datagrams_in_virtual_time_hold_the_contract() {
     for seed in 0..5 {
         for faults in [Faults::default(), rough()] {
-            let held = held(&mut Virtual::new(Kind::Datagram, faults, seed));
+            let report = check_all(&mut VirtualHarness::new(Kind::Datagram, faults, seed));
             let mut skipped = [&ONE_FLEET[..], &STREAMS_ONLY].concat();
             skipped.sort();
             skipped.dedup();
-            assert_eq!(sorted(&held.skipped), skipped);
+            assert_eq!(sorted(&report.skipped), skipped);
         }
     }
 }
--- a/crates/contracts/tests/virtual_time/mod.rs
+++ b/crates/contracts/tests/virtual_time/mod.rs
@@ -3,31 +3,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use magpietally_contracts::transport::{name_of, Rig};
+use magpietally_contracts::transport::{node_name, Harness};
 use magpietally_simnet::{Faults, Limits, Net, Port, SharedNet};
 use magpietally_transport::{Kind, Session, Transport};
 
-pub struct Virtual {
+pub struct VirtualHarness {
     net: SharedNet,
     kind: Kind,
-    faulty: bool,
+    lossy: bool,
     limits: Limits,
     now: Duration,
-    ends: BTreeMap<usize, Port>,
+    ports: BTreeMap<usize, Port>,
 }
 
-impl Virtual {
+impl VirtualHarness {
     const NODES: usize = 5;
 
     pub fn new(kind: Kind, faults: Faults, seed: u64) -> Self {
         // A small queue is full soon; all else as it is everywhere.
         let limits = Limits { queue_capacity: 64, ..Limits::default() };
-        let faulty = faults.loss > 0.0;
+        let lossy = faults.loss > 0.0;
         let mut net = Net::new(seed, faults, limits.clone());
         for node in 0..Self::NODES {
-            assert_eq!(net.add(&name_of(node)), Some(node));
+            assert_eq!(net.add(&node_name(node)), Some(node));
         }
-        Self { net: net.shared(), kind, faulty, limits, now: Duration::ZERO, ends: BTreeMap::new() }
+        Self { net: net.shared(), kind, lossy, limits, now: Duration::ZERO, ports: BTreeMap::new() }
     }
 
     fn net<T>(&self, act: impl FnOnce(&mut Net) -> T) -> T {
@@ -35,52 +35,52 @@
     }
 }
 
-impl Rig for Virtual {
-    fn nodes(&self) -> usize {
+impl Harness for VirtualHarness {
+    fn node_count(&self) -> usize {
         Self::NODES
     }
 
     fn start(&mut self, node: usize) -> Session {
-        let end = Port::open(&self.net, &name_of(node), self.kind).expect("it is known");
-        let session = end.me().session;
-        self.ends.insert(node, end);
+        let port = Port::open(&self.net, &node_name(node), self.kind).expect("it is known");
+        let session = port.me().session;
+        self.ports.insert(node, port);
         session
     }
 
     fn kill(&mut self, node: usize) {
-        if self.ends.remove(&node).is_some() {
+        if self.ports.remove(&node).is_some() {
             self.net(|net| net.kill(node));
         }
     }
 
-    fn at(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
-        act(self.ends.get_mut(&node).expect("it runs"), self.now);
+    fn with_node(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration)) {
+        act(self.ports.get_mut(&node).expect("it runs"), self.now);
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         let now = self.now;
         self.net(|net| while net.step(now).is_some() {});
     }
 
-    fn patience(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         // Three times what a stream takes to break.
         3 * self.limits.break_after
     }
 
-    fn quiet(&self) -> Duration {
+    fn settle_time(&self) -> Duration {
         Duration::from_secs(1)
     }
 
-    fn under_way(&self) -> usize {
+    fn in_flight_max(&self) -> usize {
         self.limits.queue_capacity
     }
 
-    fn faulty(&self) -> bool {
-        self.faulty
+    fn is_lossy(&self) -> bool {
+        self.lossy
     }
 
-    fn silence(&mut self, a: usize, b: usize, on: bool) -> bool {
+    fn set_blackhole(&mut self, a: usize, b: usize, on: bool) -> bool {
         self.net(|net| {
             for (from, to) in [(a, b), (b, a)] {
                 if on {
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use magpietally_consensus::check as log_check;
-use magpietally_contracts::relay::{Link, Relay, Streams};
+use magpietally_contracts::relay::{DatagramLink, DatagramRelay, StreamRelay};
 use magpietally_policy_change::check as policy_check;
 use magpietally_quota::check as quota_check;
 use peers::*;
@@ -25,8 +25,8 @@
 
 struct Fleet {
     folder: PathBuf,
-    datagrams: Relay,
-    streams: Streams,
+    datagrams: DatagramRelay,
+    streams: StreamRelay,
     nodes: Vec<Option<Node>>,
     config: Value,
     load: Vec<(Arc<AtomicBool>, std::thread::JoinHandle<u64>)>,
@@ -52,8 +52,8 @@
         std::fs::write(folder.join("policy.toml"), "").expect("a file");
         let mut fleet = Self {
             folder,
-            datagrams: Relay::new(N, seed),
-            streams: Streams::new(N, seed),
+            datagrams: DatagramRelay::new(N, seed),
+            streams: StreamRelay::new(N, seed),
             nodes: (0..N).map(|_| None).collect(),
             config,
             load: Vec::new(),
@@ -92,7 +92,7 @@
             text += &format!("planted = \"{fault}\"\n");
         }
         for j in (0..N).filter(|&j| j != i) {
-            let (datagrams, streams) = (self.datagrams.front(j), self.streams.front(i, j));
+            let (datagrams, streams) = (self.datagrams.frontend(j), self.streams.frontend(i, j));
             text += &format!("[peers.f{j}]\ndatagrams = \"{datagrams}\"\nstreams = \"{streams}\"\n");
         }
         let file = self.folder.join(format!("fleet-{i}.toml"));
@@ -381,8 +381,13 @@
     f.start(1);
     until("the full disk is told", || f.node(1).logged("the store refuses: no space left"));
     // A tenth of the datagrams lost, some doubled and late, and a link between two voters that works one way.
-    f.datagrams.set_all(Link { drop: 0.1, duplicate: 0.1, delay: Duration::from_millis(5), cut: false });
-    f.datagrams.set(0, 2, Link { cut: true, ..Link::default() });
+    f.datagrams.set_default_link(DatagramLink {
+        drop_share: 0.1,
+        duplicate_share: 0.1,
+        delay: Duration::from_millis(5),
+        cut: false,
+    });
+    f.datagrams.set_link(0, 2, DatagramLink { cut: true, ..DatagramLink::default() });
     let mut version = first;
     for share in [0.04, 0.03] {
         f.write_policy(&format!("[retry]\nshare = {share}\n"));
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-use magpietally_contracts::relay::{Link, Relay};
+use magpietally_contracts::relay::{DatagramLink, DatagramRelay};
 use peers::*;
 use serde_json::Value;
 
@@ -17,7 +17,7 @@
 
 struct Fleet {
     seed: u64,
-    relay: Relay,
+    relay: DatagramRelay,
     nodes: Vec<Option<Node>>,
     own: Vec<SocketAddr>,
     config: Value,
@@ -31,7 +31,7 @@
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
         // One front more than nodes, for a node that comes later.
-        let relay = Relay::new(N + 1, seed);
+        let relay = DatagramRelay::new(N + 1, seed);
         let mut fleet = Self {
             seed,
             relay,
@@ -51,7 +51,7 @@
         let seeds = [0, 1]
             .iter()
             .filter(|&&s| s != i)
-            .map(|&s| format!("\"{}\"", self.relay.front(s)))
+            .map(|&s| format!("\"{}\"", self.relay.frontend(s)))
             .collect::<Vec<_>>();
         let file = format!(
             "{}/membership-{}-{}-{i}.toml",
@@ -61,7 +61,7 @@
         );
         let text = format!(
             "listen = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nfleet_size = {N}\n",
-            self.relay.front(i),
+            self.relay.frontend(i),
             seeds.join(", ")
         );
         std::fs::write(&file, text).expect("a file");
@@ -204,8 +204,13 @@
     f.wait_agree("after the heal", &ALL, &[], "dead");
 
     // A link that works one way, and 30% loss with duplicates and delay on all: no death that lasts.
-    f.relay.set(0, 1, Link { cut: true, ..Link::default() });
-    f.relay.set_all(Link { drop: 0.3, duplicate: 0.1, delay: Duration::from_millis(20), cut: false });
+    f.relay.set_link(0, 1, DatagramLink { cut: true, ..DatagramLink::default() });
+    f.relay.set_default_link(DatagramLink {
+        drop_share: 0.3,
+        duplicate_share: 0.1,
+        delay: Duration::from_millis(20),
+        cut: false,
+    });
     std::thread::sleep(Duration::from_secs(10));
     f.relay.heal();
     f.wait_agree("after a one-way link and 30% loss", &ALL, &[], "dead");
