--- a/crates/contracts/src/lib.rs
+++ b/crates/contracts/src/lib.rs
@@ -1,6 +1,8 @@
-//! What every transport and every store must hold, as suites that each implementation passes by one call; for tests only.
+//! Conformance suites for transports and stores, for tests only. An implementation runs a whole suite with
+//! one call.
 //!
-//! Each suite is itself held to deliberately broken implementations: it names the clause that each of them breaks.
+//! The suites are themselves tested on deliberately broken implementations: a suite must report the clause
+//! that each of them violates.
 
 pub mod relay;
 pub mod store;
--- a/crates/contracts/src/relay.rs
+++ b/crates/contracts/src/relay.rs
@@ -1,6 +1,6 @@
-//! Fault-injecting relays between nodes, for tests: each node is reached at a front of the relay, which passes what comes
-//! on to the node's own socket, with the faults that are set by link and by direction. [`Relay`] does so for datagrams,
-//! [`Streams`] for TCP connections.
+//! Fault-injecting relays between nodes, for tests. Each node is reached through a frontend address of the
+//! relay, which forwards the traffic to the node's own socket and applies the faults that are set for each
+//! link and direction. [`DatagramRelay`] does so for datagrams, [`StreamRelay`] for TCP connections.
 
 mod streams;
 
@@ -16,20 +16,20 @@
 
 pub use streams::{StreamLink, StreamRelay};
 
-/// What a link does to each datagram, one way.
+/// The faults of a link for each datagram, in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramLink {
-    /// Share lost.
+    /// Share of datagrams that are dropped.
     pub drop_share: f64,
-    /// Share that arrives twice.
+    /// Share of datagrams that are delivered twice.
     pub duplicate_share: f64,
-    /// Time added on the way.
+    /// Added latency.
     pub delay: Duration,
-    /// Nothing passes.
+    /// Whether every datagram is dropped.
     pub cut: bool,
 }
 
-/// A datagram held for its delay: when it is due, in what order it came, from whom, to whom, its bytes.
+/// A delayed datagram: due time, sequence number, sender, receiver and payload.
 type DelayedDatagram = Reverse<(Instant, u64, usize, usize, Vec<u8>)>;
 
 struct Inner {
@@ -41,21 +41,21 @@
     sequence: AtomicU64,
     random: Mutex<Pcg64>,
     stop: AtomicBool,
-    /// Datagrams passed on and dropped.
+    /// Numbers of datagrams forwarded and dropped.
     forwarded: AtomicU64,
     dropped: AtomicU64,
 }
 
-/// The relay; it ends its threads when dropped.
+/// Relay for UDP datagrams; its threads end when it is dropped.
 pub struct DatagramRelay {
     inner: Arc<Inner>,
 }
 
-/// Datagrams held for a delay at most; past that they are dropped.
+/// Datagrams held for a delay at the same time; further ones are dropped.
 const DELAYED_DATAGRAMS_MAX: usize = 100_000;
 
 impl DatagramRelay {
-    /// A relay with `n` fronts, its random draws seeded.
+    /// Creates a relay with `n` frontends; its random draws are seeded.
     pub fn new(n: usize, seed: u64) -> Self {
         let frontends = (0..n)
             .map(|_| {
@@ -85,27 +85,28 @@
         Self { inner }
     }
 
-    /// Where peers send to reach node `i`.
+    /// The address to which peers send to reach node `i`.
     pub fn frontend(&self, i: usize) -> SocketAddr {
         self.inner.frontends[i].local_addr().expect("bound")
     }
 
-    /// Node `i`'s own socket, where what comes for it goes on (again after a restart).
+    /// Sets node `i`'s own socket, to which its datagrams are forwarded. Call it again after a restart of the
+    /// node.
     pub fn attach(&self, i: usize, backend: SocketAddr) {
         self.inner.backends.lock().expect("no panic")[i] = Some(backend);
     }
 
-    /// What the link from `from` to `to` does from now on.
+    /// Sets the faults of the link from `from` to `to` from now on.
     pub fn set_link(&self, from: usize, to: usize, link: DatagramLink) {
         self.inner.links.lock().expect("no panic").insert((from, to), link);
     }
 
-    /// What every link without a setting of its own does.
+    /// Sets the faults of every link without a setting of its own.
     pub fn set_default_link(&self, link: DatagramLink) {
         *self.inner.default_link.lock().expect("no panic") = link;
     }
 
-    /// Cuts every link between `a` and `b`, both ways.
+    /// Cuts every link between `a` and `b`, in both directions.
     pub fn partition(&self, a: &[usize], b: &[usize]) {
         let cut = DatagramLink { cut: true, ..DatagramLink::default() };
         for &x in a {
@@ -116,13 +117,13 @@
         }
     }
 
-    /// Every link passes all again.
+    /// Removes the faults of every link.
     pub fn heal(&self) {
         self.inner.links.lock().expect("no panic").clear();
         *self.inner.default_link.lock().expect("no panic") = DatagramLink::default();
     }
 
-    /// Datagrams passed on and dropped so far.
+    /// The numbers of datagrams forwarded and dropped so far.
     pub fn counts(&self) -> (u64, u64) {
         (self.inner.forwarded.load(Ordering::SeqCst), self.inner.dropped.load(Ordering::SeqCst))
     }
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Sends from the sender's own front, so that an answer to the source goes back through the relay too.
+    /// Sends from the sender's frontend, so that a reply to the source address also passes through the relay.
     fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         let backend = self.backends.lock().expect("no panic")[to];
         if let Some(backend) = backend {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// A draw in [0, 1), seeded.
+    /// A seeded random draw in [0, 1).
     fn random_share(&self) -> f64 {
         self.random.lock().expect("no panic").random()
     }
--- a/crates/contracts/src/relay/streams.rs
+++ b/crates/contracts/src/relay/streams.rs
@@ -1,4 +1,4 @@
-//! TCP connections through a relay: one thread, one task a connection, faults by link and direction.
+//! Relay for TCP connections: one thread, one task for each connection, faults by link and direction.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,29 +15,32 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// What a link does to the bytes of its connections, one way (by who sends them, not by who dialled).
+/// The faults of a link for the bytes of its connections, in one direction (that of the sender, whichever
+/// side opened the connection).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamLink {
-    /// Time added on the way.
+    /// Added latency.
     pub delay: Duration,
-    /// Bytes are held, and go on once it is off: a path that is cut for a while.
+    /// Whether bytes are held back until this is unset: a path that is interrupted for a while.
     pub paused: bool,
-    /// Bytes, and the end of a connection, are swallowed without a word: the other side is gone, and nobody told. A
-    /// connection that lost bytes so never passes any again.
+    /// Whether bytes and the end of a connection are silently discarded, as when the other side has vanished
+    /// without closing the connection. A connection that has lost bytes this way never delivers any again.
     pub blackhole: bool,
-    /// Bytes a second; none is no limit.
+    /// Bandwidth limit in bytes per second; `None` means unlimited.
     pub bytes_per_s: Option<u64>,
-    /// The share of pieces at which the whole connection is reset instead, drawn by the seed.
+    /// Share of chunks at which the whole connection is reset instead of forwarding them; the draws are
+    /// seeded.
     pub reset_share: f64,
-    /// New connections that this side dials are reset at once.
+    /// Whether new connections opened by this side are reset at once.
     pub refuse_connections: bool,
 }
 
-/// Bytes read at a time; with a rate, what passes at a time.
+/// Maximum bytes read at a time, and so the unit in which a bandwidth limit applies.
 const CHUNK_BYTES: usize = 4096;
-/// Pieces a connection holds for their delay, one way: 1 MiB, and past it the sender feels it.
+/// Chunks that a connection holds for their delay, in one direction: 1 MiB, after which the sender is
+/// blocked.
 const CHUNKS_MAX: usize = 256;
-/// How often a held link looks whether it is still held.
+/// How often a paused link checks whether it is still paused.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Default)]
@@ -45,7 +48,7 @@
     links: BTreeMap<(usize, usize), StreamLink>,
     default_link: StreamLink,
     backends: BTreeMap<usize, SocketAddr>,
-    /// Raised at each reset of a pair: connections older than that end.
+    /// Incremented at each reset of a pair of nodes; connections opened before it are aborted.
     resets: BTreeMap<(usize, usize), u64>,
     connections: u64,
     aborted: u64,
@@ -54,12 +57,12 @@
 struct Inner {
     state: Mutex<State>,
     random: Mutex<Pcg64>,
-    /// Told at each reset.
+    /// Notified at each reset.
     reset: Notify,
     stop: Notify,
 }
 
-/// The relay for TCP; its thread ends when it is dropped, and all connections with it.
+/// Relay for TCP connections; its thread and all its connections end when it is dropped.
 pub struct StreamRelay {
     inner: Arc<Inner>,
     frontends: BTreeMap<(usize, usize), SocketAddr>,
@@ -71,7 +74,8 @@
 }
 
 impl StreamRelay {
-    /// A relay between `n` nodes. Each ordered pair has a front of its own, as a connection does not say who dials.
+    /// Creates a relay between `n` nodes. Each ordered pair has its own frontend, because a connection does
+    /// not identify the node that opens it.
     pub fn new(n: usize, seed: u64) -> Self {
         let inner = Arc::new(Inner {
             state: Mutex::default(),
@@ -100,45 +104,45 @@
         Self { inner, frontends, thread: Some(thread) }
     }
 
-    /// Where `from` dials to reach `to`.
+    /// The address to which `from` connects to reach `to`.
     pub fn frontend(&self, from: usize, to: usize) -> SocketAddr {
         self.frontends[&(from, to)]
     }
 
-    /// Node `i`'s own listener (again after a restart).
+    /// Sets node `i`'s own listener. Call it again after a restart of the node.
     pub fn attach(&self, i: usize, backend: SocketAddr) {
         self.inner.state().backends.insert(i, backend);
     }
 
-    /// Node `i` has no listener: whoever dials it is reset.
+    /// Removes node `i`'s listener: connections to it are reset.
     pub fn detach(&self, i: usize) {
         self.inner.state().backends.remove(&i);
     }
 
-    /// What the link from `from` to `to` does from now on.
+    /// Sets the faults of the link from `from` to `to` from now on.
     pub fn set_link(&self, from: usize, to: usize, link: StreamLink) {
         self.inner.state().links.insert((from, to), link);
     }
 
-    /// What every link without a setting of its own does.
+    /// Sets the faults of every link without a setting of its own.
     pub fn set_default_link(&self, link: StreamLink) {
         self.inner.state().default_link = link;
     }
 
-    /// Every link passes all again; a connection that lost bytes stays dead.
+    /// Removes the faults of every link; a connection that has lost bytes stays dead.
     pub fn heal(&self) {
         let mut s = self.inner.state();
         s.links.clear();
         s.default_link = StreamLink::default();
     }
 
-    /// Resets all connections between two nodes, whoever dialled; new ones may be made.
+    /// Resets all connections between two nodes, whichever side opened them; new ones may be opened.
     pub fn reset(&self, a: usize, b: usize) {
         *self.inner.state().resets.entry(pair(a, b)).or_default() += 1;
         self.inner.reset.notify_waiters();
     }
 
-    /// Cuts every link between `a` and `b` both ways, with a reset of what there is.
+    /// Refuses new connections between `a` and `b` in both directions and resets the existing ones.
     pub fn partition(&self, a: &[usize], b: &[usize]) {
         for &x in a {
             for &y in b {
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Connections passed on so far, and those that the relay itself broke or refused.
+    /// The numbers of connections forwarded so far and of those that the relay itself aborted or refused.
     pub fn counts(&self) -> (u64, u64) {
         let s = self.inner.state();
         (s.connections, s.aborted)
@@ -203,7 +207,7 @@
         };
         self.state().connections += 1;
         let _ = (client.set_nodelay(true), listener.set_nodelay(true));
-        // Borrowed halves: an owned one says the end of its way when it is dropped, before any reset.
+        // Borrowed halves: dropping an owned half would shut its direction down before any reset.
         let (from_client, to_client) = client.split();
         let (from_listener, to_listener) = listener.split();
         let return_direction = (direction.1, direction.0);
@@ -233,7 +237,8 @@
         }
     }
 
-    /// One way of a connection, with its link's faults. An error where either socket breaks: the connection ends.
+    /// Copies one direction of a connection with the faults of its link. An error on either socket ends the
+    /// connection.
     async fn copy_direction(
         &self,
         direction: (usize, usize),
@@ -250,7 +255,8 @@
                 blackholed |= link.blackhole;
                 if blackholed {
                     match n {
-                        // Its end is not told either. The other way's end, or a reset, ends the connection.
+                        // The end of the stream is not forwarded either. The end of the other direction, or a
+                        // reset, ends the connection.
                         Ok(0) | Err(_) => std::future::pending::<()>().await,
                         Ok(_) => continue,
                     }
@@ -284,7 +290,7 @@
     }
 }
 
-/// Closes with a reset.
+/// Closes the connection with a reset.
 fn abort(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     drop(stream);
--- a/crates/contracts/src/store.rs
+++ b/crates/contracts/src/store.rs
@@ -1,7 +1,8 @@
-//! What every store must hold.
+//! Conformance suite for stores.
 //!
-//! A store is put to the suite by a [`Place`] that it lies on: how it is opened, what a crash leaves of it, and which
-//! troubles can be played there. [`check`] says which clauses were played and held, or which one is broken.
+//! A store is tested on a [`StoreMedium`], which defines how the store is opened, what a crash leaves of it
+//! and which faults can be injected. [`check`] returns the clauses that were tested and hold, or the one that
+//! is violated.
 
 mod clauses;
 pub mod media;
@@ -13,44 +14,47 @@
 
 pub use clauses::check;
 
-/// What a store must hold.
+/// One requirement on a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Clause {
-    /// What was synced, or handed out at an opening, is there after a crash at any moment; nothing altered or invented is.
+    /// Records that were synced, or returned when the store was opened, survive a crash at any moment; none
+    /// is altered or invented.
     SyncedOutlivesCrash,
-    /// Records come back in their order and without a gap.
+    /// Records are returned in order and without a gap.
     OrderWithoutGap,
-    /// Numbers go on by one over restarts and snapshots.
+    /// Sequence numbers continue without a gap over restarts and snapshots.
     NumbersGoOn,
-    /// A torn tail is found, cut and said, once.
+    /// A torn tail is detected, truncated and reported, once.
     TornTailCutAndSaid,
-    /// A full disk refuses, keeps what was promised, leaves nothing of what was refused, and takes more when it has space.
+    /// A full disk refuses appends, keeps what was durable, leaves nothing of what was refused, and accepts
+    /// appends again when it has space.
     FullRefusesAndGoesOn,
-    /// What is too large is refused whole.
+    /// An oversized record or snapshot is refused as a whole.
     OversizedRefusedWhole,
-    /// An empty record is a record.
+    /// An empty record counts as a record.
     EmptyIsARecord,
-    /// A missing directory is said to be missing.
+    /// A missing directory is reported as missing.
     MissingIsSaid,
-    /// A directory that can only be read is said to be that.
+    /// A read-only directory is reported as read-only.
     ReadOnlyIsSaid,
-    /// Two can't have one store open; the next can when the first is gone.
+    /// A store can't be opened twice at the same time; it can be opened again when the first handle is gone.
     OneOpens,
-    /// A flipped bit never changes what is given out. It stops the opening, or takes away what the last sync promised, at
-    /// most, and that is said: nothing there tells it from a tear.
+    /// A flipped bit never changes a returned record. It makes opening fail, or at most removes what the last
+    /// sync made durable, in which case a torn tail is reported: nothing in the file distinguishes such a
+    /// flip from a torn write.
     FlippedBitFound,
-    /// A snapshot takes the place of what it covers, or nothing changes, whenever the crash comes.
+    /// A snapshot replaces what it covers or changes nothing, whenever a crash occurs.
     SnapshotWholeOrNothing,
-    /// After a sync that failed nothing is promised until the store is opened again.
+    /// After a failed sync nothing is durable until the store is reopened.
     DoubtUntilOpened,
 }
 
-/// A clause that does not hold.
+/// A violated clause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The clause.
     pub clause: Clause,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -62,78 +66,78 @@
 
 impl std::error::Error for Violation {}
 
-/// A trouble that a place may be able to play.
+/// A fault that a medium may be able to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MediumFault {
-    /// Space for so many bytes more.
+    /// The disk has space for only this many more bytes.
     Full {
-        /// In bytes.
+        /// Free space in bytes.
         free_bytes: usize,
     },
-    /// The directory is gone.
+    /// The directory does not exist.
     Missing,
-    /// It can only be read.
+    /// The directory is read-only.
     ReadOnly,
-    /// Syncs fail; nothing else is asked for meanwhile.
+    /// Syncs fail; the suite calls nothing else while this fault is active.
     SyncFails,
 }
 
-/// What a crash image.
+/// The state that a crash leaves behind.
 pub struct CrashImage<M> {
-    /// It, nobody having it open.
+    /// The medium after the crash, not opened by anybody.
     pub medium: M,
-    /// The last mark that was set before.
+    /// The last mark that was set before the crash.
     pub last_mark: usize,
-    /// Where it happened, for people.
+    /// Where the crash happened, for error messages.
     pub description: String,
-    /// It ends within a record, so that something must be cut.
+    /// Whether the data ends within a record, so that a tail must be truncated.
     pub torn: bool,
 }
 
-/// What is done with each thing a crash may leave.
+/// Callback for each possible state after a crash.
 pub type CrashVisitor<'a, M> = dyn FnMut(CrashImage<M>) -> Result<(), Violation> + 'a;
 
-/// Where a store lies.
+/// The medium on which a store keeps its data.
 pub trait StoreMedium: Sized {
-    /// The store.
+    /// The store under test.
     type Store: Store;
 
-    /// A new place with nothing there.
+    /// Creates a new, empty medium.
     fn new_empty() -> Self;
 
     /// Opens the store.
     ///
     /// # Errors
-    /// The store's.
+    /// The error of the store.
     fn open(&self) -> Result<(Self::Store, Recovered), StoreError>;
 
-    /// Notes that something was promised.
+    /// Records that everything so far is expected to be durable.
     fn mark(&self, label: usize);
 
-    /// Goes through what a crash may leave, at each moment that this place knows of.
+    /// Visits what a crash may leave, at each moment that this medium knows.
     ///
     /// # Errors
-    /// The first of the visitor's.
+    /// The first error that the visitor returns.
     fn visit_crashes(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation>;
 
-    /// Goes through what a crash in the middle of what was written since the last mark may leave.
+    /// Visits what a crash in the middle of the writes since the last mark may leave.
     ///
     /// # Errors
-    /// The first of the visitor's.
+    /// The first error that the visitor returns.
     fn visit_torn_writes(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation>;
 
-    /// Goes through this place with one bit flipped, by where.
+    /// Visits copies of this medium that each have one bit flipped.
     ///
     /// # Errors
-    /// The first of the visitor's.
+    /// The first error that the visitor returns.
     fn visit_bit_flips(&self, visit: &mut CrashVisitor<'_, Self>) -> Result<(), Violation>;
 
-    /// What a kill of the process at this moment leaves.
+    /// A copy of what a kill of the process at this moment leaves.
     fn after_process_kill(&self) -> Self;
 
-    /// Plays a trouble from now on; false where it can't be played here.
+    /// Injects a fault from now on; returns false where this medium can't inject it.
     fn inject_fault(&self, fault: MediumFault) -> bool;
 
-    /// Ends all trouble.
+    /// Clears all faults.
     fn clear_faults(&self);
 }
--- a/crates/contracts/src/store/clauses.rs
+++ b/crates/contracts/src/store/clauses.rs
@@ -1,56 +1,56 @@
-//! The clauses, one by one.
+//! The checks of the individual clauses.
 
 use magpietally_store::{Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
 use super::script::{check_records, run_script, violation, OrViolation, Step};
 use super::{Clause, MediumFault, StoreMedium, Violation};
 
-/// Plays a clause; whether its trouble could be played.
+/// Checks one clause; returns whether the medium could inject the fault that it needs.
 type ClauseCheck = fn() -> Result<bool, Violation>;
 
-/// A place, the store on it, and what was appended.
+/// A medium, the store on it, and the appended records.
 type FilledMedium<M> = (M, <M as StoreMedium>::Store, Vec<Vec<u8>>);
 
-/// Holds a store to every clause that its place can play, and says which those are.
+/// Checks a store against every clause that its medium can test, and returns those clauses.
 ///
 /// # Errors
-/// The first clause that is broken.
+/// The first violated clause.
 pub fn check<M: StoreMedium>() -> Result<Vec<Clause>, Violation> {
-    let mut held = Vec::new();
-    // The quick ones first.
+    let mut passed = Vec::new();
+    // The fast ones come first.
     let clauses: [(Clause, ClauseCheck); 13] = [
-        (Clause::OversizedRefusedWhole, oversized::<M>),
-        (Clause::EmptyIsARecord, empty::<M>),
-        (Clause::OrderWithoutGap, order::<M>),
-        (Clause::NumbersGoOn, numbers::<M>),
-        (Clause::OneOpens, one_opens::<M>),
-        (Clause::MissingIsSaid, missing::<M>),
-        (Clause::ReadOnlyIsSaid, read_only::<M>),
-        (Clause::TornTailCutAndSaid, torn::<M>),
-        (Clause::SyncedOutlivesCrash, crash::<M>),
+        (Clause::OversizedRefusedWhole, oversized_record::<M>),
+        (Clause::EmptyIsARecord, empty_record::<M>),
+        (Clause::OrderWithoutGap, record_order::<M>),
+        (Clause::NumbersGoOn, sequence_numbers::<M>),
+        (Clause::OneOpens, exclusive_open::<M>),
+        (Clause::MissingIsSaid, missing_directory::<M>),
+        (Clause::ReadOnlyIsSaid, read_only_directory::<M>),
+        (Clause::TornTailCutAndSaid, torn_tail::<M>),
+        (Clause::SyncedOutlivesCrash, crash_recovery::<M>),
         (Clause::SnapshotWholeOrNothing, snapshot::<M>),
-        (Clause::FullRefusesAndGoesOn, full::<M>),
-        (Clause::DoubtUntilOpened, doubt::<M>),
-        (Clause::FlippedBitFound, flipped::<M>),
+        (Clause::FullRefusesAndGoesOn, full_disk::<M>),
+        (Clause::DoubtUntilOpened, failed_sync::<M>),
+        (Clause::FlippedBitFound, bit_flips::<M>),
     ];
-    for (clause, played) in clauses {
-        if played()? {
-            held.push(clause);
+    for (clause, check) in clauses {
+        if check()? {
+            passed.push(clause);
         }
     }
-    Ok(held)
+    Ok(passed)
 }
 
-/// Records of different sizes, each with bytes of its own.
+/// Records of different sizes and contents.
 fn record(n: usize) -> Vec<u8> {
     (0..n * 13 % 90).map(|k| (n * 31 + k * 7) as u8).collect()
 }
 
 fn filled_medium<M: StoreMedium>(clause: Clause, records: usize) -> Result<FilledMedium<M>, Violation> {
     let medium = M::new_empty();
-    let (mut store, got) = medium.open().or_violation(clause, "opening a new store")?;
-    if got != Recovered::default() {
-        return violation(clause, format!("a new store gave {got:?}"));
+    let (mut store, recovered) = medium.open().or_violation(clause, "opening a new store")?;
+    if recovered != Recovered::default() {
+        return violation(clause, format!("a new store returned {recovered:?}"));
     }
     let all: Vec<_> = (1..=records).map(record).collect();
     for record in &all {
@@ -61,15 +61,15 @@
 }
 
 fn reopen<M: StoreMedium>(clause: Clause, medium: &M, all: &[Vec<u8>]) -> Result<M::Store, Violation> {
-    let (store, got) = medium.open().or_violation(clause, "opening it again")?;
-    let last = check_records(clause, &got, all)?;
+    let (store, recovered) = medium.open().or_violation(clause, "opening it again")?;
+    let last = check_records(clause, &recovered, all)?;
     if last != all.len() as u64 {
-        return violation(clause, format!("{last} records, promised were {}", all.len()));
+        return violation(clause, format!("{last} records, {} were durable", all.len()));
     }
     Ok(store)
 }
 
-fn oversized<M: StoreMedium>() -> Result<bool, Violation> {
+fn oversized_record<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::OversizedRefusedWhole;
     let (medium, mut store, mut all) = filled_medium::<M>(clause, 2)?;
     let large = vec![7; RECORD_MAX_BYTES + 1];
@@ -89,7 +89,7 @@
     Ok(true)
 }
 
-fn empty<M: StoreMedium>() -> Result<bool, Violation> {
+fn empty_record<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::EmptyIsARecord;
     let (medium, mut store, mut all) = filled_medium::<M>(clause, 1)?;
     for n in 2..=4 {
@@ -105,7 +105,7 @@
     Ok(true)
 }
 
-fn order<M: StoreMedium>() -> Result<bool, Violation> {
+fn record_order<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::OrderWithoutGap;
     let (medium, store, all) = filled_medium::<M>(clause, 40)?;
     drop(store);
@@ -115,7 +115,7 @@
     Ok(true)
 }
 
-fn numbers<M: StoreMedium>() -> Result<bool, Violation> {
+fn sequence_numbers<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::NumbersGoOn;
     let (medium, mut store, all) = filled_medium::<M>(clause, 5)?;
     let next = |store: &mut M::Store, wanted: u64| {
@@ -123,7 +123,7 @@
         let seq = store.append(b"n").or_violation(clause, "append")?;
         store.sync().or_violation(clause, "sync")?;
         if (before, seq, store.last()) != (Seq(wanted - 1), Seq(wanted), Seq(wanted)) {
-            return violation(clause, format!("{seq:?} behind {before:?}, wanted was {wanted}"));
+            return violation(clause, format!("{seq:?} after {before:?}, expected {wanted}"));
         }
         Ok(())
     };
@@ -140,20 +140,20 @@
     Ok(true)
 }
 
-fn one_opens<M: StoreMedium>() -> Result<bool, Violation> {
+fn exclusive_open<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::OneOpens;
     let (medium, store, all) = filled_medium::<M>(clause, 3)?;
     match medium.open() {
         Err(StoreError::Locked(_)) => {}
-        Err(other) => return violation(clause, format!("a second opening: {other}")),
-        Ok(_) => return violation(clause, "two have it open"),
+        Err(other) => return violation(clause, format!("opening the store twice: {other}")),
+        Ok(_) => return violation(clause, "the store was opened twice"),
     }
     drop(store);
     reopen(clause, &medium, &all)?;
     Ok(true)
 }
 
-fn missing<M: StoreMedium>() -> Result<bool, Violation> {
+fn missing_directory<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::MissingIsSaid;
     let medium = M::new_empty();
     if !medium.inject_fault(MediumFault::Missing) {
@@ -161,12 +161,12 @@
     }
     match medium.open() {
         Err(StoreError::MissingDirectory(_)) => Ok(true),
-        Err(other) => violation(clause, format!("said was: {other}")),
-        Ok(_) => violation(clause, "it opened"),
+        Err(other) => violation(clause, format!("reported: {other}")),
+        Ok(_) => violation(clause, "the store opened"),
     }
 }
 
-fn read_only<M: StoreMedium>() -> Result<bool, Violation> {
+fn read_only_directory<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::ReadOnlyIsSaid;
     let (medium, store, all) = filled_medium::<M>(clause, 2)?;
     drop(store);
@@ -175,15 +175,15 @@
     }
     match medium.open() {
         Err(StoreError::ReadOnly) => {}
-        Err(other) => return violation(clause, format!("said was: {other}")),
-        Ok(_) => return violation(clause, "it opened"),
+        Err(other) => return violation(clause, format!("reported: {other}")),
+        Ok(_) => return violation(clause, "the store opened"),
     }
     medium.clear_faults();
     reopen(clause, &medium, &all)?;
     Ok(true)
 }
 
-fn torn<M: StoreMedium>() -> Result<bool, Violation> {
+fn torn_tail<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::TornTailCutAndSaid;
     let (medium, mut store, mut all) = filled_medium::<M>(clause, 3)?;
     medium.mark(1);
@@ -193,31 +193,35 @@
     medium.visit_torn_writes(&mut |image| {
         torn += usize::from(image.torn);
         let at = &image.description;
-        let (store, got) = image.medium.open().or_violation(clause, at)?;
-        let last = check_records(clause, &got, &all)?;
+        let (store, recovered) = image.medium.open().or_violation(clause, at)?;
+        let last = check_records(clause, &recovered, &all)?;
         if last < 3 || (image.torn && last > 3) {
-            return violation(clause, format!("{at}: {last} records, three were promised"));
+            return violation(clause, format!("{at}: {last} records, three were durable"));
         }
-        if image.torn != got.torn_tail.is_some() {
-            return violation(clause, format!("{at}: torn is {}, said was {:?}", image.torn, got.torn_tail));
+        if image.torn != recovered.torn_tail.is_some() {
+            return violation(
+                clause,
+                format!("{at}: torn is {}, reported: {:?}", image.torn, recovered.torn_tail),
+            );
         }
         drop(store);
         let (_, again) = image.medium.open().or_violation(clause, at)?;
-        if again.torn_tail.is_some() || again.records != got.records {
-            return violation(clause, format!("{at}: opened again it gave {again:?}"));
+        if again.torn_tail.is_some() || again.records != recovered.records {
+            return violation(clause, format!("{at}: returned {again:?} when opened again"));
         }
         Ok(())
     })?;
     if torn == 0 {
-        return violation(clause, "the medium tore nothing");
+        return violation(clause, "the medium produced no torn write");
     }
     Ok(true)
 }
 
-/// Space for this many bytes more is tried, each number: more than a record with its head needs, and a segment's.
+/// Every number of free bytes below this one is tried: more than a record with its header and a segment
+/// header need.
 const FREE_BYTES_END: usize = 260;
 
-fn full<M: StoreMedium>() -> Result<bool, Violation> {
+fn full_disk<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::FullRefusesAndGoesOn;
     for free_bytes in 0..FREE_BYTES_END {
         let (medium, mut store, mut all) = filled_medium::<M>(clause, 3)?;
@@ -226,30 +230,34 @@
         }
         let wanted = vec![0x3C; 100];
         let mut refused = 0;
-        // Small steps at the end, so that each number of bytes is left at some time; and once more when it was refused.
+        // The appends are repeated until two were refused, so that refusing an append once more is covered
+        // too. Over all values of `free_bytes`, each number of remaining bytes occurs.
         while refused < 2 {
             match store.append(&wanted) {
                 Ok(_) => all.push(wanted.clone()),
                 Err(StoreError::Full) => refused += 1,
-                Err(other) => return violation(clause, format!("room for {free_bytes}: {other}")),
+                Err(other) => return violation(clause, format!("{free_bytes} bytes free: {other}")),
             }
             if all.len() > 3 + FREE_BYTES_END / wanted.len() {
-                return violation(clause, format!("room for {free_bytes}: it took {} records", all.len()));
+                return violation(
+                    clause,
+                    format!("{free_bytes} bytes free: it accepted {} records", all.len()),
+                );
             }
         }
         match store.snapshot(Seq(2), &[1; 4 * FREE_BYTES_END]) {
             Err(StoreError::Full) => {}
-            other => return violation(clause, format!("room for {free_bytes}: a snapshot: {other:?}")),
+            other => return violation(clause, format!("{free_bytes} bytes free: a snapshot: {other:?}")),
         }
-        store.sync().or_violation(clause, "a sync of what was taken")?;
-        // What a crash now leaves has all that was promised and nothing of what was refused.
+        store.sync().or_violation(clause, "syncing the accepted records")?;
+        // A crash now must leave everything that was durable and nothing of what was refused.
         drop(reopen(clause, &medium.after_process_kill(), &all)?);
         medium.clear_faults();
         all.push(b"there is space".to_vec());
         let seq =
-            store.append(&all[all.len() - 1]).or_violation(clause, "append when there is space again")?;
+            store.append(&all[all.len() - 1]).or_violation(clause, "appending when there is space again")?;
         if seq != Seq(all.len() as u64) {
-            return violation(clause, format!("room for {free_bytes}: {seq:?} for record {}", all.len()));
+            return violation(clause, format!("{free_bytes} bytes free: {seq:?} for record {}", all.len()));
         }
         store.sync().or_violation(clause, "sync")?;
         drop(reopen(clause, &medium.after_process_kill(), &all)?);
@@ -259,7 +267,7 @@
     Ok(true)
 }
 
-fn doubt<M: StoreMedium>() -> Result<bool, Violation> {
+fn failed_sync<M: StoreMedium>() -> Result<bool, Violation> {
     let clause = Clause::DoubtUntilOpened;
     let (medium, mut store, mut all) = filled_medium::<M>(clause, 3)?;
     all.push(record(4));
@@ -267,21 +275,21 @@
     if !medium.inject_fault(MediumFault::SyncFails) {
         return Ok(false);
     }
-    let expect_reopen_required = |what: &str, got: Result<(), StoreError>| match got {
+    let expect_reopen_required = |operation: &str, result: Result<(), StoreError>| match result {
         Err(StoreError::ReopenRequired(_)) => Ok(()),
-        other => violation(clause, format!("{what}: {other:?}")),
+        other => violation(clause, format!("{operation}: {other:?}")),
     };
-    expect_reopen_required("the sync that fails", store.sync())?;
+    expect_reopen_required("the failing sync", store.sync())?;
     medium.clear_faults();
     expect_reopen_required("a sync after it", store.sync())?;
     expect_reopen_required("an append after it", store.append(b"x").map(drop))?;
     expect_reopen_required("a snapshot after it", store.snapshot(Seq(3), b"x"))?;
     drop(store);
-    // What it gives out now is promised, whatever the failed sync image.
-    let (store, got) = medium.open().or_violation(clause, "opening it again")?;
-    let last = check_records(clause, &got, &all)?;
+    // What the reopened store returns is durable now, whatever the failed sync left.
+    let (store, recovered) = medium.open().or_violation(clause, "opening it again")?;
+    let last = check_records(clause, &recovered, &all)?;
     if last < 3 {
-        return violation(clause, format!("{last} records, three were promised"));
+        return violation(clause, format!("{last} records, three were durable"));
     }
     medium.mark(1);
     drop(store);
@@ -292,7 +300,7 @@
         if kept < wanted {
             return violation(
                 clause,
-                format!("{}: {kept} records, given out were {last}", image.description),
+                format!("{}: {kept} records, {last} were returned before", image.description),
             );
         }
         Ok(())
@@ -300,20 +308,21 @@
     Ok(true)
 }
 
-fn flipped<M: StoreMedium>() -> Result<bool, Violation> {
+fn bit_flips<M: StoreMedium>() -> Result<bool, Violation> {
     for (again, covered) in [(false, false), (true, false), (false, true)] {
-        flipped_once::<M>(again, covered)?;
+        check_bit_flips::<M>(again, covered)?;
     }
     Ok(true)
 }
 
-/// With the store as it was left, or opened `again` since, or all of it `covered` by a snapshot.
-fn flipped_once<M: StoreMedium>(again: bool, covered: bool) -> Result<(), Violation> {
+/// Checks the store as it was closed, or after it was opened `again`, or with all of it `covered` by a
+/// snapshot.
+fn check_bit_flips<M: StoreMedium>(again: bool, covered: bool) -> Result<(), Violation> {
     let clause = Clause::FlippedBitFound;
     let (medium, mut store, mut all) = filled_medium::<M>(clause, 4)?;
     store.snapshot(Seq(3), b"the state of three").or_violation(clause, "snapshot")?;
     for n in 5..=7 {
-        // Short, so that they lie in one file, the later ones behind the earlier.
+        // Short records, so that all are in one file and later records follow the flipped ones.
         all.push(vec![n as u8; 10]);
         store.append(&all[n - 1]).or_violation(clause, "append")?;
         store.sync().or_violation(clause, "sync")?;
@@ -325,38 +334,38 @@
     if again {
         reopen(clause, &medium, &all)?;
     }
-    let (_, whole) = medium.after_process_kill().open().or_violation(clause, "opening it unharmed")?;
+    let (_, undamaged) = medium.after_process_kill().open().or_violation(clause, "opening it undamaged")?;
     let mut flips = 0;
     medium.visit_bit_flips(&mut |image| {
         flips += 1;
         let at = &image.description;
-        let got = match image.medium.open() {
+        let recovered = match image.medium.open() {
             Err(StoreError::Corrupted { .. }) => return Ok(()),
             Err(other) => return violation(clause, format!("{at}: {other}")),
-            Ok((_, got)) => got,
+            Ok((_, recovered)) => recovered,
         };
-        let last = check_records(clause, &got, &all)
+        let last = check_records(clause, &recovered, &all)
             .map_err(|b| Violation { detail: format!("{at}: {}", b.detail), ..b })?;
-        if got.snapshot.is_some() && got.snapshot != whole.snapshot {
+        if recovered.snapshot.is_some() && recovered.snapshot != undamaged.snapshot {
             return violation(clause, format!("{at}: an altered snapshot"));
         }
-        // Nothing can tell the flip of the very last from a tear, but it must be said.
-        let expected_min = all.len() as u64 - u64::from(got.torn_tail.is_some());
+        // A flip in the very last record can't be distinguished from a torn write, but it must be reported.
+        let expected_min = all.len() as u64 - u64::from(recovered.torn_tail.is_some());
         if last < expected_min {
             return violation(
                 clause,
-                format!("{at}: {last} of {} records, said was {:?}", all.len(), got.torn_tail),
+                format!("{at}: {last} of {} records, reported: {:?}", all.len(), recovered.torn_tail),
             );
         }
         Ok(())
     })?;
     if flips == 0 {
-        return violation(clause, "the medium flipped nothing");
+        return violation(clause, "the medium flipped no bit");
     }
     Ok(())
 }
 
-fn crash<M: StoreMedium>() -> Result<bool, Violation> {
+fn crash_recovery<M: StoreMedium>() -> Result<bool, Violation> {
     let mut steps = Vec::new();
     for n in 1..=12 {
         steps.push(Step::Append(record(n)));
--- a/crates/contracts/src/store/media.rs
+++ b/crates/contracts/src/store/media.rs
@@ -1,4 +1,4 @@
-//! The places of this repository's stores: a simulated disk, a directory, and memory.
+//! The media of this repository's stores: a simulated disk, a directory, and memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,19 +11,20 @@
 
 use super::{CrashImage, CrashVisitor, MediumFault, StoreMedium, Violation};
 
-/// Small, so that a course of a few records goes through several.
+/// Small, so that a script of a few records uses several segments.
 const SEGMENT_BYTES: usize = 200;
 const OWNER: &str = "node-1";
 
-/// A [`Log`] on a simulated disk. It crashes behind each operation, within each write at each byte, and loses of what was
-/// not synced all, some pages, or all but some bytes.
+/// A [`Log`] on a simulated disk. It crashes after each operation and at each byte of each write, and loses
+/// all unsynced data, some of its pages, or all but its first bytes.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk(pub SimDisk);
 
-/// Goes through every crash of a course; see [`Sim`]. Also for stores of one's own on a simulated disk.
+/// Visits every crash of a recorded sequence of operations; see [`SimulatedDisk`]. Also for other stores on a
+/// simulated disk.
 ///
 /// # Errors
-/// The first of the visitor's.
+/// The first error that the visitor returns.
 pub fn visit_sim_crashes<M>(
     ops: &[Op],
     wrap: impl Fn(SimDisk) -> M,
@@ -37,7 +38,7 @@
         }
         let mut visit_image = |files, loss: String| {
             let description =
-                format!("behind operation {n}, {}, {loss}", last.map_or("none".into(), describe));
+                format!("after operation {n}, {}, {loss}", last.map_or("none".into(), describe));
             visit(CrashImage {
                 medium: wrap(SimDisk::with_files(files)),
                 last_mark,
@@ -46,30 +47,30 @@
             })
         };
         visit_image(files_after_crash(done, None, Loss::Process), "the process died".into())?;
-        visit_image(files_after_crash(done, None, Loss::All), "all was lost that was not synced".into())?;
+        visit_image(files_after_crash(done, None, Loss::All), "all unsynced data was lost".into())?;
         for kept in [1, 7, 24, 60] {
             visit_image(
                 files_after_crash(done, None, Loss::Prefix(kept)),
-                format!("{kept} bytes were there"),
+                format!("{kept} unsynced bytes survived"),
             )?;
         }
         for third in 0..3 {
             let mut survives = |name: &str, page: usize| (name.len() + page) % 3 == third;
             visit_image(
                 files_after_crash(done, None, Loss::Pages(&mut survives)),
-                format!("a third of the pages was there, {third}"),
+                format!("one third of the pages survived ({third})"),
             )?;
             let mut survives = |_: &str, page: usize| page % 3 != third;
             visit_image(
                 files_after_crash(done, None, Loss::Pages(&mut survives)),
-                format!("a third of the pages was gone, {third}"),
+                format!("one third of the pages was lost ({third})"),
             )?;
         }
         if let Some(Op::Write(_, bytes)) = last {
             for torn in 0..bytes.len() {
                 visit_image(
                     files_after_crash(done, Some(torn), Loss::Process),
-                    format!("{torn} bytes of it were done"),
+                    format!("{torn} bytes of it were written"),
                 )?;
             }
         }
@@ -84,10 +85,10 @@
     }
 }
 
-/// Goes through the tears of what was written last.
+/// Visits the torn states of the last write.
 ///
 /// # Errors
-/// The first of the visitor's.
+/// The first error that the visitor returns.
 pub fn visit_sim_torn_writes<M>(
     ops: &[Op],
     wrap: impl Fn(SimDisk) -> M,
@@ -103,10 +104,10 @@
     Ok(())
 }
 
-/// Goes through each bit of all files.
+/// Visits the disk with each bit of all files flipped, one at a time.
 ///
 /// # Errors
-/// The first of the visitor's.
+/// The first error that the visitor returns.
 pub fn visit_sim_bit_flips<M>(
     disk: &SimDisk,
     wrap: impl Fn(SimDisk) -> M,
@@ -131,7 +132,7 @@
     Ok(())
 }
 
-/// Plays a trouble on a simulated disk, which can play all.
+/// Injects a fault into a simulated disk, which supports all of them.
 pub fn inject_sim_fault(disk: &SimDisk, fault: MediumFault) {
     let from_now = disk.calls()..usize::MAX;
     match fault {
@@ -183,11 +184,11 @@
     }
 }
 
-/// What each file holds.
+/// File contents by name.
 type Files = BTreeMap<String, Vec<u8>>;
 
-/// A [`Log`] in a directory of the system's. A crash is a copy of the files at a mark: a kill of the process, not a loss of
-/// power. A full disk and a failing sync can't be played here.
+/// A [`Log`] in a directory of the file system. A crash is a copy of the files at a mark: a kill of the
+/// process, not a power loss. A full disk and a failing sync can't be injected here.
 #[derive(Debug)]
 pub struct Directory {
     directory: TempDir,
@@ -195,12 +196,12 @@
     marks: RefCell<Vec<(usize, Files)>>,
 }
 
-/// The share of bits that are flipped in a directory, one in so many: each costs an opening with its syncs, and the
-/// simulated disk has all of them. A prime, so that every place of a byte comes.
+/// One in this many bits is flipped in a directory: each flip costs an opening with its syncs, and the
+/// simulated disk covers all bits. A prime, so that every bit position within a byte occurs.
 const BIT_FLIP_STRIDE: usize = 61;
 
 impl Directory {
-    /// A place with these files. Tests end where the system has no temporary directory.
+    /// Creates a directory with these files. Panics where the system has no temporary directory.
     fn with_files(files: &Files) -> Self {
         let directory = TempDir::new().expect("a temporary directory");
         for (name, content) in files {
@@ -217,7 +218,7 @@
             .collect()
     }
 
-    /// Where it is.
+    /// The path of the directory.
     pub fn path(&self) -> &Path {
         self.directory.path()
     }
@@ -302,7 +303,7 @@
             MediumFault::Missing => self.missing.set(true),
             MediumFault::ReadOnly => {
                 let read_only = self.set_writable(false);
-                // The superuser writes all the same.
+                // The superuser can write in spite of the permissions.
                 let probe = self.path().join("probe");
                 if !read_only || std::fs::write(&probe, []).is_ok() {
                     let _ = std::fs::remove_file(probe);
@@ -329,7 +330,8 @@
     }
 }
 
-/// A [`Memory`] on its shelf. It crashes at each mark with each number of unsynced records.
+/// A [`Memory`] store with its storage. It crashes at each mark, once for each number of unsynced records
+/// that survive.
 #[derive(Debug, Default)]
 pub struct InMemory {
     storage: MemoryMedium,
@@ -373,7 +375,7 @@
             visit(CrashImage {
                 medium,
                 last_mark: 1,
-                description: format!("{kept} kept"),
+                description: format!("{kept} unsynced records survived"),
                 torn: kept < unsynced,
             })?;
         }
--- a/crates/contracts/src/store/script.rs
+++ b/crates/contracts/src/store/script.rs
@@ -1,22 +1,22 @@
-//! A scripted course of a store, and what may be left of it at each moment.
+//! Scripted store operations, and the checks of what a crash may leave at each moment.
 
 use magpietally_store::{Recovered, Seq, Store};
 
 use super::{Clause, CrashImage, StoreMedium, Violation};
 
-/// One step.
+/// One step of a script.
 pub enum Step {
-    /// A record.
+    /// Appends a record.
     Append(Vec<u8>),
-    /// All before is promised.
+    /// Makes all earlier records durable.
     Sync,
-    /// A snapshot that covers so many records.
+    /// Takes a snapshot that covers this many records.
     Snapshot(u64, Vec<u8>),
-    /// The store is dropped and opened again: all that it gives out is promised.
+    /// Drops the store and opens it again; everything that it returns is durable.
     Reopen,
 }
 
-/// What should be there.
+/// The expected contents.
 #[derive(Clone, Debug, Default)]
 struct Model {
     appended: Vec<Vec<u8>>,
@@ -37,39 +37,39 @@
     }
 }
 
-/// A violation of a clause.
+/// Returns a violation of `clause`.
 pub fn violation<T>(clause: Clause, detail: impl Into<String>) -> Result<T, Violation> {
     Err(Violation { clause, detail: detail.into() })
 }
 
-/// What failed that should not, as a violation.
+/// Turns an unexpected error into a violation.
 pub trait OrViolation<T> {
-    /// Names the clause.
-    fn or_violation(self, clause: Clause, doing: &str) -> Result<T, Violation>;
+    /// Returns the error as a violation of `clause`.
+    fn or_violation(self, clause: Clause, operation: &str) -> Result<T, Violation>;
 }
 
 impl<T, E: std::fmt::Display> OrViolation<T> for Result<T, E> {
-    fn or_violation(self, clause: Clause, doing: &str) -> Result<T, Violation> {
-        self.map_err(|error| Violation { clause, detail: format!("{doing}: {error}") })
+    fn or_violation(self, clause: Clause, operation: &str) -> Result<T, Violation> {
+        self.map_err(|error| Violation { clause, detail: format!("{operation}: {error}") })
     }
 }
 
-/// Holds what was recovered against what was `appended` in all: nothing invented, altered or left out in between. The
-/// number of the last.
-pub fn check_records(clause: Clause, got: &Recovered, appended: &[Vec<u8>]) -> Result<u64, Violation> {
-    let covered = got.snapshot.as_ref().map_or(0, |(covers, _)| covers.0);
-    for (n, (seq, record)) in got.records.iter().enumerate() {
+/// Checks recovered records against all that were `appended`: none is invented, altered or missing in
+/// between. Returns the number of the last record.
+pub fn check_records(clause: Clause, recovered: &Recovered, appended: &[Vec<u8>]) -> Result<u64, Violation> {
+    let covered = recovered.snapshot.as_ref().map_or(0, |(covers, _)| covers.0);
+    for (n, (seq, record)) in recovered.records.iter().enumerate() {
         if seq.0 != covered + 1 + n as u64 {
-            return violation(clause, format!("record {} where {} should be", seq.0, covered + 1 + n as u64));
+            return violation(clause, format!("record {} instead of {}", seq.0, covered + 1 + n as u64));
         }
         if appended.get(seq.0 as usize - 1) != Some(record) {
             return violation(clause, format!("record {} is not the one that was appended", seq.0));
         }
     }
-    Ok(covered + got.records.len() as u64)
+    Ok(covered + recovered.records.len() as u64)
 }
 
-/// Plays the course, and holds what each crash leaves against what was promised by then.
+/// Runs the script, and checks what each crash leaves against what was durable at that moment.
 pub fn run_script<M: StoreMedium>(clause: Clause, steps: &[Step]) -> Result<(), Violation> {
     let medium = M::new_empty();
     let (mut store, _) = medium.open().or_violation(clause, "opening a new store")?;
@@ -83,7 +83,7 @@
                 if seq.0 != model.appended.len() as u64 + 1 || store.last() != seq {
                     return violation(
                         Clause::NumbersGoOn,
-                        format!("{seq:?} behind {} records", model.appended.len()),
+                        format!("{seq:?} after {} records", model.appended.len()),
                     );
                 }
             }
@@ -93,13 +93,13 @@
             }
             Step::Reopen => {
                 drop(store);
-                let (again, got) = medium.open().or_violation(clause, "opening it again")?;
-                if got.snapshot != model.snapshot
-                    || check_records(clause, &got, &model.appended)? != model.appended.len() as u64
+                let (reopened, recovered) = medium.open().or_violation(clause, "opening it again")?;
+                if recovered.snapshot != model.snapshot
+                    || check_records(clause, &recovered, &model.appended)? != model.appended.len() as u64
                 {
-                    return violation(clause, format!("step {n}: opened again it gave {got:?}"));
+                    return violation(clause, format!("step {n}: reopening returned {recovered:?}"));
                 }
-                store = again;
+                store = reopened;
             }
         }
         model.step(step);
@@ -117,31 +117,31 @@
 ) -> Result<(), Violation> {
     let (before, at) = (&models[image.last_mark], &image.description);
     let after = models.get(image.last_mark + 1).unwrap_or(before);
-    let (mut store, got) = image.medium.open().or_violation(clause, at)?;
-    let last = check_records(clause, &got, &after.appended)
+    let (mut store, recovered) = image.medium.open().or_violation(clause, at)?;
+    let last = check_records(clause, &recovered, &after.appended)
         .map_err(|b| Violation { detail: format!("{at}: {}", b.detail), ..b })?;
-    if got.snapshot != before.snapshot && got.snapshot != after.snapshot {
+    if recovered.snapshot != before.snapshot && recovered.snapshot != after.snapshot {
         return violation(
             clause,
-            format!("{at}: snapshot {:?}, promised was {:?}", got.snapshot, before.snapshot),
+            format!("{at}: snapshot {:?}, durable was {:?}", recovered.snapshot, before.snapshot),
         );
     }
     if last < before.synced as u64 {
-        return violation(clause, format!("{at}: {last} records, promised were {}", before.synced));
+        return violation(clause, format!("{at}: {last} records, {} were durable", before.synced));
     }
-    // It goes on from there, and nothing of what was cut comes back.
+    // The store continues from there, and nothing that was truncated comes back.
     let seq = store.append(b"next").or_violation(clause, at)?;
     if seq.0 != last + 1 {
-        return violation(Clause::NumbersGoOn, format!("{at}: {seq:?} behind {last}"));
+        return violation(Clause::NumbersGoOn, format!("{at}: {seq:?} after {last}"));
     }
     store.sync().or_violation(clause, at)?;
     drop(store);
-    let (store, again) = image.medium.open().or_violation(clause, at)?;
-    let mut wanted = got;
-    wanted.records.push((seq, b"next".to_vec()));
-    wanted.torn_tail = None;
-    if again != wanted || store.last() != seq {
-        return violation(clause, format!("{at}: opened once more it gave {again:?} for {wanted:?}"));
+    let (store, reopened) = image.medium.open().or_violation(clause, at)?;
+    let mut expected = recovered;
+    expected.records.push((seq, b"next".to_vec()));
+    expected.torn_tail = None;
+    if reopened != expected || store.last() != seq {
+        return violation(clause, format!("{at}: reopening returned {reopened:?}, expected {expected:?}"));
     }
     Ok(())
 }
--- a/crates/contracts/src/transport.rs
+++ b/crates/contracts/src/transport.rs
@@ -1,7 +1,9 @@
-//! What every transport must hold: [`hold`] plays all clauses on a [`Rig`], which makes and breaks ends of the transport.
+//! Conformance suite for transports: [`check`] runs all clauses on a [`Harness`], which starts and stops the
+//! nodes of a transport and breaks their links.
 //!
-//! Where a clause needs what a rig can't do (a half-open link without a relay), or speaks of what its kind does not
-//! promise (order of datagrams), it is skipped and named as such in [`Held`], so that a test can state which those are.
+//! A clause is skipped where it needs something that a harness can't do (a half-open link without a relay) or
+//! that this kind of transport does not guarantee (the order of datagrams). Skipped clauses are listed in
+//! [`CheckReport`], so that a test can assert which ones they are.
 
 mod clauses;
 mod cluster;
@@ -15,45 +17,47 @@
 /// One clause of the contract.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Clause {
-    /// What arrives is byte for byte what was sent.
+    /// A message is delivered byte for byte as it was sent.
     NothingAltered,
-    /// What arrives was sent, by that sender, to that node.
+    /// A delivered message was sent by that sender to that node.
     NothingInvented,
-    /// A stream brings messages in the order they were sent.
+    /// A stream delivers messages in the order in which they were sent.
     Order,
-    /// A stream brings a message at most once.
+    /// A stream delivers a message at most once.
     AtMostOnce,
-    /// What a stream took and did not bring is told as lost, and nothing is lost without a fault.
+    /// A message that a stream accepted and did not deliver is reported as lost, and nothing is lost without
+    /// a fault.
     LossTold,
-    /// So many messages wait as is promised; the next is refused as `Full`.
+    /// The queue holds as many messages as the capabilities say; the next is refused as `Full`.
     FullTold,
-    /// What is larger than is carried is refused, and nothing of it arrives.
+    /// An oversized message is refused, and no part of it is delivered.
     OversizedRefused,
-    /// The largest message that is promised arrives.
+    /// A message of the maximum size is delivered.
     LargestPasses,
-    /// An empty message arrives.
+    /// An empty message is delivered.
     EmptyPasses,
-    /// A node that nobody named is told as unknown.
+    /// A message to an unconfigured node is refused as `Unknown`.
     UnknownTold,
-    /// Messages go both ways.
+    /// Messages are delivered in both directions.
     BothWays,
-    /// Every node talks with every other.
+    /// Every node exchanges messages with every other.
     ManyPeers,
-    /// A peer's restart is told as a new session before its first message, and messages go on.
+    /// A peer's restart is reported as a new session before its first message, and later messages are
+    /// delivered.
     RestartTold,
-    /// Nothing of an earlier session comes once a later one was met; it is dropped and told.
+    /// Nothing of an earlier session is delivered after a later session was seen; it is dropped and reported.
     NothingOlder,
-    /// Nothing of another fleet comes; it is dropped and told.
+    /// Nothing of another fleet is delivered; it is dropped and reported.
     NothingForeign,
-    /// What can't be read is dropped and told, and does no harm.
+    /// Bytes that can't be parsed are dropped and reported, and have no other effect.
     StrangeDropped,
-    /// A peer that falls silent is noticed, and met again when it speaks.
+    /// A peer that falls silent is detected, and reconnects when it responds again.
     HalfOpenNoticed,
-    /// A peer that does not read fills its own queue and holds up nobody else.
+    /// A peer that does not read fills only its own queue and delays nobody else.
     SlowAlone,
-    /// A connection that breaks is made anew.
+    /// A broken connection is reestablished.
     BreakMended,
-    /// No call panics, waits or answers without end.
+    /// No call panics, blocks or returns events without end.
     Calm,
 }
 
@@ -84,12 +88,12 @@
     }
 }
 
-/// A clause that does not hold.
+/// A violated clause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The clause.
     pub clause: Clause,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -101,56 +105,57 @@
 
 impl std::error::Error for Violation {}
 
-/// What was played and what was not. The rules on messages (altered, invented, order, once, older sessions) are held
-/// in all that is played.
+/// The clauses that were tested and those that were not. The rules for messages (unaltered, not invented, in
+/// order, at most once, no older sessions) are checked in every scenario that runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CheckReport {
-    /// Clauses that were played and hold.
+    /// Clauses that were tested and hold.
     pub passed: Vec<Clause>,
-    /// Clauses that this kind does not promise or this rig can't play.
+    /// Clauses that this kind of transport does not guarantee or this harness can't test.
     pub skipped: Vec<Clause>,
 }
 
-/// The name of a rig's node.
+/// The name of a node of the harness.
 pub fn node_name(node: usize) -> Name {
     Name::new(&format!("n{node}")).expect("letters and digits, short")
 }
 
-/// Makes and breaks ends of one transport. Nodes are numbered from 0, named by [`name_of`], of one fleet, and each that
-/// runs knows where all of them are (those that do not run, too).
+/// Starts and stops nodes of one transport and breaks their links. The nodes are numbered from 0, named by
+/// [`node_name`], and belong to one fleet. Each running node knows the addresses of all nodes, including
+/// those that do not run.
 pub trait Harness {
-    /// How many nodes it can run at a time; at least 3.
+    /// How many nodes can run at the same time; at least 3.
     fn node_count(&self) -> usize;
 
-    /// Starts a node, which does not run, at a session later than any it had; which.
+    /// Starts a stopped node and returns its session, which is later than any that it had before.
     fn start(&mut self, node: usize) -> Session;
 
-    /// Ends a node with no farewell, if it runs.
+    /// Stops a node without a clean shutdown, if it runs.
     fn kill(&mut self, node: usize);
 
-    /// Acts on a running node's end at the present moment.
+    /// Calls `act` with the transport of a running node and the current time.
     fn with_node(&mut self, node: usize, act: &mut dyn FnMut(&mut dyn Transport, Duration));
 
-    /// Lets time pass, real or virtual.
+    /// Lets real or virtual time pass.
     fn advance(&mut self, time: Duration);
 
-    /// The longest that anything may take to be seen: generous, it is only waited for on a fault.
+    /// The longest time that an expected event may take. It is generous, as it elapses only on a fault.
     fn timeout(&self) -> Duration;
 
-    /// After this long, what would come has come.
+    /// The time after which everything under way has been delivered.
     fn settle_time(&self) -> Duration;
 
-    /// Messages that a stream may hold for a peer that does not read, beside those that wait: its window, the peer's
-    /// inbox, and one in hand.
+    /// Messages that a stream may hold for a peer that does not read, in addition to those queued: its
+    /// window, the peer's inbox, and one that has just been read.
     fn in_flight_max(&self) -> usize;
 
-    /// Whether the links between nodes lose or break of themselves.
+    /// Whether the links between nodes lose messages or break on their own.
     fn is_lossy(&self) -> bool {
         false
     }
 
-    /// Says `bytes` to node `to` as a node of that name and session would, of this fleet or of another, from a place
-    /// of its own; false where the rig can't.
+    /// Sends `bytes` to node `to` with this node name and session, in this fleet or another, from a separate
+    /// address; returns false where the harness can't.
     fn send_as(
         &mut self,
         _ghost: &Name,
@@ -162,26 +167,28 @@
         false
     }
 
-    /// Hands node `to` these very bytes, as a stranger might; false where the rig can't.
+    /// Sends exactly these bytes to node `to`, as an unrelated process might; returns false where the harness
+    /// can't.
     fn inject_bytes(&mut self, _to: usize, _bytes: &[u8]) -> bool {
         false
     }
 
-    /// All between two nodes is swallowed without a word, or passes again; false where the rig can't.
+    /// Silently discards everything between two nodes, or stops doing so; returns false where the harness
+    /// can't.
     fn set_blackhole(&mut self, _a: usize, _b: usize, _on: bool) -> bool {
         false
     }
 
-    /// Breaks what connections there are between two nodes; false where the rig can't.
+    /// Resets the connections between two nodes; returns false where the harness can't.
     fn reset_connections(&mut self, _a: usize, _b: usize) -> bool {
         false
     }
 }
 
-/// Plays the whole contract.
+/// Runs the whole contract.
 ///
 /// # Errors
-/// The first clause that does not hold.
+/// The first violated clause.
 pub fn check(harness: &mut impl Harness) -> Result<CheckReport, Violation> {
     clauses::check_clauses(harness)
 }
--- a/crates/contracts/src/transport/clauses.rs
+++ b/crates/contracts/src/transport/clauses.rs
@@ -1,4 +1,4 @@
-//! The clauses, each a small story on new nodes.
+//! The clauses, each a short scenario on newly started nodes.
 
 use magpietally_transport::{Name, SendError, Session};
 use rand::{RngExt, SeedableRng};
@@ -8,7 +8,7 @@
 use super::sent_messages::{violation, TAG_BYTES};
 use super::{node_name, CheckReport, Clause, Harness, Violation};
 
-/// A clause's outcome: whether it was played.
+/// Whether the scenario ran, or the violation that it found.
 type ScenarioResult = Result<bool, Violation>;
 type Scenario<R> = fn(&mut Cluster<'_, R>) -> ScenarioResult;
 
@@ -16,20 +16,20 @@
     let mut cluster = Cluster::new(harness);
     let mut out = CheckReport::default();
     let scenarios: [(Clause, Scenario<R>); 14] = [
-        (Clause::UnknownTold, unknown),
+        (Clause::UnknownTold, unknown_peer),
         (Clause::BothWays, both_ways),
-        (Clause::EmptyPasses, empty),
-        (Clause::LargestPasses, largest),
-        (Clause::OversizedRefused, oversized),
-        (Clause::FullTold, full),
-        (Clause::SlowAlone, slow),
-        (Clause::RestartTold, restart),
-        (Clause::NothingOlder, older),
-        (Clause::NothingForeign, foreign),
-        (Clause::StrangeDropped, strange),
-        (Clause::HalfOpenNoticed, half_open),
-        (Clause::BreakMended, breaks),
-        (Clause::ManyPeers, many),
+        (Clause::EmptyPasses, empty_message),
+        (Clause::LargestPasses, largest_message),
+        (Clause::OversizedRefused, oversized_message),
+        (Clause::FullTold, full_queue),
+        (Clause::SlowAlone, slow_peer),
+        (Clause::RestartTold, peer_restart),
+        (Clause::NothingOlder, older_session),
+        (Clause::NothingForeign, other_fleet),
+        (Clause::StrangeDropped, malformed_bytes),
+        (Clause::HalfOpenNoticed, half_open_peer),
+        (Clause::BreakMended, broken_connection),
+        (Clause::ManyPeers, all_pairs),
     ];
     for (clause, scenario) in scenarios {
         if scenario(&mut cluster)? { &mut out.passed } else { &mut out.skipped }.push(clause);
@@ -42,11 +42,11 @@
     Ok(out)
 }
 
-fn unknown<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn unknown_peer<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0]);
     let nobody = Name::new("nobody").expect("letters");
     let mut result = Ok(());
-    cluster.harness.with_node(0, &mut |end, _| result = end.send(&nobody, b"is there anybody?"));
+    cluster.harness.with_node(0, &mut |transport, _| result = transport.send(&nobody, b"is there anybody?"));
     match result {
         Err(SendError::Unknown(name)) if name == nobody => Ok(true),
         other => violation(Clause::UnknownTold, format!("to nobody: {other:?}")),
@@ -58,7 +58,7 @@
     let max = cluster.capabilities.message_max_bytes.min(600);
     for i in 0..100 {
         for (from, to) in [(0, 1), (1, 0)] {
-            // A full queue is a told drop; on this way the message simply was not sent.
+            // A full queue refuses the message; it then counts as not sent on this flow.
             cluster.try_send(from, to, TAG_BYTES + (i * 37) % (max - TAG_BYTES))?;
         }
         if i % 4 == 3 {
@@ -69,19 +69,19 @@
         cluster.expect_accounted(from, to, false)?;
         cluster.expect_delivery(Clause::BothWays, from, to, 100)?;
     }
-    // Whatever came twice or was made up has its time to come.
+    // Leaves time for duplicated or invented messages to arrive.
     cluster.settle()?;
     Ok(true)
 }
 
-fn empty<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn empty_message<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     cluster.expect_delivery(Clause::EmptyPasses, 0, 1, 0)?;
     cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
     Ok(true)
 }
 
-fn largest<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn largest_message<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     let size = cluster.capabilities.message_max_bytes;
     cluster.expect_delivery(Clause::LargestPasses, 0, 1, size)?;
@@ -89,19 +89,20 @@
     Ok(true)
 }
 
-fn oversized<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn oversized_message<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
     let max = cluster.capabilities.message_max_bytes;
     for size in [max + 1, 2 * max + 1] {
         match cluster.send(0, 1, size) {
             Err(SendError::TooLarge { size: s, max: m }) if s == size && m == max => {}
-            // What was taken comes whole, cut or not at all: all three break the promise, a cut is the worst.
+            // Whether an accepted message then arrives whole, truncated or not at all: each violates the
+            // promise, truncation is the worst.
             Ok(_) => {
                 cluster.settle()?;
                 return violation(
                     Clause::OversizedRefused,
-                    format!("{size} bytes were accepted, {max} are carried"),
+                    format!("{size} bytes were accepted, the maximum is {max}"),
                 );
             }
             Err(e) => return violation(Clause::OversizedRefused, format!("{size} bytes: {e}")),
@@ -112,11 +113,12 @@
     Ok(true)
 }
 
-fn full<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn full_queue<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0]);
     let max = cluster.capabilities.queue_capacity;
     let mut accepted = 0;
-    // On streams the peer is not there: all wait. Datagrams may be gone at once; they may only be refused as full.
+    // On streams the peer does not run, so all messages are queued. Datagrams may leave at once, and may only
+    // be refused as full.
     for _ in 0..2 * max + 1 {
         match cluster.send(0, 1, 40) {
             Ok(_) => accepted += 1,
@@ -128,7 +130,10 @@
         return Ok(true);
     }
     if accepted != max {
-        return violation(Clause::FullTold, format!("{accepted} messages were accepted, {max} may wait"));
+        return violation(
+            Clause::FullTold,
+            format!("{accepted} messages were accepted, the queue capacity is {max}"),
+        );
     }
     cluster.start(1);
     cluster.expect_accounted(0, 1, false)?;
@@ -136,7 +141,7 @@
     Ok(true)
 }
 
-fn slow<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn slow_peer<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     if !cluster.is_stream() {
         return Ok(false);
     }
@@ -145,10 +150,10 @@
     cluster.stalled = Some(1);
     let bound = cluster.capabilities.queue_capacity + cluster.harness.in_flight_max();
     let (mut accepted, mut refused) = (0, 0);
-    // Full for a while on end: whatever could move on has moved on.
+    // The queue has been full for several steps in a row: whatever could be forwarded has been forwarded.
     cluster.wait_until(
         Clause::SlowAlone,
-        "a peer that does not read was never told as full",
+        "the queue of a peer that does not read was never reported as full",
         |cluster, _| {
             let before = accepted;
             while accepted <= bound + cluster.sent.lost_count(0, 1) && cluster.try_send(0, 1, 60)? {
@@ -157,7 +162,7 @@
             if accepted > bound + cluster.sent.lost_count(0, 1) {
                 return violation(
                     Clause::SlowAlone,
-                    format!("{accepted} were taken for a peer that reads none, at most {bound}"),
+                    format!("{accepted} messages accepted for a peer that does not read, maximum {bound}"),
                 );
             }
             refused = if accepted == before { refused + 1 } else { 0 };
@@ -172,12 +177,13 @@
     Ok(true)
 }
 
-fn restart<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn peer_restart<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
     cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
     for _ in 0..3 {
-        // Some are still under way when their sender ends; they may come, but not once its next start was met.
+        // Some messages are still in flight when their sender stops. They may arrive, but not after its next
+        // session was seen.
         for _ in 0..5 {
             cluster.try_send(1, 0, 50)?;
         }
@@ -190,20 +196,21 @@
     Ok(true)
 }
 
-/// A ghost speaks until it is told as dropped; the book breaks the clause where it is heard.
+/// Sends messages under a peer's name until one is reported as dropped. A delivered one is reported as a
+/// violation of `clause`.
 fn reject_impersonator<R: Harness>(
     cluster: &mut Cluster<'_, R>,
     clause: Clause,
     session: Session,
     foreign: bool,
 ) -> ScenarioResult {
-    let message = format!("a ghost for {clause}");
+    let message = format!("impersonated: {clause}");
     cluster.sent.expect_rejected(clause, message.as_bytes());
     let before = cluster.sent.dropped_count(0);
     if !cluster.harness.send_as(&node_name(1), session, foreign, 0, message.as_bytes()) {
         return Ok(false);
     }
-    cluster.wait_until(clause, "what was dropped was not told", |cluster, step| {
+    cluster.wait_until(clause, "the dropped message was not reported", |cluster, step| {
         if step % 50 == 49 {
             cluster.harness.send_as(&node_name(1), session, foreign, 0, message.as_bytes());
         }
@@ -215,7 +222,7 @@
     Ok(true)
 }
 
-fn older<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn older_session<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     let earlier = cluster.session(1);
     cluster.kill(1);
@@ -224,14 +231,14 @@
     reject_impersonator(cluster, Clause::NothingOlder, earlier, false)
 }
 
-fn foreign<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn other_fleet<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
     let later = Session(cluster.session(1).0 + 1_000_000);
     reject_impersonator(cluster, Clause::NothingForeign, later, true)
 }
 
-fn strange<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn malformed_bytes<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     cluster.expect_delivery(Clause::BothWays, 1, 0, 40)?;
     let mut random = Pcg64::seed_from_u64(28);
@@ -240,7 +247,7 @@
         let length = random.random_range(1..400);
         let mut bytes: Vec<u8> = (0..length).map(|_| random.random()).collect();
         if i % 3 == 0 {
-            // A small length in front, as a frame has it, so that what follows is looked at.
+            // Starts with a small length like that of a frame, so that the bytes after it are parsed.
             bytes.splice(0..0, (length as u32 / 2).to_be_bytes());
         }
         if !cluster.harness.inject_bytes(0, &bytes) {
@@ -248,15 +255,17 @@
         }
         cluster.step()?;
     }
-    cluster.wait_until(Clause::StrangeDropped, "strange bytes were not told as dropped", |cluster, _| {
-        Ok(cluster.sent.dropped_count(0) > before)
-    })?;
+    cluster.wait_until(
+        Clause::StrangeDropped,
+        "malformed bytes were not reported as dropped",
+        |cluster, _| Ok(cluster.sent.dropped_count(0) > before),
+    )?;
     cluster.expect_delivery(Clause::StrangeDropped, 1, 0, 40)?;
     cluster.expect_delivery(Clause::StrangeDropped, 0, 1, 40)?;
     Ok(true)
 }
 
-fn half_open<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn half_open_peer<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     cluster.restart_with(&[0, 1]);
     cluster.expect_delivery(Clause::BothWays, 0, 1, 40)?;
     cluster.expect_accounted(0, 1, true)?;
@@ -268,11 +277,9 @@
         cluster.try_send(0, 1, 40)?;
     }
     if cluster.is_stream() {
-        cluster.wait_until(
-            Clause::HalfOpenNoticed,
-            "a peer that fell silent was not told",
-            |cluster, _| Ok(cluster.sent.lost_count(0, 1) > before),
-        )?;
+        cluster.wait_until(Clause::HalfOpenNoticed, "a silent peer was not detected", |cluster, _| {
+            Ok(cluster.sent.lost_count(0, 1) > before)
+        })?;
     } else {
         cluster.settle()?;
     }
@@ -283,7 +290,7 @@
     Ok(true)
 }
 
-fn breaks<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn broken_connection<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     if !cluster.is_stream() {
         return Ok(false);
     }
@@ -309,7 +316,7 @@
     Ok(true)
 }
 
-fn many<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
+fn all_pairs<R: Harness>(cluster: &mut Cluster<'_, R>) -> ScenarioResult {
     let nodes: Vec<usize> = (0..cluster.harness.node_count()).collect();
     cluster.restart_with(&nodes);
     let pairs: Vec<(usize, usize)> =
--- a/crates/contracts/src/transport/cluster.rs
+++ b/crates/contracts/src/transport/cluster.rs
@@ -1,4 +1,5 @@
-//! A rig with its book: nodes by number, sends that are written down, waits that end.
+//! A harness together with the record of sent messages: nodes by number, recorded sends, and waits with a
+//! timeout.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,9 +9,9 @@
 use super::sent_messages::{violation, SentMessages};
 use super::{node_name, Clause, Harness, Violation};
 
-/// How far time passes between two looks.
+/// How far time advances between two polls.
 const STEP: Duration = Duration::from_millis(4);
-/// Events that one node may bring at one moment; more is no end.
+/// Events that one node may return at one moment; more count as an endless sequence.
 const POLL_EVENTS_MAX: usize = 100_000;
 
 pub struct Cluster<'r, R: Harness> {
@@ -25,10 +26,10 @@
 
 impl<'r, R: Harness> Cluster<'r, R> {
     pub fn new(harness: &'r mut R) -> Self {
-        // The promise is asked of an end, so one is started for it.
+        // The capabilities can be read only from a running node.
         let session = harness.start(0);
         let mut capabilities = Capabilities { kind: Kind::Datagram, message_max_bytes: 0, queue_capacity: 0 };
-        harness.with_node(0, &mut |end, _| capabilities = end.capabilities());
+        harness.with_node(0, &mut |transport, _| capabilities = transport.capabilities());
         harness.kill(0);
         let sent = SentMessages::new(capabilities.kind);
         let started = BTreeMap::from([(0, BTreeSet::from([session]))]);
@@ -39,7 +40,7 @@
         self.capabilities.kind == Kind::Stream
     }
 
-    /// These nodes and no other, each at a new session, and a new book.
+    /// Runs exactly these nodes, each in a new session, and clears the record of sent messages.
     pub fn restart_with(&mut self, nodes: &[usize]) {
         for node in 0..self.harness.node_count() {
             self.kill(node);
@@ -73,17 +74,17 @@
         (from, self.session(from), to)
     }
 
-    /// Sends a message of the book's; its number where it was taken.
+    /// Sends a recorded message and returns its number where it was accepted.
     pub fn send(&mut self, from: usize, to: usize, size: usize) -> Result<usize, SendError> {
         let flow = self.flow(from, to);
         let message = self.sent.next_message(flow, size);
         let mut result = Ok(());
-        self.harness.with_node(from, &mut |end, _| result = end.send(&node_name(to), &message));
+        self.harness.with_node(from, &mut |transport, _| result = transport.send(&node_name(to), &message));
         let number = self.sent.record_send(flow, message, result.is_ok());
         result.map(|()| number)
     }
 
-    /// The same where only a full queue may refuse it; false where it did.
+    /// Sends a message that only a full queue may refuse; returns false where it did.
     pub fn try_send(&mut self, from: usize, to: usize, size: usize) -> Result<bool, Violation> {
         match self.send(from, to, size) {
             Ok(_) => Ok(true),
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Polls everybody and lets a step pass.
+    /// Polls all nodes and advances the time by one step.
     pub fn step(&mut self) -> Result<(), Violation> {
         let nodes: Vec<usize> = self.running.keys().copied().filter(|n| Some(*n) != self.stalled).collect();
         for node in nodes {
             let mut events: Vec<Event> = Vec::new();
-            self.harness.with_node(node, &mut |end, now| {
+            self.harness.with_node(node, &mut |transport, now| {
                 while events.len() <= POLL_EVENTS_MAX {
-                    let Some(event) = end.poll(now) else { break };
+                    let Some(event) = transport.poll(now) else { break };
                     events.push(event);
                 }
             });
@@ -124,30 +125,31 @@
         Ok(())
     }
 
-    /// What would still come has come.
+    /// Waits until everything under way has been delivered.
     pub fn settle(&mut self) -> Result<(), Violation> {
         self.advance(self.harness.settle_time())
     }
 
-    /// Waits until it holds; `act` may send in between. The clause is broken where patience ends first.
+    /// Waits until `condition` returns true; it may send messages. Reports a violation of `clause` after the
+    /// timeout.
     pub fn wait_until(
         &mut self,
         clause: Clause,
-        what: &str,
-        mut act: impl FnMut(&mut Self, usize) -> Result<bool, Violation>,
+        detail: &str,
+        mut condition: impl FnMut(&mut Self, usize) -> Result<bool, Violation>,
     ) -> Result<(), Violation> {
         let steps = self.harness.timeout().as_millis() / STEP.as_millis();
         for step in 0..steps {
-            if act(self, step as usize)? {
+            if condition(self, step as usize)? {
                 return Ok(());
             }
             self.step()?;
         }
-        violation(clause, what)
+        violation(clause, detail)
     }
 
-    /// A message of this size arrives: sent once on a stream and again where it is told as lost, a datagram every
-    /// 40 ms until one came.
+    /// Checks that a message of this size is delivered. A stream sends it once and again after each reported
+    /// loss; a datagram is resent every 40 ms until one is delivered.
     pub fn expect_delivery(
         &mut self,
         clause: Clause,
@@ -155,10 +157,10 @@
         to: usize,
         size: usize,
     ) -> Result<(), Violation> {
-        // Their numbers, and how many losses were told when the last of them was sent.
+        // The numbers of the messages, and how many losses had been reported when the last of them was sent.
         let (mut sent, mut lost_before) = (Vec::new(), 0);
-        let what = format!("{size} bytes from n{from} did not come to n{to}");
-        self.wait_until(clause, &what, |cluster, step| {
+        let detail = format!("{size} bytes from n{from} were not delivered to n{to}");
+        self.wait_until(clause, &detail, |cluster, step| {
             let flow = cluster.flow(from, to);
             if sent.iter().any(|number| cluster.sent.is_delivered(flow, *number)) {
                 return Ok(true);
@@ -173,21 +175,22 @@
                         lost_before = lost;
                     }
                     Err(SendError::Full { .. }) => {}
-                    Err(e) => return violation(clause, format!("{what}: {e}")),
+                    Err(e) => return violation(clause, format!("{detail}: {e}")),
                 }
             }
             Ok(false)
         })
     }
 
-    /// All that a stream took from one to the other has come or was told as lost; without faults, has come.
+    /// Checks that each message that a stream accepted was delivered or reported as lost; without faults, all
+    /// must be delivered.
     pub fn expect_accounted(&mut self, from: usize, to: usize, faults: bool) -> Result<(), Violation> {
         if !self.is_stream() {
             return Ok(());
         }
         let flow = self.flow(from, to);
-        let what = format!("not all from n{from} to n{to} came or was told as lost");
-        self.wait_until(Clause::LossTold, &what, |cluster, _| {
+        let detail = format!("not every message from n{from} to n{to} was delivered or reported as lost");
+        self.wait_until(Clause::LossTold, &detail, |cluster, _| {
             Ok(cluster.sent.delivered_count(flow) + cluster.sent.lost_count(from, to)
                 >= cluster.sent.accepted_count(flow))
         })?;
@@ -195,7 +198,9 @@
         if !faults && !self.harness.is_lossy() && delivered < accepted {
             return violation(
                 Clause::LossTold,
-                format!("{delivered} of {accepted} came from n{from} to n{to} with no fault"),
+                format!(
+                    "{delivered} of {accepted} messages from n{from} to n{to} were delivered without a fault"
+                ),
             );
         }
         Ok(())
--- a/crates/contracts/src/transport/sent_messages.rs
+++ b/crates/contracts/src/transport/sent_messages.rs
@@ -1,4 +1,4 @@
-//! What was sent and what came: every event of every node is held against it.
+//! The record of sent and delivered messages, against which every event of every node is checked.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,8 @@
 
 use super::{node_name, Clause, Violation};
 
-/// A mark, the sender, the receiver, the session and the number: what a message of the suite begins with.
+/// Each message of the suite begins with a marker byte, the sender, the receiver, the session and the message
+/// number.
 pub const TAG_BYTES: usize = 1 + 2 + 2 + 8 + 4;
 const TAG_MARKER: u8 = 0xc5;
 
@@ -16,31 +17,31 @@
     Err(Violation { clause, detail: detail.into() })
 }
 
-/// From whom, at which session, to whom.
+/// Sender, its session, and receiver.
 type Flow = (usize, Session, usize);
 
 #[derive(Debug, Default)]
 struct FlowRecord {
-    /// All that were handed to the transport, taken or refused.
+    /// All messages passed to the transport, accepted or refused.
     messages: Vec<Vec<u8>>,
     refused: BTreeSet<usize>,
     delivered: BTreeSet<usize>,
     last_delivered: Option<usize>,
 }
 
-/// See the module.
+/// Record of the sent messages of one scenario, and of the events that its nodes reported.
 #[derive(Debug)]
 pub struct SentMessages {
     kind: Kind,
-    /// The first session of each node in this story. What an earlier one sent may still come to a node that has met no
-    /// later one, and is nothing to this book.
+    /// The first session of each node in this scenario. Messages of an earlier session may still reach a node
+    /// that has not seen a later one, and are ignored.
     first_session: BTreeMap<usize, Session>,
     flows: BTreeMap<Flow, FlowRecord>,
-    /// The session at which a node met another last.
-    last_met: BTreeMap<(usize, usize), Session>,
+    /// The last session of a node that another node has seen, by (observer, observed).
+    last_seen: BTreeMap<(usize, usize), Session>,
     lost: BTreeMap<(usize, usize), u64>,
     dropped: BTreeMap<usize, u64>,
-    /// What a ghost says and which clause it breaks where it is heard.
+    /// A message that must be rejected, and the clause that is violated if it is delivered.
     rejected: Option<(Clause, Vec<u8>)>,
 }
 
@@ -50,14 +51,15 @@
             kind,
             first_session: BTreeMap::new(),
             flows: BTreeMap::new(),
-            last_met: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             lost: BTreeMap::new(),
             dropped: BTreeMap::new(),
             rejected: None,
         }
     }
 
-    /// The next message on a way: its tag and seeded noise, cut to `size` (less than a tag: all zeros).
+    /// The next message of a flow: its tag and seeded noise, `size` bytes in all (only zeros where `size` is
+    /// smaller than a tag).
     pub fn next_message(&self, flow: Flow, size: usize) -> Vec<u8> {
         if size < TAG_BYTES {
             return vec![0; size];
@@ -106,17 +108,17 @@
         self.dropped.get(&node).copied().unwrap_or(0)
     }
 
-    /// A node began.
+    /// Records the start of a node.
     pub fn node_started(&mut self, node: usize, session: Session) {
         self.first_session.entry(node).or_insert(session);
     }
 
-    /// A node was ended: what it knew went with it.
+    /// Records the end of a node, which loses its knowledge of other sessions.
     pub fn node_stopped(&mut self, node: usize) {
-        self.last_met.retain(|(at, _), _| *at != node);
+        self.last_seen.retain(|(at, _), _| *at != node);
     }
 
-    /// Holds an event at `node` against the book. `started` are the sessions that a node ever had.
+    /// Checks an event at `node` against the record. `started` are all sessions that each node has had.
     pub fn check_event(
         &mut self,
         node: usize,
@@ -130,31 +132,36 @@
                 None => {
                     return violation(
                         Clause::NothingInvented,
-                        format!("a loss to {to}, to whom nothing went"),
+                        format!("a loss reported for {to}, to which nothing was sent"),
                     )
                 }
             },
             Event::NewSession(peer) => {
                 let from = self.check_sender(&peer, started, None)?;
-                if let Some(before) = self.last_met.insert((node, from), peer.session) {
+                if let Some(before) = self.last_seen.insert((node, from), peer.session) {
                     if before >= peer.session {
                         let older = before > peer.session;
                         let clause = if older { Clause::NothingOlder } else { Clause::RestartTold };
-                        return violation(clause, format!("n{node} met {peer} after #{}", before.0));
+                        return violation(
+                            clause,
+                            format!("n{node} reported session {peer} after #{}", before.0),
+                        );
                     }
                 }
             }
             Event::Message { from, bytes } => {
                 let sender = self.check_sender(&from, started, Some(&bytes))?;
-                match self.last_met.get(&(node, sender)) {
-                    Some(met) if *met == from.session => {}
-                    Some(met) if *met > from.session => {
-                        let what = format!("n{node} had a message of {from} after it met #{}", met.0);
-                        return violation(Clause::NothingOlder, what);
+                match self.last_seen.get(&(node, sender)) {
+                    Some(seen) if *seen == from.session => {}
+                    Some(seen) if *seen > from.session => {
+                        let detail =
+                            format!("n{node} received a message of {from} after session #{}", seen.0);
+                        return violation(Clause::NothingOlder, detail);
                     }
                     _ => {
-                        let what = format!("n{node} had a message of {from} before that session was told");
-                        return violation(Clause::RestartTold, what);
+                        let detail =
+                            format!("n{node} received a message of {from} before that session was reported");
+                        return violation(Clause::RestartTold, detail);
                     }
                 }
                 if self.first_session.get(&sender).is_none_or(|first| from.session < *first) {
@@ -181,8 +188,11 @@
             }
         }
         match &self.rejected {
-            Some((clause, _)) => violation(*clause, format!("{peer} was heard")),
-            None => violation(Clause::NothingInvented, format!("{peer} was heard, who never ran")),
+            Some((clause, _)) => violation(*clause, format!("a message or session of {peer} was accepted")),
+            None => violation(
+                Clause::NothingInvented,
+                format!("{peer} never ran, but a message or session of it was accepted"),
+            ),
         }
     }
 
@@ -206,7 +216,10 @@
         let original = &sent.messages[number];
         if original != bytes {
             return if bytes.len() < original.len() && original.starts_with(bytes) {
-                violation(Clause::OversizedRefused, format!("{received}: cut from {}", original.len()))
+                violation(
+                    Clause::OversizedRefused,
+                    format!("{received}: truncated from {} bytes", original.len()),
+                )
             } else {
                 violation(Clause::NothingAltered, format!("{received}: number {number} was altered"))
             };
@@ -215,12 +228,12 @@
             return violation(Clause::NothingInvented, format!("{received}: number {number} was refused"));
         }
         if stream && sent.delivered.contains(&number) {
-            return violation(Clause::AtMostOnce, format!("{received}: number {number} came again"));
+            return violation(Clause::AtMostOnce, format!("{received}: number {number} was delivered again"));
         }
         if stream && sent.last_delivered.is_some_and(|last| number < last) {
             return violation(
                 Clause::Order,
-                format!("{received}: number {number} came after {:?}", sent.last_delivered),
+                format!("{received}: number {number} was delivered after {:?}", sent.last_delivered),
             );
         }
         sent.delivered.insert(number);
@@ -228,15 +241,15 @@
         Ok(())
     }
 
-    /// A message too short for a tag: the first like it that has not come.
+    /// Finds a message too short for a tag: the first one with this content that has not been delivered.
     fn find_untagged(&self, flow: Flow, bytes: &[u8]) -> Option<usize> {
         let sent = self.flows.get(&flow).filter(|_| bytes.len() < TAG_BYTES)?;
         let is_same = |n: &usize| sent.messages[*n] == bytes;
-        let again = (0..sent.messages.len()).rfind(is_same);
-        (0..sent.messages.len()).filter(is_same).find(|n| !sent.delivered.contains(n)).or(again)
+        let last_same = (0..sent.messages.len()).rfind(is_same);
+        (0..sent.messages.len()).filter(is_same).find(|n| !sent.delivered.contains(n)).or(last_same)
     }
 
-    /// Not what was sent: a sent one with a few bytes changed, or out of nowhere.
+    /// Reports bytes that match no sent message: a sent one with a few bytes changed, or an invented one.
     fn classify_unsent(&self, flow: Flow, bytes: &[u8], received: &str) -> Result<(), Violation> {
         let is_near = |m: &Vec<u8>| {
             m.len() == bytes.len()
@@ -244,9 +257,9 @@
                 && m.iter().zip(bytes).filter(|(a, b)| a != b).count() <= 4
         };
         if self.flows.get(&flow).is_some_and(|s| s.messages.iter().any(is_near)) {
-            return violation(Clause::NothingAltered, format!("{received}: a few bytes are others"));
+            return violation(Clause::NothingAltered, format!("{received}: a few bytes differ"));
         }
-        violation(Clause::NothingInvented, format!("{received}: nobody sent it"))
+        violation(Clause::NothingInvented, format!("{received}: it was never sent"))
     }
 }
 
--- a/crates/contracts/tests/broken_stores.rs
+++ b/crates/contracts/tests/broken_stores.rs
@@ -1,4 +1,4 @@
-//! Stores that are broken on purpose: the suite names the clause that each of them breaks.
+//! Deliberately broken stores: the suite must report the clause that each of them violates.
 
 use std::io;
 
@@ -11,21 +11,21 @@
 use magpietally_store::{Log, Recovered, Seq, Store, StoreError, RECORD_MAX_BYTES};
 
 const ACKNOWLEDGES_BEFORE_SYNC: usize = 0;
-const IGNORES_A_TORN_TAIL: usize = 1;
-const LEAVES_A_GAP: usize = 2;
-const DROPS_BEFORE_THE_SNAPSHOT: usize = 3;
-const LETS_TWO_OPEN: usize = 4;
-const CUTS_THE_OVERSIZED: usize = 5;
-const FORGETS_NUMBERS: usize = 6;
-const GIVES_OUT_A_FLIPPED_RECORD: usize = 7;
-const TRUSTS_A_SECOND_SYNC: usize = 8;
-const TAKES_WHAT_A_FULL_DISK_REFUSED: usize = 9;
-const MAKES_WHAT_IS_MISSING: usize = 10;
+const HIDES_TORN_TAIL: usize = 1;
+const OMITS_A_RECORD: usize = 2;
+const DELETES_BEFORE_SNAPSHOT: usize = 3;
+const ALLOWS_TWO_OPENS: usize = 4;
+const TRUNCATES_OVERSIZED: usize = 5;
+const RESTARTS_NUMBERING: usize = 6;
+const RETURNS_FLIPPED_RECORD: usize = 7;
+const ACCEPTS_SECOND_SYNC: usize = 8;
+const ACCEPTS_ON_FULL_DISK: usize = 9;
+const OPENS_MISSING_DIRECTORY: usize = 10;
 const SKIPS_EMPTY_RECORDS: usize = 11;
-const HIDES_A_READ_ONLY_DISK: usize = 12;
-const NAMES_NOT_SYNCED: usize = 13;
+const HIDES_READ_ONLY: usize = 12;
+const SKIPS_DIRECTORY_SYNC: usize = 13;
 
-/// A disk with faults of its own under the store.
+/// A disk under the store with injected faults.
 struct FaultyDisk<const FAULT: usize>(SimDisk);
 
 impl<const FAULT: usize> Disk for FaultyDisk<FAULT> {
@@ -34,19 +34,19 @@
 
     fn lock(&mut self) -> Result<Self::Lock, LockError> {
         match self.0.lock() {
-            Err(LockError::Locked(_)) if FAULT == LETS_TWO_OPEN => Ok(None),
-            Err(LockError::Io(..)) if FAULT == MAKES_WHAT_IS_MISSING => Ok(None),
+            Err(LockError::Locked(_)) if FAULT == ALLOWS_TWO_OPENS => Ok(None),
+            Err(LockError::Io(..)) if FAULT == OPENS_MISSING_DIRECTORY => Ok(None),
             other => other.map(Some),
         }
     }
 
     fn create(&mut self, name: &str) -> io::Result<SimFile> {
-        if FAULT == DROPS_BEFORE_THE_SNAPSHOT && name.starts_with("snapshot") {
+        if FAULT == DELETES_BEFORE_SNAPSHOT && name.starts_with("snapshot") {
             for old in self.0.file_names()? {
                 let _ = self.0.remove(&old);
             }
         }
-        let error = |e| if FAULT == HIDES_A_READ_ONLY_DISK { io::Error::other(e) } else { e };
+        let error = |e| if FAULT == HIDES_READ_ONLY { io::Error::other(e) } else { e };
         self.0.create(name).map_err(error)
     }
 
@@ -62,7 +62,7 @@
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        if FAULT == NAMES_NOT_SYNCED {
+        if FAULT == SKIPS_DIRECTORY_SYNC {
             return Ok(());
         }
         self.0.sync_directory()
@@ -83,30 +83,28 @@
 
 struct FaultyStore<const FAULT: usize> {
     log: Log<FaultyDisk<FAULT>>,
-    before: u64,
+    number_offset: u64,
     sync_failed: bool,
 }
 
 impl<const FAULT: usize> Store for FaultyStore<FAULT> {
     fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         let record = match FAULT {
-            CUTS_THE_OVERSIZED => &record[..record.len().min(RECORD_MAX_BYTES)],
+            TRUNCATES_OVERSIZED => &record[..record.len().min(RECORD_MAX_BYTES)],
             SKIPS_EMPTY_RECORDS if record.is_empty() => return Ok(Seq(self.log.last().0 + 1)),
             _ => record,
         };
         match self.log.append(record) {
-            Ok(seq) if FAULT == FORGETS_NUMBERS => Ok(Seq(seq.0 - self.before)),
-            Err(StoreError::Full) if FAULT == TAKES_WHAT_A_FULL_DISK_REFUSED => {
-                Ok(Seq(self.log.last().0 + 1))
-            }
+            Ok(seq) if FAULT == RESTARTS_NUMBERING => Ok(Seq(seq.0 - self.number_offset)),
+            Err(StoreError::Full) if FAULT == ACCEPTS_ON_FULL_DISK => Ok(Seq(self.log.last().0 + 1)),
             other => other,
         }
     }
 
     fn sync(&mut self) -> Result<(), StoreError> {
-        let was = std::mem::replace(&mut self.sync_failed, true);
+        let failed_before = std::mem::replace(&mut self.sync_failed, true);
         match self.log.sync() {
-            Err(StoreError::ReopenRequired(_)) if FAULT == TRUSTS_A_SECOND_SYNC && was => Ok(()),
+            Err(StoreError::ReopenRequired(_)) if FAULT == ACCEPTS_SECOND_SYNC && failed_before => Ok(()),
             other => {
                 self.sync_failed = other.is_err();
                 other
@@ -119,7 +117,7 @@
     }
 
     fn last(&self) -> Seq {
-        Seq(self.log.last().0 - self.before)
+        Seq(self.log.last().0 - self.number_offset)
     }
 }
 
@@ -134,23 +132,24 @@
     }
 
     fn open(&self) -> Result<(FaultyStore<FAULT>, Recovered), StoreError> {
-        let (log, mut got) = match Log::open_with_segment_bytes(FaultyDisk(self.0.clone()), "node-1", 200) {
-            Err(StoreError::Corrupted { .. }) if FAULT == GIVES_OUT_A_FLIPPED_RECORD => {
-                // As a store without checksums does: what lies there is what it gives out.
-                let (log, mut got) =
-                    Log::open_with_segment_bytes(FaultyDisk(SimDisk::default()), "node-1", 200)?;
-                got.records.push((Seq(1), b"altered".to_vec()));
-                (log, got)
-            }
-            other => other?,
-        };
+        let (log, mut recovered) =
+            match Log::open_with_segment_bytes(FaultyDisk(self.0.clone()), "node-1", 200) {
+                Err(StoreError::Corrupted { .. }) if FAULT == RETURNS_FLIPPED_RECORD => {
+                    // Behaves like a store without checksums, which returns whatever is on the disk.
+                    let (log, mut recovered) =
+                        Log::open_with_segment_bytes(FaultyDisk(SimDisk::default()), "node-1", 200)?;
+                    recovered.records.push((Seq(1), b"altered".to_vec()));
+                    (log, recovered)
+                }
+                other => other?,
+            };
         match FAULT {
-            IGNORES_A_TORN_TAIL => got.torn_tail = None,
-            LEAVES_A_GAP if got.records.len() > 20 => drop(got.records.remove(10)),
+            HIDES_TORN_TAIL => recovered.torn_tail = None,
+            OMITS_A_RECORD if recovered.records.len() > 20 => drop(recovered.records.remove(10)),
             _ => {}
         }
-        let before = if FAULT == FORGETS_NUMBERS { log.last().0 } else { 0 };
-        Ok((FaultyStore { log, before, sync_failed: false }, got))
+        let number_offset = if FAULT == RESTARTS_NUMBERING { log.last().0 } else { 0 };
+        Ok((FaultyStore { log, number_offset, sync_failed: false }, recovered))
     }
 
     fn mark(&self, label: usize) {
@@ -184,36 +183,36 @@
 }
 
 /// No fault has this number.
-const NONE: usize = usize::MAX;
+const NO_FAULT: usize = usize::MAX;
 
 #[test]
 fn the_same_store_without_a_fault_holds_every_clause() {
-    assert_eq!(check::<FaultyMedium<NONE>>().map(|held| held.len()), Ok(13));
+    assert_eq!(check::<FaultyMedium<NO_FAULT>>().map(|clauses| clauses.len()), Ok(13));
 }
 
 macro_rules! caught {
     ($($name:ident: $fault:ident by $clause:ident;)*) => {$(
         #[test]
         fn $name() {
-            let broken = check::<FaultyMedium<$fault>>().expect_err("it is broken");
-            assert_eq!(broken.clause, Clause::$clause, "{broken}");
+            let violation = check::<FaultyMedium<$fault>>().expect_err("it is broken");
+            assert_eq!(violation.clause, Clause::$clause, "{violation}");
         }
     )*};
 }
 
 caught! {
-    one_that_leaves_a_gap_is_caught: LEAVES_A_GAP by OrderWithoutGap;
-    one_that_forgets_numbers_is_caught: FORGETS_NUMBERS by NumbersGoOn;
-    one_that_cuts_the_oversized_is_caught: CUTS_THE_OVERSIZED by OversizedRefusedWhole;
+    one_that_leaves_a_gap_is_caught: OMITS_A_RECORD by OrderWithoutGap;
+    one_that_forgets_numbers_is_caught: RESTARTS_NUMBERING by NumbersGoOn;
+    one_that_cuts_the_oversized_is_caught: TRUNCATES_OVERSIZED by OversizedRefusedWhole;
     one_that_skips_empty_records_is_caught: SKIPS_EMPTY_RECORDS by EmptyIsARecord;
-    one_that_lets_two_open_it_is_caught: LETS_TWO_OPEN by OneOpens;
-    one_that_opens_what_is_missing_is_caught: MAKES_WHAT_IS_MISSING by MissingIsSaid;
-    one_that_hides_a_read_only_disk_is_caught: HIDES_A_READ_ONLY_DISK by ReadOnlyIsSaid;
-    one_that_ignores_a_torn_tail_is_caught: IGNORES_A_TORN_TAIL by TornTailCutAndSaid;
-    one_that_takes_what_a_full_disk_refused_is_caught: TAKES_WHAT_A_FULL_DISK_REFUSED by FullRefusesAndGoesOn;
-    one_that_trusts_a_second_sync_is_caught: TRUSTS_A_SECOND_SYNC by DoubtUntilOpened;
-    one_that_gives_out_a_flipped_record_is_caught: GIVES_OUT_A_FLIPPED_RECORD by FlippedBitFound;
+    one_that_lets_two_open_it_is_caught: ALLOWS_TWO_OPENS by OneOpens;
+    one_that_opens_what_is_missing_is_caught: OPENS_MISSING_DIRECTORY by MissingIsSaid;
+    one_that_hides_a_read_only_disk_is_caught: HIDES_READ_ONLY by ReadOnlyIsSaid;
+    one_that_ignores_a_torn_tail_is_caught: HIDES_TORN_TAIL by TornTailCutAndSaid;
+    one_that_takes_what_a_full_disk_refused_is_caught: ACCEPTS_ON_FULL_DISK by FullRefusesAndGoesOn;
+    one_that_trusts_a_second_sync_is_caught: ACCEPTS_SECOND_SYNC by DoubtUntilOpened;
+    one_that_gives_out_a_flipped_record_is_caught: RETURNS_FLIPPED_RECORD by FlippedBitFound;
     one_that_acknowledges_before_its_sync_is_caught: ACKNOWLEDGES_BEFORE_SYNC by SyncedOutlivesCrash;
-    one_that_does_not_sync_names_is_caught: NAMES_NOT_SYNCED by SyncedOutlivesCrash;
-    one_that_drops_records_before_the_snapshot_is_whole_is_caught: DROPS_BEFORE_THE_SNAPSHOT by SnapshotWholeOrNothing;
+    one_that_does_not_sync_names_is_caught: SKIPS_DIRECTORY_SYNC by SyncedOutlivesCrash;
+    one_that_drops_records_before_the_snapshot_is_whole_is_caught: DELETES_BEFORE_SNAPSHOT by SnapshotWholeOrNothing;
 }
--- a/crates/contracts/tests/memory/mod.rs
+++ b/crates/contracts/tests/memory/mod.rs
@@ -1,4 +1,5 @@
-//! A simple stream in memory and virtual time, right in itself, and the faults that can be planted in it.
+//! A simple, correct stream transport in memory and virtual time, and the faults that can be injected into
+//! it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +12,7 @@
 pub const MESSAGE_MAX_BYTES: usize = 2000;
 pub const QUEUE_MAX: usize = 8;
 pub const INBOX_MAX: usize = 16;
-/// A peer that is silent for so long is told as gone.
+/// A peer that is silent for this long is reported as gone.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +45,7 @@
     inbox: VecDeque<Event>,
     out: BTreeMap<Name, VecDeque<Vec<u8>>>,
     sessions: BTreeMap<Name, Session>,
-    /// Peers that are silent, since when.
+    /// When each silent peer fell silent.
     silent: BTreeMap<Name, Duration>,
 }
 
@@ -52,7 +53,7 @@
     fault: InjectedFault,
     now: Duration,
     nodes: BTreeMap<Name, Node>,
-    /// What ended nodes had not delivered: only a fault hands it out.
+    /// Messages that stopped nodes had not delivered; used only by an injected fault.
     undelivered: Vec<(Name, Name, Vec<u8>)>,
     silent: BTreeSet<(usize, usize)>,
     broken: bool,
@@ -147,7 +148,7 @@
         let known = node.sessions.get(&from.name).copied();
         if known.is_some_and(|k| k > from.session) && fault != InjectedFault::AcceptsOldSessions {
             if fault != InjectedFault::DropsSilently {
-                node.inbox.push_back(Event::Dropped("older"));
+                node.inbox.push_back(Event::Dropped("older session"));
             }
             return false;
         }
@@ -165,25 +166,25 @@
             return;
         }
         self.delivered += 1;
-        let odd = self.delivered % 7 == 6;
-        if odd && self.fault == InjectedFault::AltersByte {
+        let inject = self.delivered % 7 == 6;
+        if inject && self.fault == InjectedFault::AltersByte {
             if let Some(byte) = bytes.last_mut() {
                 *byte ^= 0x40;
             }
         }
-        let times = if odd && self.fault == InjectedFault::DuplicatesMessages { 2 } else { 1 };
+        let times = if inject && self.fault == InjectedFault::DuplicatesMessages { 2 } else { 1 };
         let inbox = &mut self.nodes.get_mut(to).expect("it runs").inbox;
         for _ in 0..times {
             inbox.push_back(Event::Message { from: from.clone(), bytes: bytes.clone() });
         }
-        if odd && self.fault == InjectedFault::InventsMessage {
+        if inject && self.fault == InjectedFault::InventsMessage {
             inbox.push_back(Event::Message {
                 from: from.clone(),
-                bytes: b"what nobody ever sent to anybody".to_vec(),
+                bytes: b"a message that nobody ever sent".to_vec(),
             });
         }
         let end = inbox.len();
-        if odd && self.fault == InjectedFault::Reorders && end >= 2 {
+        if inject && self.fault == InjectedFault::Reorders && end >= 2 {
             if let Event::Message { .. } = inbox[end - 2] {
                 inbox.swap(end - 1, end - 2);
             }
@@ -200,15 +201,15 @@
                     let now = self.now;
                     let hide = self.fault == InjectedFault::IgnoresSilence;
                     let node = self.nodes.get_mut(from).expect("it runs");
-                    let waiting = node.out.get_mut(to).map(std::mem::take).unwrap_or_default();
+                    let queued = node.out.get_mut(to).map(std::mem::take).unwrap_or_default();
                     let since = *node.silent.entry(to.clone()).or_insert(now);
-                    if waiting.is_empty() {
+                    if queued.is_empty() {
                         continue;
                     }
                     if now - since < SILENCE_TIMEOUT {
-                        node.out.insert(to.clone(), waiting);
+                        node.out.insert(to.clone(), queued);
                     } else if !hide {
-                        let messages = waiting.len() as u64;
+                        let messages = queued.len() as u64;
                         node.inbox.push_back(Event::Lost { to: to.clone(), messages });
                     }
                     continue;
@@ -230,7 +231,7 @@
                 }
             }
         }
-        // The fault: what an earlier session left comes under the later one's name.
+        // Injected fault: delivers what an earlier session left under the later session.
         for (from, to, bytes) in std::mem::take(&mut self.undelivered) {
             if let (Some(peer), true) =
                 (self.nodes.get(&from).map(|n| n.me.clone()), self.nodes.contains_key(&to))
@@ -250,14 +251,14 @@
         self.sessions += 1;
         let session = Session(self.sessions);
         let me = Peer { name: node_name(node), session };
-        let fresh = Node {
+        let new_node = Node {
             me: me.clone(),
             inbox: VecDeque::new(),
             out: BTreeMap::new(),
             sessions: BTreeMap::new(),
             silent: BTreeMap::new(),
         };
-        self.network.borrow_mut().nodes.insert(me.name.clone(), fresh);
+        self.network.borrow_mut().nodes.insert(me.name.clone(), new_node);
         self.endpoints.insert(node, Endpoint { me, network: self.network.clone() });
         session
     }
@@ -266,11 +267,12 @@
         self.endpoints.remove(&node);
         let mut network = self.network.borrow_mut();
         network.broken = false;
-        if let (Some(ended), InjectedFault::MixesSessions) =
+        if let (Some(stopped), InjectedFault::MixesSessions) =
             (network.nodes.remove(&node_name(node)), network.fault)
         {
-            let left = ended.out.into_iter().flat_map(|(to, q)| q.into_iter().map(move |b| (to.clone(), b)));
-            network.undelivered.extend(left.map(|(to, bytes)| (node_name(node), to, bytes)));
+            let undelivered =
+                stopped.out.into_iter().flat_map(|(to, q)| q.into_iter().map(move |b| (to.clone(), b)));
+            network.undelivered.extend(undelivered.map(|(to, bytes)| (node_name(node), to, bytes)));
         }
     }
 
@@ -317,7 +319,7 @@
                 let from = network.nodes[&node_name(1)].me.clone();
                 Event::Message { from, bytes: bytes.to_vec() }
             }
-            _ => Event::Dropped("strange"),
+            _ => Event::Dropped("malformed"),
         };
         network.nodes.get_mut(&node_name(to)).expect("it runs").inbox.push_back(event);
         true
--- a/crates/contracts/tests/relay.rs
+++ b/crates/contracts/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay for TCP does what each of its faults says.
+//! The TCP relay applies each of its faults.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,19 +7,19 @@
 use magpietally_contracts::relay::{StreamLink, StreamRelay};
 
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Long enough for loopback and a relay many times over.
+/// Many times longer than loopback and a relay need.
 const QUIET_PERIOD: Duration = Duration::from_millis(150);
 
-/// A connection from node 0 to node 1 through the relay, both ends.
+/// Both ends of a connection from node 0 to node 1 through the relay.
 fn pair(relay: &StreamRelay) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     relay.attach(1, listener.local_addr().expect("bound"));
     let client = TcpStream::connect(relay.frontend(0, 1)).expect("a front");
-    let (accepted, _) = listener.accept().expect("the relay dials on");
+    let (accepted, _) = listener.accept().expect("the relay connects");
     (client, accepted)
 }
 
-/// What comes within a while.
+/// Reads what arrives within the given time.
 fn read(stream: &mut TcpStream, within: Duration) -> Result<Vec<u8>, ErrorKind> {
     stream.set_read_timeout(Some(within)).expect("a timeout");
     let mut buffer = [0; 64];
@@ -33,7 +33,7 @@
     relay.set_link(0, 1, StreamLink { paused: true, ..StreamLink::default() });
     a.write_all(b"held").expect("taken");
     assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock));
-    // The other way is another link.
+    // The other direction is a separate link.
     b.write_all(b"back").expect("taken");
     assert_eq!(read(&mut a, TIMEOUT), Ok(b"back".to_vec()));
     relay.heal();
@@ -46,7 +46,11 @@
     a.write_all(b"too").expect("taken");
     assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock));
     drop(a);
-    assert_eq!(read(&mut b, QUIET_PERIOD), Err(ErrorKind::WouldBlock), "its end is not told either");
+    assert_eq!(
+        read(&mut b, QUIET_PERIOD),
+        Err(ErrorKind::WouldBlock),
+        "the end of the stream is not forwarded either"
+    );
 }
 
 #[test]
@@ -86,7 +90,7 @@
 
 #[test]
 fn the_share_of_resets_is_drawn_by_the_seed() {
-    let broken = |seed| {
+    let survivors = |seed| {
         let relay = StreamRelay::new(2, seed);
         relay.set_default_link(StreamLink { reset_share: 0.5, ..StreamLink::default() });
         let survived = |_| {
@@ -96,7 +100,7 @@
         };
         (0..20).map(survived).collect::<Vec<bool>>()
     };
-    let first = broken(3);
-    assert_eq!(first, broken(3));
+    let first = survivors(3);
+    assert_eq!(first, survivors(3));
     assert!(first.contains(&true) && first.contains(&false), "{first:?}");
 }
--- a/crates/contracts/tests/sockets/mod.rs
+++ b/crates/contracts/tests/sockets/mod.rs
@@ -1,4 +1,4 @@
-//! Rigs of the real transports on loopback, straight or through a relay.
+//! Harnesses for the real transports on loopback, directly or through a relay.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,7 +12,7 @@
 use magpietally_transport::udp::Udp;
 use magpietally_transport::{Name, Peer, Session, Transport};
 
-/// Only waited for on a fault, so generous beyond any busy machine.
+/// It elapses only on a fault, and is generous so that a busy machine does not reach it.
 const TIMEOUT: Duration = Duration::from_secs(30);
 const SETTLE_TIME: Duration = Duration::from_millis(120);
 
@@ -20,7 +20,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Where nobody listens: a node that never ran.
+/// An address without a listener, for a node that never ran.
 fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
@@ -29,7 +29,7 @@
     FleetId::from_name(if foreign { "karachi" } else { "lahore" })
 }
 
-/// UDP, with a relay where there is a link to put on every way.
+/// UDP, through a relay where a link is given, which then applies to every direction.
 pub struct UdpHarness {
     origin: Instant,
     sessions: u64,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Datagrams that the relay passed and dropped.
+    /// Datagrams that the relay forwarded and dropped.
     pub fn relay_counts(&self) -> (u64, u64) {
         self.relay.as_ref().map_or((0, 0), |(relay, _)| relay.counts())
     }
@@ -148,7 +148,7 @@
     }
 }
 
-/// Framed TCP, with a relay where there is a link to put on every way.
+/// Framed TCP, through a relay where a link is given, which then applies to every direction.
 pub struct TcpHarness {
     origin: Instant,
     sessions: u64,
@@ -182,7 +182,8 @@
             ..Settings::default()
         };
         if relay.is_none() {
-            // Without a fault nothing may be lost: a thread that a busy machine held up is no broken connection.
+            // Without injected faults nothing may be lost: a thread delayed by a busy machine must not count
+            // as a broken connection.
             (settings.liveness_timeout, settings.connect_timeout) = (TIMEOUT, TIMEOUT);
         }
         Self {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Connections that the relay passed and broke.
+    /// Connections that the relay forwarded and aborted.
     pub fn relay_counts(&self) -> (u64, u64) {
         self.relay.as_ref().map_or((0, 0), |(relay, _)| relay.counts())
     }
@@ -258,7 +259,8 @@
     }
 
     fn in_flight_max(&self) -> usize {
-        // The window, the inbox, and one that was read as the inbox filled, from each of two.
+        // The window, the inbox, and one message from each of two connections that was read while the inbox
+        // filled up.
         self.settings.window + self.settings.inbox_messages + 2
     }
 
--- a/crates/contracts/tests/transport_faults.rs
+++ b/crates/contracts/tests/transport_faults.rs
@@ -1,4 +1,5 @@
-//! The contract of transports is itself held to transports that break it: each is caught, by the clause's name.
+//! The conformance suite for transports must detect each deliberately broken transport and report the
+//! violated clause.
 
 mod memory;
 
@@ -7,7 +8,8 @@
 
 #[test]
 fn a_right_transport_holds_every_clause() {
-    let report = check(&mut Memory::new(InjectedFault::None)).unwrap_or_else(|broken| panic!("{broken}"));
+    let report =
+        check(&mut Memory::new(InjectedFault::None)).unwrap_or_else(|violation| panic!("{violation}"));
     assert_eq!(report.skipped, []);
     assert_eq!(report.passed.len(), 20, "{:?}", report.passed);
 }
@@ -39,8 +41,8 @@
     let mut missed = Vec::new();
     for (fault, clause) in faults {
         match check(&mut Memory::new(fault)) {
-            Err(broken) if broken.clause == clause => {}
-            other => missed.push(format!("{fault:?}, to be caught by {clause:?}: {other:?}")),
+            Err(violation) if violation.clause == clause => {}
+            other => missed.push(format!("{fault:?}, expected violation of {clause:?}: {other:?}")),
         }
     }
     assert!(missed.is_empty(), "{}", missed.join("\n"));
--- a/crates/contracts/tests/transports.rs
+++ b/crates/contracts/tests/transports.rs
@@ -1,4 +1,4 @@
-//! Every transport of this repository holds the contract, straight and through the fault relay.
+//! Every transport of this repository passes the conformance suite, directly and through the fault relay.
 
 mod sockets;
 mod virtual_time;
@@ -12,12 +12,12 @@
 use sockets::{TcpHarness, UdpHarness};
 use virtual_time::VirtualHarness;
 
-/// What a datagram does not promise, and what takes a relay.
+/// Clauses that datagrams do not guarantee or that need a relay.
 const STREAMS_ONLY: [Clause; 5] =
     [Clause::SlowAlone, Clause::BreakMended, Clause::Order, Clause::AtMostOnce, Clause::LossTold];
 
 fn check_all(harness: &mut impl Harness) -> CheckReport {
-    check(harness).unwrap_or_else(|broken| panic!("{broken}"))
+    check(harness).unwrap_or_else(|violation| panic!("{violation}"))
 }
 
 fn sorted(clauses: &[Clause]) -> Vec<Clause> {
@@ -40,8 +40,8 @@
     let mut harness = UdpHarness::new(Some(link));
     let report = check_all(&mut harness);
     assert_eq!(sorted(&report.skipped), sorted(&STREAMS_ONLY));
-    let (passed, dropped) = harness.relay_counts();
-    assert!(passed > 100 && dropped > 10, "the relay passed {passed} and dropped {dropped}");
+    let (forwarded, dropped) = harness.relay_counts();
+    assert!(forwarded > 100 && dropped > 10, "the relay forwarded {forwarded} and dropped {dropped}");
 }
 
 #[test]
@@ -56,8 +56,8 @@
     let mut harness = TcpHarness::new(Some(rough));
     let report = check_all(&mut harness);
     assert_eq!(report.skipped, []);
-    let (connections, broken) = harness.relay_counts();
-    assert!(connections > 20 && broken > 15, "of {connections} connections {broken} were broken");
+    let (connections, aborted) = harness.relay_counts();
+    assert!(connections > 20 && aborted > 15, "of {connections} connections {aborted} were aborted");
 }
 
 #[test]
@@ -67,7 +67,8 @@
     assert_eq!(report.skipped, []);
 }
 
-/// The network in virtual time has one fleet, hands out the sessions itself, and carries no bytes but its ports'.
+/// The network in virtual time has one fleet, assigns the sessions itself, and carries no bytes but those of
+/// its ports.
 const ONE_FLEET: [Clause; 4] =
     [Clause::NothingOlder, Clause::NothingForeign, Clause::StrangeDropped, Clause::BreakMended];
 
--- a/crates/contracts/tests/virtual_time/mod.rs
+++ b/crates/contracts/tests/virtual_time/mod.rs
@@ -1,4 +1,4 @@
-//! The rig of the network in virtual time.
+//! The harness for the network in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     const NODES: usize = 5;
 
     pub fn new(kind: Kind, faults: Faults, seed: u64) -> Self {
-        // A small queue is full soon; all else as it is everywhere.
+        // A small queue fills up quickly; everything else keeps its default.
         let limits = Limits { queue_capacity: 64, ..Limits::default() };
         let lossy = faults.loss > 0.0;
         let mut net = Net::new(seed, faults, limits.clone());
