--- a/crates/contracts/src/transport.rs
+++ b/crates/contracts/src/transport.rs
@@ -158,7 +158,7 @@
     /// address; returns false where the harness can't.
     fn send_as(
         &mut self,
-        _ghost: &Name,
+        _name: &Name,
         _session: Session,
         _foreign: bool,
         _to: usize,
