--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -23,28 +23,28 @@
     text(read(path, most)?)
 }
 
-/// The same for a process that serves, of a plain file alone: see [`open_plain`].
+/// The same for a process that serves, of a plain file alone: see [`open_regular`].
 ///
 /// # Errors
-/// Those of [`read_text`] and [`open_plain`].
-pub fn read_plain(path: &Path, most: usize) -> io::Result<String> {
-    text(bounded(open_plain(path)?, most)?)
+/// Those of [`read_text`] and [`open_regular`].
+pub fn read_regular(path: &Path, most: usize) -> io::Result<String> {
+    text(bounded(open_regular(path)?, most)?)
 }
 
 /// The same of a file that can't be done without: a disk or a table that fails for a moment is waited for, for so long.
 ///
 /// # Errors
-/// Those of [`read_plain`].
-pub fn read_plain_within(span: Duration, path: &Path, most: usize) -> io::Result<String> {
+/// Those of [`read_regular`].
+pub fn read_regular_within(span: Duration, path: &Path, most: usize) -> io::Result<String> {
     let name = path.display().to_string();
-    retry::within(span, Call::File, &name, || read_plain(path, most))
+    retry::within(span, Call::File, &name, || read_regular(path, most))
 }
 
 /// Opens a file for a process that serves: a pipe without a writer in its place would hold it up for good.
 ///
 /// # Errors
 /// The system's, and a word where it is no plain file.
-pub fn open_plain(path: &Path) -> io::Result<File> {
+pub fn open_regular(path: &Path) -> io::Result<File> {
     if !std::fs::metadata(path)?.is_file() {
         return Err(io::Error::other("not a file"));
     }
--- a/crates/config/src/fleet_policy.rs
+++ b/crates/config/src/fleet_policy.rs
@@ -10,7 +10,7 @@
 
 /// What a document is checked against: the node's own settings, which the platform gave it.
 #[derive(Clone, Debug)]
-pub struct Ground {
+pub struct BaseSettings {
     /// The decision module's.
     pub settings: Settings,
     /// The names of the classes, by index.
@@ -30,25 +30,25 @@
 
 /// Why a document is refused, with the line and the field.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct DocumentError {
     /// From 1.
     pub line: usize,
     /// The field's path, as `tenants.punjab-clubs.burst`; empty where the text is no TOML.
     pub field: String,
     /// What is wrong with it.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.field.as_str() {
-            "" => write!(f, "line {}: {}", self.line, self.what),
-            field => write!(f, "line {}: {field}: {}", self.line, self.what),
+            "" => write!(f, "line {}: {}", self.line, self.message),
+            field => write!(f, "line {}: {field}: {}", self.line, self.message),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for DocumentError {}
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
@@ -130,24 +130,28 @@
 /// A fault by its path; the line is found afterwards.
 struct At(Vec<String>, String);
 
-fn at(path: &[&str], what: impl Into<String>) -> At {
-    At(path.iter().map(ToString::to_string).collect(), what.into())
+fn at(path: &[&str], message: impl Into<String>) -> At {
+    At(path.iter().map(ToString::to_string).collect(), message.into())
 }
 
 /// Reads and checks a document. The same text has the same verdict at every node with the same ground.
 ///
 /// # Errors
 /// The first fault, with its line and field.
-pub fn read(text: &[u8], ground: &Ground) -> Result<Document, Wrong> {
-    let whole = |what: String| Wrong { line: 1, field: String::new(), what };
+pub fn parse(text: &[u8], ground: &BaseSettings) -> Result<Document, DocumentError> {
+    let whole = |message: String| DocumentError { line: 1, field: String::new(), message };
     let text = std::str::from_utf8(text).map_err(|e| whole(format!("not UTF-8: {e}")))?;
-    let file: File = toml::from_str(text).map_err(|error| Wrong {
+    let file: File = toml::from_str(text).map_err(|error| DocumentError {
         line: error.span().map_or(1, |span| line_at(text, span.start)),
         field: String::new(),
-        what: error.message().to_string(),
+        message: error.message().to_string(),
     })?;
     let checked = file.check(ground);
-    checked.map_err(|At(path, what)| Wrong { line: line_of(text, &path), field: path.join("."), what })
+    checked.map_err(|At(path, message)| DocumentError {
+        line: line_of(text, &path),
+        field: path.join("."),
+        message,
+    })
 }
 
 fn line_at(text: &str, byte: usize) -> usize {
@@ -173,7 +177,7 @@
 }
 
 impl File {
-    fn check(&self, ground: &Ground) -> Result<Document, At> {
+    fn check(&self, ground: &BaseSettings) -> Result<Document, At> {
         let mut settings = ground.settings.clone();
         let mut changed = false;
         for (name, class) in &self.classes {
@@ -274,7 +278,7 @@
 impl Limits {
     fn apply(&self, settings: &mut Settings) -> Result<bool, At> {
         let (had, to) = (settings.limits.clone(), &mut settings.limits);
-        let wide = |field: &str, what: String| Err(at(&["limits", field], what));
+        let wide = |field: &str, message: String| Err(at(&["limits", field], message));
         if let Some(attempts) = self.attempts {
             if attempts > had.attempts {
                 return wide("attempts", format!("{attempts} is more than the platform's {}", had.attempts));
@@ -302,7 +306,7 @@
 
 impl Tenant {
     /// Its quota over the fleet, where it has one.
-    fn quota(&self, name: &str, ground: &Ground) -> Result<Option<quota::TenantQuota>, At> {
+    fn quota(&self, name: &str, ground: &BaseSettings) -> Result<Option<quota::TenantQuota>, At> {
         let (rate, burst) = match (self.rate_per_s, self.burst) {
             (Some(rate), Some(burst)) => (rate, burst),
             (None, None) if self.cost.is_empty() && self.kept.is_empty() && self.per_day.is_empty() => {
--- a/crates/config/src/fleet_policy/tests.rs
+++ b/crates/config/src/fleet_policy/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn ground() -> Ground {
+fn ground() -> BaseSettings {
     let class = |effect| magpietally_policy::Class { aim: 300.0, worth: 1.0, late_worth: 0.0, effect };
     let mut settings = Settings {
         nodes: 1,
@@ -15,7 +15,7 @@
     settings.limits.attempts = 3;
     settings.limits.max_retry_after = 2000.0;
     let names = |all: &[&str]| all.iter().map(ToString::to_string).collect();
-    Ground {
+    BaseSettings {
         settings,
         classes: names(&["lookup", "signup", "fee-payment"]),
         tenants: names(&["punjab-clubs", "karachi-clubs"]),
@@ -25,18 +25,18 @@
 #[test]
 fn the_document_that_is_shipped_is_good() {
     let shipped = std::fs::read(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet-policy.toml"));
-    let document = read(&shipped.expect("it is shipped"), &ground()).expect("it is good");
+    let document = parse(&shipped.expect("it is shipped"), &ground()).expect("it is good");
     assert_eq!(document.quotas.tenants.len(), 1);
     assert!(document.settings.is_some_and(|s| s.limits.attempts == 2));
 }
 
 #[test]
 fn a_document_changes_what_it_names_and_leaves_the_rest() {
-    assert!(read(b"", &ground()).expect("empty is good").settings.is_none());
+    assert!(parse(b"", &ground()).expect("empty is good").settings.is_none());
     let text = "[classes.lookup]\neffect = \"once\"\n[retry]\nshare = 0.05\n\
                 [tenants.karachi-clubs]\nrate_per_s = 200.0005\nburst = 400\ncost.signup = 5\n\
                 kept.fee-payment = { rate_per_s = 20.0, burst = 40 }\nper_day.signup = 1000\n";
-    let document = read(text.as_bytes(), &ground()).expect("good");
+    let document = parse(text.as_bytes(), &ground()).expect("good");
     let settings = document.settings.expect("it changes some");
     assert_eq!(settings.classes[0].effect, Effect::Unsafe);
     assert_eq!((settings.tuning.retry_share, settings.tuning.retry_most), (0.05, 10.0));
@@ -44,7 +44,7 @@
     assert_eq!((tenant.rate_milli, tenant.burst), (200_000, 400), "a rate is rounded down");
     assert_eq!(tenant.per_day, [("signup".to_string(), 1000)]);
     // What it says again changes nothing, so that the module that runs is kept.
-    assert!(read(b"[classes.lookup]\neffect = \"safe\"\n", &ground()).expect("good").settings.is_none());
+    assert!(parse(b"[classes.lookup]\neffect = \"safe\"\n", &ground()).expect("good").settings.is_none());
 }
 
 #[test]
@@ -79,8 +79,8 @@
         ),
         ("\u{0}", "line 1: "),
     ] {
-        let told = read(text.as_bytes(), &ground()).map(|_| ()).expect_err(text).to_string();
+        let told = parse(text.as_bytes(), &ground()).map(|_| ()).expect_err(text).to_string();
         assert!(told.starts_with(words), "{text}: {told}");
     }
-    assert!(read(&[0xff], &ground()).is_err());
+    assert!(parse(&[0xff], &ground()).is_err());
 }
--- a/crates/config/src/keeper.rs
+++ b/crates/config/src/reload.rs
@@ -2,41 +2,41 @@
 
 use std::time::Duration;
 
-use crate::boxes::{BoxList, Problem, State};
+use crate::server_list::{Problem, ServerList, ServerState};
 
-/// What the keeper goes by.
+/// What the tracker goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct ReloadRules {
     /// How long a list that takes away more than half of the boxes is held, in case it is a mistake.
     pub hold: Duration,
     /// How long a file that was written in place must have stood still.
-    pub still: Duration,
+    pub quiet_period: Duration,
     /// How often the same trouble is told again.
-    pub tell: Duration,
+    pub report_interval: Duration,
 }
 
 /// What a look at the file brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Look {
+pub enum FileCheck {
     /// The file is as it was at the last look.
-    Same,
+    Unchanged,
     /// It was replaced as a whole: another file has its name.
     Replaced(Vec<u8>),
     /// It is the same file with other content: somebody may still be writing.
-    Written(Vec<u8>),
+    Modified(Vec<u8>),
     /// It can't be read.
-    Gone(String),
+    Unreadable(String),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ReloadAction {
     /// Nothing.
-    Wait,
+    None,
     /// The list holds from now on.
-    Apply(BoxList),
+    Apply(ServerList),
     /// The last good one stays; what to tell the operator, in lines.
-    Tell(Vec<String>),
+    Report(Vec<String>),
 }
 
 #[derive(Debug)]
@@ -46,14 +46,14 @@
     /// For a file that was written in place to stand still.
     Still { bytes: Vec<u8>, since: Duration },
     /// For a mistake to be mended.
-    Held { list: BoxList, bytes: Vec<u8>, since: Duration },
+    Held { list: ServerList, bytes: Vec<u8>, since: Duration },
 }
 
 /// Keeps the last good list.
 #[derive(Debug)]
-pub struct Keeper {
-    rules: Rules,
-    good: Option<BoxList>,
+pub struct ReloadTracker {
+    rules: ReloadRules,
+    good: Option<ServerList>,
     /// The file that it was read from.
     good_bytes: Vec<u8>,
     /// Since when the last good one holds, and since when something is wrong with the file.
@@ -62,41 +62,41 @@
     waits: Waits,
 }
 
-impl Keeper {
+impl ReloadTracker {
     /// No list yet.
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(rules: ReloadRules) -> Self {
         let (good_bytes, applied) = (Vec::new(), Duration::ZERO);
         Self { rules, good: None, good_bytes, applied, wrong: None, waits: Waits::None }
     }
 
     /// The list that holds.
-    pub fn good(&self) -> Option<&BoxList> {
+    pub fn last_valid(&self) -> Option<&ServerList> {
         self.good.as_ref()
     }
 
     /// Is something wrong with the file, as far as the last look saw?
-    pub fn is_troubled(&self) -> bool {
+    pub fn has_problem(&self) -> bool {
         self.wrong.is_some()
     }
 
     /// Takes a look in. `now` is a time that never runs backwards.
-    pub fn look(&mut self, now: Duration, look: Look) -> Step {
-        match look {
-            Look::Replaced(bytes) => {
+    pub fn observe(&mut self, now: Duration, check: FileCheck) -> ReloadAction {
+        match check {
+            FileCheck::Replaced(bytes) => {
                 self.waits = Waits::None;
                 self.judge(now, bytes)
             }
-            Look::Written(bytes) => {
+            FileCheck::Modified(bytes) => {
                 // The next look may bring more of it.
                 self.waits = Waits::Still { bytes, since: now };
                 self.again(now)
             }
-            Look::Gone(words) => {
+            FileCheck::Unreadable(words) => {
                 self.waits = Waits::None;
                 self.refuse(now, vec![words])
             }
-            Look::Same => match std::mem::replace(&mut self.waits, Waits::None) {
-                Waits::Still { bytes, since } if now.saturating_sub(since) >= self.rules.still => {
+            FileCheck::Unchanged => match std::mem::replace(&mut self.waits, Waits::None) {
+                Waits::Still { bytes, since } if now.saturating_sub(since) >= self.rules.quiet_period => {
                     self.judge(now, bytes)
                 }
                 Waits::Held { list, bytes, since } if now.saturating_sub(since) >= self.rules.hold => {
@@ -110,14 +110,14 @@
         }
     }
 
-    fn judge(&mut self, now: Duration, bytes: Vec<u8>) -> Step {
-        let list = match crate::boxes::read(&bytes) {
+    fn judge(&mut self, now: Duration, bytes: Vec<u8>) -> ReloadAction {
+        let list = match crate::server_list::parse(&bytes) {
             Ok(list) => list,
             Err(problems) => return self.refuse(now, problems.iter().map(Problem::to_string).collect()),
         };
         if self.good.as_ref() == Some(&list) {
             self.wrong = None;
-            return Step::Wait;
+            return ReloadAction::None;
         }
         if let Some(words) = self.doubt(&list, &bytes) {
             self.waits = Waits::Held { list, bytes, since: now };
@@ -127,7 +127,7 @@
     }
 
     /// Why a list that nothing is wrong with may be a mistake all the same.
-    fn doubt(&self, list: &BoxList, bytes: &[u8]) -> Option<String> {
+    fn doubt(&self, list: &ServerList, bytes: &[u8]) -> Option<String> {
         let hold = self.rules.hold.as_secs_f64();
         // Its boxes add up, but what stood at its end is lost: a drain of the last box, perhaps.
         if bytes.len() < self.good_bytes.len() && self.good_bytes.starts_with(bytes) {
@@ -143,9 +143,9 @@
     }
 
     /// How many boxes take requests by the last good list, and how many of these by the new one.
-    fn kept(&self, list: &BoxList) -> (usize, usize) {
-        let active = |list: &BoxList| {
-            let in_service = list.boxes.iter().filter(|b| b.state == State::Active);
+    fn kept(&self, list: &ServerList) -> (usize, usize) {
+        let active = |list: &ServerList| {
+            let in_service = list.servers.iter().filter(|b| b.state == ServerState::Active);
             in_service.map(|b| b.name.clone()).collect::<std::collections::BTreeSet<_>>()
         };
         let had = self.good.as_ref().map(active).unwrap_or_default();
@@ -153,13 +153,13 @@
         (had.len(), keeps)
     }
 
-    fn apply(&mut self, now: Duration, list: BoxList, bytes: Vec<u8>) -> Step {
+    fn apply(&mut self, now: Duration, list: ServerList, bytes: Vec<u8>) -> ReloadAction {
         (self.wrong, self.applied, self.good_bytes) = (None, now, bytes);
         self.good = Some(list.clone());
-        Step::Apply(list)
+        ReloadAction::Apply(list)
     }
 
-    fn refuse(&mut self, now: Duration, lines: Vec<String>) -> Step {
+    fn refuse(&mut self, now: Duration, lines: Vec<String>) -> ReloadAction {
         if self.wrong.as_ref().is_some_and(|(told, _)| *told == lines) {
             return self.again(now);
         }
@@ -168,26 +168,26 @@
     }
 
     /// The same trouble is told again after a while, with the age of the list that holds.
-    fn again(&mut self, now: Duration) -> Step {
+    fn again(&mut self, now: Duration) -> ReloadAction {
         match &mut self.wrong {
-            Some((_, told)) if now.saturating_sub(*told) >= self.rules.tell => {
+            Some((_, told)) if now.saturating_sub(*told) >= self.rules.report_interval => {
                 *told = now;
                 self.tell(now)
             }
-            _ => Step::Wait,
+            _ => ReloadAction::None,
         }
     }
 
-    fn tell(&self, now: Duration) -> Step {
+    fn tell(&self, now: Duration) -> ReloadAction {
         let mut lines: Vec<String> = self.wrong.iter().flat_map(|(lines, _)| lines.clone()).collect();
         lines.push(match &self.good {
             None => "there is no list to go on with".to_string(),
             Some(good) => format!(
                 "the last good list stays: {} boxes, since {:.0} s",
-                good.boxes.len(),
+                good.servers.len(),
                 now.saturating_sub(self.applied).as_secs_f64()
             ),
         });
-        Step::Tell(lines)
+        ReloadAction::Report(lines)
     }
 }
--- a/crates/config/src/boxes.rs
+++ b/crates/config/src/server_list.rs
@@ -10,18 +10,18 @@
 use toml::Spanned;
 
 /// The largest file that is read, in bytes.
-pub const FILE_MOST: usize = 16 << 20;
+pub const FILE_MAX_BYTES: usize = 16 << 20;
 /// The most boxes of a list.
-pub const BOXES_MOST: usize = 20_000;
+pub const SERVERS_MAX: usize = 20_000;
 /// The longest name, in bytes.
-pub const NAME_MOST: usize = 128;
+pub const NAME_MAX_BYTES: usize = 128;
 /// The bounds of weights.
-pub const WEIGHTS: (f64, f64) = (0.001, 1000.0);
+pub const WEIGHT_RANGE: (f64, f64) = (0.001, 1000.0);
 
 /// What a box is up to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum ServerState {
     /// It takes requests.
     #[default]
     Active,
@@ -31,7 +31,7 @@
 
 /// A box of a list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct AppBox {
+pub struct AppServer {
     /// Its name, the same for as long as it is the same box.
     pub name: String,
     /// Where it listens.
@@ -45,16 +45,17 @@
     /// Its weight against the others.
     pub weight: f64,
     /// Its state.
-    pub state: State,
+    pub state: ServerState,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
     pub started_ms: f64,
 }
 
 /// A whole list that nothing is wrong with.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct BoxList {
+pub struct ServerList {
     /// Its boxes in the order of the file.
-    pub boxes: Vec<AppBox>,
+    #[serde(rename = "boxes")]
+    pub servers: Vec<AppServer>,
     /// That it has none is meant.
     pub empty_is_meant: bool,
     /// That it has less than half of the boxes of before is meant.
@@ -67,12 +68,13 @@
     /// The line, from 1.
     pub line: usize,
     /// What is wrong.
-    pub words: String,
+    #[serde(rename = "words")]
+    pub message: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.words)
+        write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
@@ -87,7 +89,7 @@
     #[serde(default)]
     shrink_is_meant: bool,
     #[serde(default, rename = "box")]
-    boxes: Vec<Spanned<Entry>>,
+    servers: Vec<Spanned<Entry>>,
 }
 
 #[derive(Deserialize)]
@@ -104,7 +106,7 @@
     #[serde(default = "one")]
     weight: Spanned<f64>,
     #[serde(default)]
-    state: State,
+    state: ServerState,
     #[serde(default = "long_ago")]
     started_ms: Spanned<f64>,
 }
@@ -121,10 +123,10 @@
 ///
 /// # Errors
 /// Everything that is wrong with it, in the order of its lines; of what is no TOML the first place.
-pub fn read(bytes: &[u8]) -> Result<BoxList, Vec<Problem>> {
-    let one = |line, words: String| Err(vec![Problem { line, words }]);
-    if bytes.len() > FILE_MOST {
-        return one(1, format!("{} bytes; {FILE_MOST} are the most", bytes.len()));
+pub fn parse(bytes: &[u8]) -> Result<ServerList, Vec<Problem>> {
+    let one = |line, message: String| Err(vec![Problem { line, message }]);
+    if bytes.len() > FILE_MAX_BYTES {
+        return one(1, format!("{} bytes; {FILE_MAX_BYTES} are the most", bytes.len()));
     }
     // Some editors begin a file with a mark of its encoding.
     let bytes = bytes.strip_prefix(b"\xEF\xBB\xBF").unwrap_or(bytes);
@@ -144,13 +146,14 @@
         }
     };
     let mut problems = Vec::new();
-    let mut problem = |span: Range<usize>, words: String| problems.push(Problem { line: at(&span), words });
-    if *file.count.get_ref() != file.boxes.len() {
-        let (says, has) = (file.count.get_ref(), file.boxes.len());
+    let mut problem =
+        |span: Range<usize>, message: String| problems.push(Problem { line: at(&span), message });
+    if *file.count.get_ref() != file.servers.len() {
+        let (says, has) = (file.count.get_ref(), file.servers.len());
         problem(file.count.span(), format!("count is {says}, and there are {has} boxes: is the copy whole?"));
     }
-    if file.boxes.len() > BOXES_MOST {
-        problem(file.count.span(), format!("{} boxes; {BOXES_MOST} are the most", file.boxes.len()));
+    if file.servers.len() > SERVERS_MAX {
+        problem(file.count.span(), format!("{} boxes; {SERVERS_MAX} are the most", file.servers.len()));
     }
     if let Some(sum) = &file.sum {
         let is = format!("{:08x}", sum_without(bytes, &sum.span()));
@@ -161,18 +164,18 @@
             );
         }
     }
-    if file.boxes.is_empty() && !file.empty_is_meant {
+    if file.servers.is_empty() && !file.empty_is_meant {
         problem(file.count.span(), "no boxes; where that is meant, say empty_is_meant = true".into());
     }
     let (mut names, mut addresses) = (HashMap::new(), HashMap::new());
-    let mut boxes = Vec::with_capacity(file.boxes.len());
-    for entry in file.boxes {
+    let mut servers = Vec::with_capacity(file.servers.len());
+    for entry in file.servers {
         let entry = entry.into_inner();
         let (name, named) = (entry.name.get_ref().clone(), entry.name.span());
-        if name.is_empty() || name.len() > NAME_MOST || !name.bytes().all(|b| b.is_ascii_graphic()) {
+        if name.is_empty() || name.len() > NAME_MAX_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
             problem(
                 named.clone(),
-                format!("name: 1 to {NAME_MOST} visible characters expected, not {name:?}"),
+                format!("name: 1 to {NAME_MAX_BYTES} visible characters expected, not {name:?}"),
             );
         }
         if let Some(first) = names.insert(name.clone(), at(&named)) {
@@ -182,8 +185,8 @@
         let place = entry.address.span();
         match &address {
             Err(_) => {
-                let words = entry.address.get_ref();
-                problem(place, format!("address: IP address and port expected, not {words:?}"));
+                let message = entry.address.get_ref();
+                problem(place, format!("address: IP address and port expected, not {message:?}"));
             }
             Ok(address) if address.port() == 0 || address.ip().is_unspecified() => {
                 problem(place, format!("address: {address} is nowhere to connect to"));
@@ -195,8 +198,8 @@
             }
         }
         let weight = *entry.weight.get_ref();
-        if !(WEIGHTS.0..=WEIGHTS.1).contains(&weight) {
-            let (least, most) = WEIGHTS;
+        if !(WEIGHT_RANGE.0..=WEIGHT_RANGE.1).contains(&weight) {
+            let (least, most) = WEIGHT_RANGE;
             let hint =
                 if weight == 0.0 { "; a box that is to get nothing has state = \"draining\"" } else { "" };
             problem(entry.weight.span(), format!("weight: {weight} is not within {least} to {most}{hint}"));
@@ -210,12 +213,12 @@
         }
         let Entry { zone, kind, cell, state, .. } = entry;
         if let Ok(address) = address {
-            boxes.push(AppBox { name, address, zone, kind, cell, weight, state, started_ms });
+            servers.push(AppServer { name, address, zone, kind, cell, weight, state, started_ms });
         }
     }
     if problems.is_empty() {
         let (empty_is_meant, shrink_is_meant) = (file.empty_is_meant, file.shrink_is_meant);
-        return Ok(BoxList { boxes, empty_is_meant, shrink_is_meant });
+        return Ok(ServerList { servers, empty_is_meant, shrink_is_meant });
     }
     problems.sort();
     Err(problems)
@@ -230,7 +233,7 @@
 }
 
 /// What the `sum` of a file should say; `None` where it has none, or can't be read.
-pub fn right_sum(bytes: &[u8]) -> Option<String> {
+pub fn expected_sum(bytes: &[u8]) -> Option<String> {
     let bytes = bytes.strip_prefix(b"\xEF\xBB\xBF").unwrap_or(bytes);
     let file: File = toml::from_str(std::str::from_utf8(bytes).ok()?).ok()?;
     Some(format!("{:08x}", sum_without(bytes, &file.sum?.span())))
--- a/crates/config/src/watch.rs
+++ b/crates/config/src/watch.rs
@@ -12,12 +12,12 @@
 use serde::Deserialize;
 use tokio::sync::watch;
 
-use crate::boxes::{BoxList, FILE_MOST};
-use crate::file::open_plain;
-use crate::keeper::{Keeper, Look, Rules, Step};
+use crate::file::open_regular;
+use crate::reload::{FileCheck, ReloadAction, ReloadRules, ReloadTracker};
+use crate::server_list::{ServerList, FILE_MAX_BYTES};
 
 /// How often the file is looked at. Twice this, and the time that a file must stand still, is within what a drain allows.
-pub const LOOK: Duration = Duration::from_millis(100);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How soon a file that something is wrong with is looked at again, in milliseconds, for the first looks: a writer that goes on
 /// in step with the looks would else show its half-written copies each time.
 const AGAIN: [u64; 5] = [7, 13, 23, 41, 61];
@@ -62,47 +62,52 @@
 
 /// A list that was let through, and the how-manieth it is.
 #[derive(Clone, Debug, Default)]
-pub struct Applied {
+pub struct AppliedList {
     /// Counted from 1; 0 where there is none yet.
     pub version: u64,
     /// The list.
-    pub list: BoxList,
+    pub list: ServerList,
 }
 
 /// A watched file; clones share the watching, which ends with the last of them.
 #[derive(Clone, Debug)]
-pub struct ListFile {
-    news: watch::Receiver<Arc<Applied>>,
+pub struct ServerListFile {
+    news: watch::Receiver<Arc<AppliedList>>,
     seen: u64,
 }
 
-impl ListFile {
+impl ServerListFile {
     /// Starts to watch.
     ///
     /// # Errors
     /// Where there is no thread to be had.
     pub fn start(options: &WatchOptions) -> std::io::Result<Self> {
-        let (tell, news) = watch::channel(Arc::<Applied>::default());
-        let rules = Rules { hold: Duration::from_secs_f64(options.hold_s), still: STILL, tell: TELL };
-        let (mut eye, mut keeper) = (Eye::new(options.file.clone()), Keeper::new(rules));
+        let (tell, news) = watch::channel(Arc::<AppliedList>::default());
+        let rules = ReloadRules {
+            hold: Duration::from_secs_f64(options.hold_s),
+            quiet_period: STILL,
+            report_interval: TELL,
+        };
+        let (mut watcher, mut tracker) = (FileWatcher::new(options.file.clone()), ReloadTracker::new(rules));
         let (name, began) = (options.file.display().to_string(), Instant::now());
         let mut troubled = 0;
         let look = move || {
             while !tell.is_closed() {
-                match keeper.look(began.elapsed(), eye.look()) {
-                    Step::Wait => {}
-                    Step::Apply(list) => {
+                match tracker.observe(began.elapsed(), watcher.check()) {
+                    ReloadAction::None => {}
+                    ReloadAction::Apply(list) => {
                         let version = tell.borrow().version + 1;
-                        tracing::info!(target: "list", "{name}: {} boxes, version {version}", list.boxes.len());
-                        tell.send_replace(Arc::new(Applied { version, list }));
+                        tracing::info!(target: "list", "{name}: {} boxes, version {version}", list.servers.len());
+                        tell.send_replace(Arc::new(AppliedList { version, list }));
                     }
-                    Step::Tell(lines) => {
+                    ReloadAction::Report(lines) => {
                         lines.iter().for_each(|line| tracing::warn!(target: "list", "{name}: {line}"));
                     }
                 }
-                let soon = keeper.is_troubled() && troubled < AGAIN_MOST;
-                let pause = if soon { Duration::from_millis(AGAIN[troubled % AGAIN.len()]) } else { LOOK };
-                troubled = if keeper.is_troubled() { troubled + 1 } else { 0 };
+                let soon = tracker.has_problem() && troubled < AGAIN_MOST;
+                let pause =
+                    if soon { Duration::from_millis(AGAIN[troubled % AGAIN.len()]) } else { CHECK_INTERVAL };
+                troubled = if tracker.has_problem() { troubled + 1 } else { 0 };
                 std::thread::sleep(pause);
             }
         };
@@ -111,7 +116,7 @@
     }
 
     /// The next list that this clone has not handed out; `None` where the watching has ended.
-    pub async fn next(&mut self) -> Option<Arc<Applied>> {
+    pub async fn next(&mut self) -> Option<Arc<AppliedList>> {
         loop {
             let now = self.news.borrow_and_update().clone();
             if now.version > self.seen {
@@ -136,44 +141,44 @@
 
 /// Looks at a file.
 #[derive(Debug)]
-pub struct Eye {
+pub struct FileWatcher {
     path: PathBuf,
     seen: Option<(Stamp, Vec<u8>)>,
 }
 
-impl Eye {
+impl FileWatcher {
     /// It has not been looked at.
     pub fn new(path: PathBuf) -> Self {
         Self { path, seen: None }
     }
 
     /// Looks once. What was open stays the same file while it is read, whatever happens to its name.
-    pub fn look(&mut self) -> Look {
+    pub fn check(&mut self) -> FileCheck {
         let (stamp, bytes) = match self.read() {
             Ok(Some(read)) => read,
-            Ok(None) => return Look::Same,
+            Ok(None) => return FileCheck::Unchanged,
             Err(error) => {
                 self.seen = None;
-                return Look::Gone(format!("can't be read: {error}"));
+                return FileCheck::Unreadable(format!("can't be read: {error}"));
             }
         };
         if let Some((seen, _)) = self.seen.as_mut().filter(|(_, old)| *old == bytes) {
             *seen = stamp;
-            return Look::Same;
+            return FileCheck::Unchanged;
         }
         match self.seen.replace((stamp, bytes.clone())) {
             Some((old, _)) if (old.device, old.node, old.born) == (stamp.device, stamp.node, stamp.born) => {
-                Look::Written(bytes)
+                FileCheck::Modified(bytes)
             }
             // The first look may fall into somebody's writing, too.
-            None => Look::Written(bytes),
-            Some(_) => Look::Replaced(bytes),
+            None => FileCheck::Modified(bytes),
+            Some(_) => FileCheck::Replaced(bytes),
         }
     }
 
     /// The file's content, where it may differ from what was seen.
     fn read(&self) -> std::io::Result<Option<(Stamp, Vec<u8>)>> {
-        let file = open_plain(&self.path)?;
+        let file = open_regular(&self.path)?;
         let stamp = stamp_of(&file)?;
         let fresh = stamp.modified.and_then(|m| m.elapsed().ok()).is_none_or(|age| age < STAMPS_APART);
         if self.seen.as_ref().is_some_and(|(seen, _)| *seen == stamp) && !fresh {
@@ -181,7 +186,7 @@
         }
         let mut bytes = Vec::new();
         // One more than may be read, so that what is too long is seen to be.
-        (&file).take(FILE_MOST as u64 + 1).read_to_end(&mut bytes)?;
+        (&file).take(FILE_MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
         // It may have grown while it was read: then the stamp is the later one's, and the content is looked at again.
         Ok(Some((stamp, bytes)))
     }
--- a/crates/config/tests/boxes.rs
+++ b/crates/config/tests/server_list.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use magpietally_config::boxes::{read, right_sum, BoxList, FILE_MOST};
-use magpietally_config::keeper::{Keeper, Look, Rules, Step};
-use magpietally_config::watch::Eye;
+use magpietally_config::reload::{FileCheck, ReloadAction, ReloadRules, ReloadTracker};
+use magpietally_config::server_list::{expected_sum, parse, ServerList, FILE_MAX_BYTES};
+use magpietally_config::watch::FileWatcher;
 use proptest::prelude::*;
 
 fn entry(name: &str, port: u16, more: &str) -> String {
@@ -17,7 +17,7 @@
 }
 
 fn problems(text: &[u8]) -> Vec<String> {
-    read(text).expect_err("something is wrong").iter().map(ToString::to_string).collect()
+    parse(text).expect_err("something is wrong").iter().map(ToString::to_string).collect()
 }
 
 #[test]
@@ -69,12 +69,12 @@
 fn odd_encodings_are_read_or_named() {
     let good = list(&["a", "b"]);
     let marked = [b"\xEF\xBB\xBF", good.replace('\n', "\r\n").as_bytes()].concat();
-    assert_eq!(read(&marked), read(good.as_bytes()), "a mark and CRLF change nothing");
+    assert_eq!(parse(&marked), parse(good.as_bytes()), "a mark and CRLF change nothing");
     let tabbed = good.replace("name =", "\tname\t=");
-    assert_eq!(read(tabbed.as_bytes()), read(good.as_bytes()));
+    assert_eq!(parse(tabbed.as_bytes()), parse(good.as_bytes()));
     let cut = format!("{good}# Gulberg, ü");
     assert_eq!(problems(&cut.as_bytes()[..cut.len() - 1])[0].split(':').next(), Some("line 8"));
-    assert!(problems(&vec![b'#'; FILE_MOST + 1])[0].contains("are the most"));
+    assert!(problems(&vec![b'#'; FILE_MAX_BYTES + 1])[0].contains("are the most"));
     let deep = format!("count = {}1{}", "[".repeat(10_000), "]".repeat(10_000));
     assert_eq!(problems(deep.as_bytes()).len(), 1, "10,000 deep");
 }
@@ -82,104 +82,123 @@
 #[test]
 fn a_sum_holds_for_the_whole_file() {
     let draft = list(&["a", "b"]).replacen('\n', "\nsum = \"\"\n", 1);
-    let sum = right_sum(draft.as_bytes()).expect("it has one");
+    let sum = expected_sum(draft.as_bytes()).expect("it has one");
     let good = draft.replace("sum = \"\"", &format!("sum = \"{sum}\""));
-    assert_eq!(read(good.as_bytes()).expect("good").boxes.len(), 2);
+    assert_eq!(parse(good.as_bytes()).expect("good").servers.len(), 2);
     // The head of one list and the tail of another, with the right count: what writing in place may leave.
     let mixed = good.replace("127.0.0.1:2", "127.0.0.1:9");
     assert!(problems(mixed.as_bytes())[0].contains("is the copy whole?"));
 }
 
-const RULES: Rules =
-    Rules { hold: Duration::from_secs(10), still: Duration::from_millis(250), tell: Duration::from_secs(30) };
+const RULES: ReloadRules = ReloadRules {
+    hold: Duration::from_secs(10),
+    quiet_period: Duration::from_millis(250),
+    report_interval: Duration::from_secs(30),
+};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn names(step: &Step) -> Vec<String> {
+fn names(step: &ReloadAction) -> Vec<String> {
     match step {
-        Step::Apply(BoxList { boxes, .. }) => boxes.iter().map(|b| b.name.clone()).collect(),
+        ReloadAction::Apply(ServerList { servers, .. }) => servers.iter().map(|b| b.name.clone()).collect(),
         other => panic!("{other:?}"),
     }
 }
 
-fn replaced(names: &[&str]) -> Look {
-    Look::Replaced(list(names).into_bytes())
+fn replaced(names: &[&str]) -> FileCheck {
+    FileCheck::Replaced(list(names).into_bytes())
 }
 
 #[test]
 fn a_file_that_is_being_written_is_applied_when_it_stands_still() {
-    let mut keeper = Keeper::new(RULES);
+    let mut tracker = ReloadTracker::new(RULES);
     let whole = list(&["a", "b", "c"]).into_bytes();
     for (n, end) in (10..whole.len()).step_by(9).enumerate() {
-        let step = keeper.look(ms(100 * n as u64), Look::Written(whole[..end].to_vec()));
-        assert_eq!(step, Step::Wait, "nothing of a list in the making is even told");
+        let step = tracker.observe(ms(100 * n as u64), FileCheck::Modified(whole[..end].to_vec()));
+        assert_eq!(step, ReloadAction::None, "nothing of a list in the making is even told");
     }
-    assert_eq!(keeper.look(ms(5000), Look::Written(whole)), Step::Wait);
-    assert_eq!(keeper.look(ms(5100), Look::Same), Step::Wait);
-    assert_eq!(names(&keeper.look(ms(5250), Look::Same)), ["a", "b", "c"]);
+    assert_eq!(tracker.observe(ms(5000), FileCheck::Modified(whole)), ReloadAction::None);
+    assert_eq!(tracker.observe(ms(5100), FileCheck::Unchanged), ReloadAction::None);
+    assert_eq!(names(&tracker.observe(ms(5250), FileCheck::Unchanged)), ["a", "b", "c"]);
     // A writer that stops half way is told of; the last good list stays.
     let half = list(&["a", "b", "c", "d"])[..60].to_string().into_bytes();
-    assert_eq!(keeper.look(ms(6000), Look::Written(half)), Step::Wait);
-    let Step::Tell(lines) = keeper.look(ms(6300), Look::Same) else { panic!("it is not whole") };
+    assert_eq!(tracker.observe(ms(6000), FileCheck::Modified(half)), ReloadAction::None);
+    let ReloadAction::Report(lines) = tracker.observe(ms(6300), FileCheck::Unchanged) else {
+        panic!("it is not whole")
+    };
     assert_eq!(lines.last().map(String::as_str), Some("the last good list stays: 3 boxes, since 1 s"));
-    assert_eq!(keeper.look(ms(7000), Look::Same), Step::Wait, "once");
-    assert!(matches!(keeper.look(ms(37_000), Look::Same), Step::Tell(_)), "and again after a while");
-    assert_eq!(keeper.good().map(|g| g.boxes.len()), Some(3));
+    assert_eq!(tracker.observe(ms(7000), FileCheck::Unchanged), ReloadAction::None, "once");
+    assert!(
+        matches!(tracker.observe(ms(37_000), FileCheck::Unchanged), ReloadAction::Report(_)),
+        "and again after a while"
+    );
+    assert_eq!(tracker.last_valid().map(|g| g.servers.len()), Some(3));
 }
 
 #[test]
 fn a_file_that_takes_the_place_of_another_holds_at_once() {
-    let mut keeper = Keeper::new(RULES);
-    assert_eq!(names(&keeper.look(ms(0), replaced(&["a", "b"]))), ["a", "b"]);
+    let mut tracker = ReloadTracker::new(RULES);
+    assert_eq!(names(&tracker.observe(ms(0), replaced(&["a", "b"]))), ["a", "b"]);
     assert_eq!(
-        names(&keeper.look(ms(1), replaced(&["a", "b", "c"]))),
+        names(&tracker.observe(ms(1), replaced(&["a", "b", "c"]))),
         ["a", "b", "c"],
         "within a millisecond"
     );
-    assert_eq!(keeper.look(ms(2), replaced(&["a", "b", "c"])), Step::Wait, "the same again is no change");
-    assert!(matches!(keeper.look(ms(3), replaced(&[])), Step::Tell(_)), "none is refused");
-    let meant = Look::Replaced(b"count = 0\nempty_is_meant = true\n".to_vec());
-    assert_eq!(names(&keeper.look(ms(4), meant)), [""; 0], "unless it is meant");
+    assert_eq!(
+        tracker.observe(ms(2), replaced(&["a", "b", "c"])),
+        ReloadAction::None,
+        "the same again is no change"
+    );
+    assert!(matches!(tracker.observe(ms(3), replaced(&[])), ReloadAction::Report(_)), "none is refused");
+    let meant = FileCheck::Replaced(b"count = 0\nempty_is_meant = true\n".to_vec());
+    assert_eq!(names(&tracker.observe(ms(4), meant)), [""; 0], "unless it is meant");
 }
 
 #[test]
 fn a_list_that_halves_the_pool_is_held_unless_it_is_meant() {
-    let mut keeper = Keeper::new(RULES);
+    let mut tracker = ReloadTracker::new(RULES);
     let before = ["a", "b", "c", "d", "e"];
-    keeper.look(ms(0), replaced(&before));
+    tracker.observe(ms(0), replaced(&before));
     // Renamed, it is as good as taken away.
-    let Step::Tell(lines) = keeper.look(ms(100), replaced(&["a", "b", "x", "y", "z"])) else {
+    let ReloadAction::Report(lines) = tracker.observe(ms(100), replaced(&["a", "b", "x", "y", "z"])) else {
         panic!("held")
     };
     assert!(lines[0].starts_with("it takes away 3 of 5 boxes in service; held for 10 s"), "{lines:?}");
     // The mistake is mended in time.
-    assert_eq!(keeper.look(ms(5000), replaced(&before)), Step::Wait);
-    assert_eq!(keeper.look(ms(20_000), Look::Same), Step::Wait);
+    assert_eq!(tracker.observe(ms(5000), replaced(&before)), ReloadAction::None);
+    assert_eq!(tracker.observe(ms(20_000), FileCheck::Unchanged), ReloadAction::None);
     // Or it was none.
-    assert!(matches!(keeper.look(ms(21_000), replaced(&["a"])), Step::Tell(_)));
-    assert_eq!(keeper.look(ms(30_900), Look::Same), Step::Wait);
-    assert_eq!(names(&keeper.look(ms(31_000), Look::Same)), ["a"]);
-    keeper.look(ms(32_000), replaced(&before));
+    assert!(matches!(tracker.observe(ms(21_000), replaced(&["a"])), ReloadAction::Report(_)));
+    assert_eq!(tracker.observe(ms(30_900), FileCheck::Unchanged), ReloadAction::None);
+    assert_eq!(names(&tracker.observe(ms(31_000), FileCheck::Unchanged)), ["a"]);
+    tracker.observe(ms(32_000), replaced(&before));
     let meant = list(&["b"]).replacen('\n', "\nshrink_is_meant = true\n", 1);
-    assert_eq!(names(&keeper.look(ms(33_000), Look::Replaced(meant.into_bytes()))), ["b"]);
-    keeper.look(ms(34_000), replaced(&before));
+    assert_eq!(names(&tracker.observe(ms(33_000), FileCheck::Replaced(meant.into_bytes()))), ["b"]);
+    tracker.observe(ms(34_000), replaced(&before));
     let drained: String = (1..).zip(before).map(|(p, n)| entry(n, p, "state = \"draining\"\n")).collect();
     let drained = format!("count = 5\n{drained}").into_bytes();
-    assert!(matches!(keeper.look(ms(35_000), Look::Replaced(drained)), Step::Tell(_)), "drains count, too");
+    assert!(
+        matches!(tracker.observe(ms(35_000), FileCheck::Replaced(drained)), ReloadAction::Report(_)),
+        "drains count, too"
+    );
 }
 
 #[test]
 fn a_file_that_can_t_be_read_changes_nothing() {
-    let mut keeper = Keeper::new(RULES);
-    keeper.look(ms(0), replaced(&["a"]));
-    let gone = || Look::Gone("can't be read: permission denied".into());
-    assert!(matches!(keeper.look(ms(100), gone()), Step::Tell(_)));
-    assert_eq!(keeper.look(ms(200), gone()), Step::Wait);
-    assert_eq!(keeper.look(ms(300), Look::Written(list(&["a"]).into_bytes())), Step::Wait);
-    assert_eq!(keeper.look(ms(600), Look::Same), Step::Wait, "back, and as it was");
-    assert_eq!(keeper.look(ms(60_000), Look::Same), Step::Wait, "nothing is wrong any more");
+    let mut tracker = ReloadTracker::new(RULES);
+    tracker.observe(ms(0), replaced(&["a"]));
+    let gone = || FileCheck::Unreadable("can't be read: permission denied".into());
+    assert!(matches!(tracker.observe(ms(100), gone()), ReloadAction::Report(_)));
+    assert_eq!(tracker.observe(ms(200), gone()), ReloadAction::None);
+    assert_eq!(tracker.observe(ms(300), FileCheck::Modified(list(&["a"]).into_bytes())), ReloadAction::None);
+    assert_eq!(tracker.observe(ms(600), FileCheck::Unchanged), ReloadAction::None, "back, and as it was");
+    assert_eq!(
+        tracker.observe(ms(60_000), FileCheck::Unchanged),
+        ReloadAction::None,
+        "nothing is wrong any more"
+    );
 }
 
 /// A real file: replaced, written in place, swapped behind a link, gone and back.
@@ -190,26 +209,26 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a directory");
     let (file, next, link) = (folder.join("list"), folder.join("next"), folder.join("link"));
-    let mut eye = Eye::new(link.clone());
-    assert!(matches!(eye.look(), Look::Gone(_)));
+    let mut watcher = FileWatcher::new(link.clone());
+    assert!(matches!(watcher.check(), FileCheck::Unreadable(_)));
     std::fs::write(&file, "one").expect("a file");
     std::os::unix::fs::symlink(&file, &link).expect("a link");
-    assert_eq!(eye.look(), Look::Written(b"one".to_vec()));
-    assert_eq!(eye.look(), Look::Same);
+    assert_eq!(watcher.check(), FileCheck::Modified(b"one".to_vec()));
+    assert_eq!(watcher.check(), FileCheck::Unchanged);
     // The same length, and perhaps the same time stamp.
     std::fs::write(&file, "two").expect("a file");
-    assert_eq!(eye.look(), Look::Written(b"two".to_vec()));
+    assert_eq!(watcher.check(), FileCheck::Modified(b"two".to_vec()));
     std::fs::write(&next, "three").expect("a file");
     std::fs::rename(&next, &file).expect("the same folder");
-    assert_eq!(eye.look(), Look::Replaced(b"three".to_vec()));
+    assert_eq!(watcher.check(), FileCheck::Replaced(b"three".to_vec()));
     std::fs::write(&next, "four").expect("a file");
     std::fs::remove_file(&link).expect("it is there");
     std::os::unix::fs::symlink(&next, &link).expect("a link");
-    assert_eq!(eye.look(), Look::Replaced(b"four".to_vec()));
+    assert_eq!(watcher.check(), FileCheck::Replaced(b"four".to_vec()));
     std::fs::remove_file(&next).expect("it is there");
-    assert!(matches!(eye.look(), Look::Gone(_)));
+    assert!(matches!(watcher.check(), FileCheck::Unreadable(_)));
     std::fs::create_dir(&next).expect("a directory");
-    assert!(matches!(eye.look(), Look::Gone(_)), "a directory is no list");
+    assert!(matches!(watcher.check(), FileCheck::Unreadable(_)), "a directory is no list");
 }
 
 proptest! {
@@ -220,16 +239,16 @@
     fn no_part_of_a_list_is_one(count in 1usize..30, cut in 0usize..4000, flip in 0usize..4000, bits in 1u8..) {
         let names: Vec<String> = (0..count).map(|n| format!("app-{n}")).collect();
         let whole = list(&names.iter().map(String::as_str).collect::<Vec<_>>()).into_bytes();
-        prop_assert_eq!(read(&whole).map(|l| l.boxes.len()), Ok(count));
+        prop_assert_eq!(parse(&whole).map(|l| l.servers.len()), Ok(count));
         let cut = cut % whole.len();
-        if let Ok(part) = read(&whole[..cut]) {
+        if let Ok(part) = parse(&whole[..cut]) {
             // The last line feed alone is missing.
-            prop_assert!(cut == whole.len() - 1 && part.boxes.len() == count);
+            prop_assert!(cut == whole.len() - 1 && part.servers.len() == count);
         }
         let mut bent = whole.clone();
         bent[flip % whole.len()] ^= bits;
-        if let Ok(list) = read(&bent) {
-            prop_assert!(list.boxes.len() == count);
+        if let Ok(list) = parse(&bent) {
+            prop_assert!(list.servers.len() == count);
         }
     }
 }
@@ -244,15 +263,17 @@
     let (tell, told) = std::sync::mpsc::channel();
     let look = path.clone();
     std::thread::spawn(move || {
-        let mut eye = Eye::new(look.clone());
-        tell.send(eye.look()).expect("the test waits");
+        let mut watcher = FileWatcher::new(look.clone());
+        tell.send(watcher.check()).expect("the test waits");
         std::fs::remove_file(&look).expect("it is there");
         std::fs::write(&look, list(&["a"])).expect("a file");
-        tell.send(eye.look()).expect("the test waits");
+        tell.send(watcher.check()).expect("the test waits");
     });
     let wait = Duration::from_secs(20);
-    assert_eq!(told.recv_timeout(wait), Ok(Look::Gone("can't be read: not a file".into())));
-    assert!(matches!(told.recv_timeout(wait), Ok(Look::Written(bytes)) if bytes == list(&["a"]).as_bytes()));
+    assert_eq!(told.recv_timeout(wait), Ok(FileCheck::Unreadable("can't be read: not a file".into())));
+    assert!(
+        matches!(told.recv_timeout(wait), Ok(FileCheck::Modified(bytes)) if bytes == list(&["a"]).as_bytes())
+    );
     std::fs::remove_file(&path).expect("it was there");
 }
 
@@ -263,25 +284,38 @@
 fn a_copy_cut_within_its_last_boxs_optional_lines_is_refused() {
     let whole = format!("count = 1\n{}", entry("a", 1, "weight = 2.0\nstate = \"draining\"\n"));
     let cut = whole.len() - "state = \"draining\"\n".len();
-    assert!(read(whole.as_bytes()).is_ok());
-    assert!(read(&whole.as_bytes()[..cut]).is_err(), "a cut copy was read as a whole list");
+    assert!(parse(whole.as_bytes()).is_ok());
+    assert!(parse(&whole.as_bytes()[..cut]).is_err(), "a cut copy was read as a whole list");
 }
 
 /// The last box drains, and a copy of the same file comes that is cut before that word: it must not bring the box back.
 #[test]
 fn the_beginning_of_the_list_that_holds_is_held() {
     let hold = Duration::from_secs(10);
-    let rules = Rules { hold, still: Duration::from_millis(250), tell: Duration::from_secs(30) };
-    let mut keeper = Keeper::new(rules);
+    let rules = ReloadRules {
+        hold,
+        quiet_period: Duration::from_millis(250),
+        report_interval: Duration::from_secs(30),
+    };
+    let mut tracker = ReloadTracker::new(rules);
     let whole = format!("count = 1\n{}", entry("a", 1, "weight = 2.0\nstate = \"draining\"\n"));
     let cut = whole.as_bytes()[..whole.len() - "state = \"draining\"\n".len()].to_vec();
     let s = Duration::from_secs;
-    assert!(matches!(keeper.look(s(1), Look::Replaced(whole.clone().into())), Step::Apply(_)));
-    let Step::Tell(lines) = keeper.look(s(2), Look::Replaced(cut.clone())) else { panic!("it was taken") };
+    assert!(matches!(
+        tracker.observe(s(1), FileCheck::Replaced(whole.clone().into())),
+        ReloadAction::Apply(_)
+    ));
+    let ReloadAction::Report(lines) = tracker.observe(s(2), FileCheck::Replaced(cut.clone())) else {
+        panic!("it was taken")
+    };
     assert!(lines[0].contains("is the copy whole?"), "{lines:?}");
-    assert_eq!(keeper.look(s(3), Look::Replaced(whole.into())), Step::Wait, "the whole one is back");
+    assert_eq!(
+        tracker.observe(s(3), FileCheck::Replaced(whole.into())),
+        ReloadAction::None,
+        "the whole one is back"
+    );
     // One who means it waits.
-    assert!(matches!(keeper.look(s(4), Look::Replaced(cut)), Step::Tell(_)));
-    assert_eq!(keeper.look(s(13), Look::Same), Step::Wait);
-    assert!(matches!(keeper.look(s(14), Look::Same), Step::Apply(_)));
+    assert!(matches!(tracker.observe(s(4), FileCheck::Replaced(cut)), ReloadAction::Report(_)));
+    assert_eq!(tracker.observe(s(13), FileCheck::Unchanged), ReloadAction::None);
+    assert!(matches!(tracker.observe(s(14), FileCheck::Unchanged), ReloadAction::Apply(_)));
 }
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use magpietally_config::file::read_plain_within;
+use magpietally_config::file::read_regular_within;
 use magpietally_core::ServerListing;
 use magpietally_os_error::retry::STARTUP_TIMEOUT;
 use magpietally_os_error::{classify, Call};
@@ -175,7 +175,7 @@
     let invalid = ConfigError::Invalid;
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| invalid("BALANCER_CONFIG: not set".into()))?;
     let name = format!("BALANCER_CONFIG: {path}");
-    let text = match read_plain_within(within, path.as_ref(), MAX_FILE_BYTES) {
+    let text = match read_regular_within(within, path.as_ref(), MAX_FILE_BYTES) {
         Ok(text) => text,
         Err(error) => return Err(ConfigError::Read(name, error)),
     };
--- a/crates/http/src/http_transport.rs
+++ b/crates/http/src/http_transport.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use magpietally_config::{ListFile, State};
+use magpietally_config::{ServerListFile, ServerState};
 use magpietally_core::{
     AttemptResult, Core, ListStreamEnd, ListedServer, Metrics, ServerListing, Target, UpstreamTransport,
 };
@@ -30,12 +30,12 @@
     /// The memory budget for large messages.
     pub memory_budget: MemoryBudget,
     /// The file with the server list, if it replaces discovery.
-    pub list_file: Option<ListFile>,
+    pub list_file: Option<ServerListFile>,
 }
 
 impl HttpTransport {
     /// A transport without connections.
-    pub fn new(config: Config, list_file: Option<ListFile>, figures: Metrics) -> Self {
+    pub fn new(config: Config, list_file: Option<ServerListFile>, figures: Metrics) -> Self {
         let connect = config.received.settings.limits.connect_timeout;
         let pool =
             Rc::new(Pool::new(config.max_server_connections(), config.received.keepalive, connect, figures));
@@ -97,22 +97,22 @@
 
 /// Passes each list in a file to the core as complete: the policy treats servers that are no longer listed as
 /// gone.
-async fn follow_file(core: Rc<Core<HttpTransport>>, mut file: ListFile) -> ListStreamEnd {
+async fn follow_file(core: Rc<Core<HttpTransport>>, mut file: ServerListFile) -> ListStreamEnd {
     while let Some(applied) = file.next().await {
-        let member = |b: &magpietally_config::AppBox| ListedServer {
+        let member = |b: &magpietally_config::AppServer| ListedServer {
             name: b.name.clone(),
             address: Some(b.address),
             zone: b.zone.clone(),
             kind: b.kind.clone(),
             cell: b.cell,
             state: match b.state {
-                State::Active => ListedState::Up,
-                State::Draining => ListedState::Draining,
+                ServerState::Active => ListedState::Up,
+                ServerState::Draining => ListedState::Draining,
             },
             weight: b.weight,
             start_ms: b.started_ms,
         };
-        let members = applied.list.boxes.iter().map(member).collect();
+        let members = applied.list.servers.iter().map(member).collect();
         core.list_received(ServerListing { version: applied.version, complete: true, servers: members });
     }
     let words = "the server list file is no longer watched".to_string();
--- a/crates/http/src/node.rs
+++ b/crates/http/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use magpietally_config::ListFile;
+use magpietally_config::ServerListFile;
 use magpietally_core::{AdmissionControl, Core, Lifecycle, Process, Setup};
 use magpietally_ledger::Ledger;
 use magpietally_net::{listen, Listener};
@@ -59,7 +59,7 @@
     /// Records requests that must not run twice before they are sent.
     pub ledger: Option<Ledger>,
     /// The source of the server list, in place of discovery.
-    pub server_list: Option<ListFile>,
+    pub server_list: Option<ServerListFile>,
     /// Admission decisions of the fleet.
     pub admission: Option<Arc<dyn AdmissionControl>>,
 }
--- a/src/commands/boxes.rs
+++ b/src/commands/boxes.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand};
-use magpietally_config::boxes::{read, right_sum, FILE_MOST};
 use magpietally_config::file::read as read_file;
-use magpietally_config::{Problem, State};
+use magpietally_config::server_list::{expected_sum, parse, FILE_MAX_BYTES};
+use magpietally_config::{Problem, ServerState};
 use serde_json::json;
 
 use super::{wrong, Failure};
@@ -38,23 +38,23 @@
         BoxesCommand::Sum { file } => file,
     };
     let name = file.display().to_string();
-    let bytes = read_file(file, FILE_MOST).map_err(|e| Failure::Wrong(format!("{name}: {e}")))?;
+    let bytes = read_file(file, FILE_MAX_BYTES).map_err(|e| Failure::Wrong(format!("{name}: {e}")))?;
     let args = match command {
         BoxesCommand::Check(args) => args,
         BoxesCommand::Sum { .. } => {
-            let sum = right_sum(&bytes)
+            let sum = expected_sum(&bytes)
                 .ok_or_else(|| Failure::Wrong(format!("{name}: it has no sum = \"...\"")))?;
             println!("{sum}");
             return Ok(());
         }
     };
-    match read(&bytes) {
+    match parse(&bytes) {
         Ok(list) => {
-            let draining = list.boxes.iter().filter(|b| b.state == State::Draining).count();
+            let draining = list.servers.iter().filter(|b| b.state == ServerState::Draining).count();
             if args.json {
-                println!("{}", json!({"boxes": list.boxes.len(), "draining": draining, "problems": []}));
+                println!("{}", json!({"boxes": list.servers.len(), "draining": draining, "problems": []}));
             } else {
-                println!("{name}: {} boxes, {draining} of them draining", list.boxes.len());
+                println!("{name}: {} boxes, {draining} of them draining", list.servers.len());
             }
             Ok(())
         }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -6,7 +6,7 @@
 pub mod ledger;
 pub mod site;
 
-use magpietally_config::file::{read_plain_within, read_text};
+use magpietally_config::file::{read_regular_within, read_text};
 use magpietally_os_error::retry::STARTUP_TIMEOUT;
 use serde::de::DeserializeOwned;
 
@@ -46,8 +46,8 @@
 /// # Errors
 /// One line that names the file, and the line or the field.
 pub fn toml_file<T: DeserializeOwned>(file: &str, most: usize) -> Result<T, Failure> {
-    let text =
-        read_plain_within(STARTUP_TIMEOUT, file.as_ref(), most).map_err(|e| wrong(file, &[e.to_string()]))?;
+    let text = read_regular_within(STARTUP_TIMEOUT, file.as_ref(), most)
+        .map_err(|e| wrong(file, &[e.to_string()]))?;
     toml::from_str(&text).map_err(|error| {
         let line =
             error.span().map_or(1, |span| 1 + text[..span.start.min(text.len())].matches('\n').count());
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use magpietally_config::fleet_policy::{self, Document, Ground};
+use magpietally_config::fleet_policy::{self, BaseSettings, Document};
 use magpietally_core::{stable_hash, AdmissionControl, AdmissionDecision, AdmissionRequest, ProposalError};
 use magpietally_policy::Settings;
 use magpietally_policy_change::{
@@ -49,7 +49,7 @@
 /// What the fleet's thread and the node's workers share.
 pub struct Shared {
     me: Peer,
-    ground: Ground,
+    ground: BaseSettings,
     rooms: Mutex<Rooms>,
     records: Option<File>,
 }
@@ -64,7 +64,7 @@
     /// The rooms at a node's start.
     pub fn new(
         me: Peer,
-        ground: Ground,
+        ground: BaseSettings,
         policy: PolicyChange,
         quota: Quota,
         records: Option<File>,
@@ -126,7 +126,7 @@
         rooms.quotas_of = active;
         let text = rooms.policy.state().document.clone();
         // It was checked here before it was accepted, or this node serves nothing under it (`document_error`).
-        let Ok(Document { settings, mut quotas }) = fleet_policy::read(&text, &self.ground) else { return };
+        let Ok(Document { settings, mut quotas }) = fleet_policy::parse(&text, &self.ground) else { return };
         quotas.version = active.0;
         if let Err(error) = rooms.quota.set_policy(now, &quotas) {
             tracing::error!(target: "fleet", "version {}: quotas: {error}", active.0);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-use magpietally_config::fleet_policy::{self, Ground};
+use magpietally_config::fleet_policy::{self, BaseSettings};
 use magpietally_consensus as consensus;
 use magpietally_os_error::retry::{self, Backoff, STARTUP_TIMEOUT};
 use magpietally_os_error::{classify, Call};
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// The name, the store, a socket or a thread can't be had.
-pub fn start(name: &str, options: Options, ground: Ground) -> Result<Running, Failure> {
+pub fn start(name: &str, options: Options, ground: BaseSettings) -> Result<Running, Failure> {
     let failed = |what: &str, why: String| Failure::Failed(format!("fleet: {what}: {why}"));
     let name = Name::new(name).map_err(|e| Failure::Wrong(format!("fleet: name {name:?}: {e}")))?;
     let place = options.store.display().to_string();
@@ -66,7 +66,7 @@
         .map_err(|e| failed(&place, e.to_string()))?;
     let check = ground.clone();
     let check = Box::new(move |text: &[u8]| {
-        fleet_policy::read(text, &check).map(|_| ()).map_err(|wrong| wrong.to_string())
+        fleet_policy::parse(text, &check).map(|_| ()).map_err(|wrong| wrong.to_string())
     });
     let policy = PolicyChange::new(me.clone(), options.policy.clone(), check, now)
         .map_err(|e| Failure::Wrong(format!("fleet: {e}")))?;
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use magpietally_config::file::read_plain;
+use magpietally_config::file::read_regular;
 use magpietally_consensus::{check as log_check, Node, StateMachine, Topic, Write};
 use magpietally_policy_change::{AbortReason, ProposalOutcome, ProposalStatus, Version, DOCUMENT_MAX_BYTES};
 use magpietally_store::disk::Folder;
@@ -263,7 +263,7 @@
             }
         }
         let path = document.path.display();
-        let text = match read_plain(&document.path, DOCUMENT_MAX_BYTES) {
+        let text = match read_regular(&document.path, DOCUMENT_MAX_BYTES) {
             Ok(text) => text.into_bytes(),
             // It may be in the middle of being replaced; if not, there is nothing to propose.
             Err(error) => return tracing::debug!(target: "fleet", "{path}: {error}"),
--- a/src/main.rs
+++ b/src/main.rs
@@ -19,8 +19,8 @@
 use commands::site::SiteCommand;
 use commands::Failure;
 use logging::Format;
-use magpietally_config::fleet_policy::Ground;
-use magpietally_config::ListFile;
+use magpietally_config::fleet_policy::BaseSettings;
+use magpietally_config::ServerListFile;
 use magpietally_core::AdmissionControl;
 use magpietally_http::OperatorOptions;
 
@@ -124,14 +124,14 @@
         std::thread::sleep(Duration::from_millis(50));
         std::process::exit(101);
     }));
-    let boxes = operators.boxes.as_ref().map(ListFile::start).transpose();
+    let boxes = operators.boxes.as_ref().map(ServerListFile::start).transpose();
     let boxes = boxes.map_err(|e| format!("boxes.file: {e}"))?;
     let (ledger, running) = match operators.ledger {
         Some(options) => operators::start_ledger(&config.name, options)?,
         None => (None, None),
     };
     let members = members.map(|options| membership::start(&config.name, options)).transpose()?;
-    let ground = || Ground {
+    let ground = || BaseSettings {
         settings: config.received.settings.clone(),
         classes: config.received.classes.clone(),
         tenants: config.received.tenants.clone(),
