--- a/src/commands/boxes.rs
+++ b/src/commands/boxes.rs
@@ -8,7 +8,7 @@
 use magpietally_config::{Problem, ServerState};
 use serde_json::json;
 
-use super::{wrong, Failure};
+use super::{invalid_input, CommandError};
 
 /// What to do with a list.
 #[derive(Subcommand)]
@@ -32,18 +32,19 @@
 }
 
 /// Carries it out.
-pub fn run(command: &BoxesCommand) -> Result<(), Failure> {
+pub fn run(command: &BoxesCommand) -> Result<(), CommandError> {
     let file = match command {
         BoxesCommand::Check(args) => &args.file,
         BoxesCommand::Sum { file } => file,
     };
     let name = file.display().to_string();
-    let bytes = read_file(file, FILE_MAX_BYTES).map_err(|e| Failure::Wrong(format!("{name}: {e}")))?;
+    let bytes =
+        read_file(file, FILE_MAX_BYTES).map_err(|e| CommandError::InvalidInput(format!("{name}: {e}")))?;
     let args = match command {
         BoxesCommand::Check(args) => args,
         BoxesCommand::Sum { .. } => {
             let sum = expected_sum(&bytes)
-                .ok_or_else(|| Failure::Wrong(format!("{name}: it has no sum = \"...\"")))?;
+                .ok_or_else(|| CommandError::InvalidInput(format!("{name}: it has no sum = \"...\"")))?;
             println!("{sum}");
             return Ok(());
         }
@@ -62,7 +63,7 @@
             if args.json {
                 println!("{}", json!({ "problems": problems }));
             }
-            Err(wrong(&name, &problems.iter().map(Problem::to_string).collect::<Vec<_>>()))
+            Err(invalid_input(&name, &problems.iter().map(Problem::to_string).collect::<Vec<_>>()))
         }
     }
 }
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::site::{site_of, verdict_table};
-use super::{wrong, Failure};
+use super::{invalid_input, CommandError};
 
 /// What to show.
 #[derive(Args)]
@@ -54,10 +54,10 @@
 }
 
 impl Folder {
-    fn new(keep: Option<&PathBuf>) -> Result<Self, Failure> {
+    fn new(keep: Option<&PathBuf>) -> Result<Self, CommandError> {
         if let Some(path) = keep {
             std::fs::create_dir(path)
-                .map_err(|e| Failure::Wrong(format!("--keep: {}: {e}", path.display())))?;
+                .map_err(|e| CommandError::InvalidInput(format!("--keep: {}: {e}", path.display())))?;
             return Ok(Self { path: path.clone(), keep: true });
         }
         let path = std::env::temp_dir().join(format!("magpietally-{}", std::process::id()));
@@ -91,14 +91,17 @@
 }
 
 /// Carries it out.
-pub fn run(args: &DemoArgs) -> Result<(), Failure> {
+pub fn run(args: &DemoArgs) -> Result<(), CommandError> {
     let name = args.site.as_deref().unwrap_or("demo");
     let mut site = site_of(name)?;
     if !(args.seconds.is_finite() && args.seconds > 0.0) {
-        return Err(Failure::Wrong(format!("--seconds: {} is not above 0", args.seconds)));
+        return Err(CommandError::InvalidInput(format!("--seconds: {} is not above 0", args.seconds)));
     }
     if !(0.0..=1.0).contains(&args.straight) {
-        return Err(Failure::Wrong(format!("--straight: {} is no part of 0 to 1", args.straight)));
+        return Err(CommandError::InvalidInput(format!(
+            "--straight: {} is no part of 0 to 1",
+            args.straight
+        )));
     }
     // The course is the same, however long it takes.
     let stretch = args.seconds / site.for_s;
@@ -109,7 +112,7 @@
     if let Some(rate) = args.rate {
         (site.clients.rate_per_s, site.clients.load) = (Some(rate), None);
     }
-    site.check().map_err(|lines| wrong(name, &lines))?;
+    site.check().map_err(|lines| invalid_input(name, &lines))?;
     let folder = Folder::new(args.keep.as_ref())?;
     let program = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
     let (workers, direct) = (args.workers, args.straight);
@@ -133,7 +136,7 @@
     }
     let report = sockets::run(&site, &options, |progress| show.tell(progress));
     show.end();
-    let report = report.map_err(|e| Failure::Failed(e.to_string()))?;
+    let report = report.map_err(|e| CommandError::Failed(e.to_string()))?;
     if args.ledger.is_some() {
         let kept = folder.keep_records(&site.box_names(), &report.ran);
         kept.map_err(|e| format!("boxes' records: {e}"))?;
@@ -147,7 +150,9 @@
         print!("{}", costs(&report));
     }
     if broken > 0 || crashes > 0 {
-        return Err(Failure::Failed(format!("{broken} rules broken, {crashes} nodes ended by themselves")));
+        return Err(CommandError::Failed(format!(
+            "{broken} rules broken, {crashes} nodes ended by themselves"
+        )));
     }
     Ok(())
 }
--- a/src/commands/experiment.rs
+++ b/src/commands/experiment.rs
@@ -7,7 +7,7 @@
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use magpietally_site::experiment::{table, worst_first, Kept, Line, Plan};
 
-use super::{text_of, wrong, Failure};
+use super::{invalid_input, read_text_file, CommandError};
 
 /// What to compare.
 #[derive(Args)]
@@ -29,11 +29,11 @@
 }
 
 /// Carries it out.
-pub fn run(args: &ExperimentArgs) -> Result<(), Failure> {
-    let text = text_of(&args.file).map_err(Failure::Wrong)?;
-    let plan = Plan::read(&text, text_of).map_err(|lines| wrong(&args.file, &lines))?;
+pub fn run(args: &ExperimentArgs) -> Result<(), CommandError> {
+    let text = read_text_file(&args.file).map_err(CommandError::InvalidInput)?;
+    let plan = Plan::read(&text, read_text_file).map_err(|lines| invalid_input(&args.file, &lines))?;
     let before = match &args.results {
-        Some(file) if std::path::Path::new(file).exists() => text_of(file)?,
+        Some(file) if std::path::Path::new(file).exists() => read_text_file(file)?,
         _ => String::new(),
     };
     let mut results: BTreeMap<String, Kept> = plan.resume(&before);
@@ -87,5 +87,5 @@
             println!("worst: {goal:.4}  {site} --seed {seed}");
         }
     }
-    trouble.map_or(Ok(()), |words| Err(Failure::Failed(words)))
+    trouble.map_or(Ok(()), |words| Err(CommandError::Failed(words)))
 }
--- a/src/commands/ledger.rs
+++ b/src/commands/ledger.rs
@@ -15,7 +15,7 @@
 use magpietally_ledger::segment::Owner;
 use serde_json::json;
 
-use super::Failure;
+use super::CommandError;
 
 /// What recovery may hold here, where there is a whole machine's memory.
 const BOUNDS: RecoveryLimits = RecoveryLimits { open: 1 << 20, findings: 10_000 };
@@ -105,7 +105,7 @@
 }
 
 /// Carries it out.
-pub fn run(command: &LedgerCommand) -> Result<(), Failure> {
+pub fn run(command: &LedgerCommand) -> Result<(), CommandError> {
     let mut out = Out(BufWriter::new(std::io::stdout().lock()));
     let done = match command {
         LedgerCommand::Show(args) => show(args, &mut out),
@@ -124,11 +124,11 @@
 struct Out<'a>(BufWriter<std::io::StdoutLock<'a>>);
 
 impl Out<'_> {
-    fn gone(error: std::io::Error) -> Result<(), Failure> {
+    fn gone(error: std::io::Error) -> Result<(), CommandError> {
         if error.kind() == ErrorKind::BrokenPipe {
             std::process::exit(0);
         }
-        Err(Failure::Failed(format!("standard output: {error}")))
+        Err(CommandError::Failed(format!("standard output: {error}")))
     }
 
     fn line(&mut self, line: &str) {
@@ -146,9 +146,9 @@
     }
 }
 
-fn owner(directory: &Path) -> Result<Owner, Failure> {
-    let own =
-        read_identity(directory).map_err(|e| Failure::Wrong(format!("{}: {e}", directory.display())))?;
+fn owner(directory: &Path) -> Result<Owner, CommandError> {
+    let own = read_identity(directory)
+        .map_err(|e| CommandError::InvalidInput(format!("{}: {e}", directory.display())))?;
     Ok(own.owner)
 }
 
@@ -157,7 +157,7 @@
     directory: &Path,
     reach: ReadScope,
     mut sink: impl FnMut(&LocatedRecord),
-) -> Result<Recovered, Failure> {
+) -> Result<Recovered, CommandError> {
     let owner = owner(directory)?;
     let bar =
         if std::io::stderr().is_terminal() { ProgressBar::new_spinner() } else { ProgressBar::hidden() };
@@ -171,7 +171,7 @@
         sink(&seen);
     });
     bar.finish_and_clear();
-    recovered.map_err(|e| Failure::Failed(format!("{}: {e}", directory.display())))
+    recovered.map_err(|e| CommandError::Failed(format!("{}: {e}", directory.display())))
 }
 
 fn time(at: Timestamp) -> String {
@@ -233,7 +233,7 @@
 }
 
 /// Prints records as they are read.
-fn records(directory: &Path, id: Option<&str>, json: bool, out: &mut Out) -> Result<Recovered, Failure> {
+fn records(directory: &Path, id: Option<&str>, json: bool, out: &mut Out) -> Result<Recovered, CommandError> {
     let mut numbers = Vec::new();
     read(directory, ReadScope::All, |seen| {
         if id.is_some_and(|id| !is_about(&seen.record, id, &mut numbers)) {
@@ -248,7 +248,7 @@
     })
 }
 
-fn show(args: &ShowArgs, out: &mut Out) -> Result<(), Failure> {
+fn show(args: &ShowArgs, out: &mut Out) -> Result<(), CommandError> {
     let recovered = records(&args.read.directory, args.id.as_deref(), args.read.json, out)?;
     if !args.read.json {
         recovered.findings.iter().for_each(|finding| out.line(&format!("! {finding}")));
@@ -256,7 +256,7 @@
     Ok(())
 }
 
-fn open(args: &ReadArgs, out: &mut Out) -> Result<(), Failure> {
+fn open(args: &ReadArgs, out: &mut Out) -> Result<(), CommandError> {
     let recovered = read(&args.directory, ReadScope::Checkpoint, |_| {})?;
     for open in &recovered.open {
         if args.json {
@@ -274,7 +274,7 @@
     Ok(())
 }
 
-fn verify(args: &ReadArgs, out: &mut Out) -> Result<(), Failure> {
+fn verify(args: &ReadArgs, out: &mut Out) -> Result<(), CommandError> {
     let recovered = read(&args.directory, ReadScope::All, |_| {})?;
     if args.json {
         out.json(&json!({
@@ -293,16 +293,16 @@
         ));
     }
     if recovered.is_damaged() {
-        return Err(Failure::Failed(format!("{}: damaged", args.directory.display())));
+        return Err(CommandError::Failed(format!("{}: damaged", args.directory.display())));
     }
     Ok(())
 }
 
-fn follow(args: &FollowArgs, out: &mut Out) -> Result<(), Failure> {
+fn follow(args: &FollowArgs, out: &mut Out) -> Result<(), CommandError> {
     let directory = &args.read.directory;
     let end = match args.seconds {
         Some(s) if !(s.is_finite() && s >= 0.0) => {
-            return Err(Failure::Wrong(format!("--seconds: {s} is no time")))
+            return Err(CommandError::InvalidInput(format!("--seconds: {s} is no time")))
         }
         seconds => seconds.map(|s| std::time::Instant::now() + Duration::from_secs_f64(s)),
     };
@@ -325,7 +325,7 @@
                 ));
             }
         });
-        polled.map_err(|e| Failure::Failed(format!("{}: {e}", directory.display())))?;
+        polled.map_err(|e| CommandError::Failed(format!("{}: {e}", directory.display())))?;
         out.0.flush().or_else(Out::gone)?;
         if end.is_some_and(|end| std::time::Instant::now() >= end) {
             return Ok(());
@@ -335,14 +335,15 @@
 }
 
 /// The boxes' records.
-fn runs(files: &[PathBuf]) -> Result<Vec<ServerRun>, Failure> {
+fn runs(files: &[PathBuf]) -> Result<Vec<ServerRun>, CommandError> {
     let mut all = Vec::new();
     for file in files {
         let name = file.display();
-        let open = std::fs::File::open(file).map_err(|e| Failure::Wrong(format!("{name}: {e}")))?;
+        let open =
+            std::fs::File::open(file).map_err(|e| CommandError::InvalidInput(format!("{name}: {e}")))?;
         let mut from = BufReader::new(open);
         for n in 1.. {
-            let bad = |words: String| Failure::Wrong(format!("{name}: line {n}: {words}"));
+            let bad = |words: String| CommandError::InvalidInput(format!("{name}: line {n}: {words}"));
             let mut line = Vec::new();
             // A file that is no file of lines, as a device, must not fill the memory with its first.
             let read = from.by_ref().take(LINE_MOST + 1).read_until(b'\n', &mut line);
@@ -361,7 +362,7 @@
     Ok(all)
 }
 
-fn reconcile(args: &ReconcileArgs, out: &mut Out) -> Result<(), Failure> {
+fn reconcile(args: &ReconcileArgs, out: &mut Out) -> Result<(), CommandError> {
     let runs = runs(&args.boxes)?;
     let (mut books, mut damaged) = (LedgerIndex::new(), false);
     for (n, directory) in args.directories.iter().enumerate() {
@@ -397,14 +398,14 @@
     if all.is_empty() && !damaged {
         return Ok(());
     }
-    Err(Failure::Failed("the ledgers and the boxes' records differ".to_string()))
+    Err(CommandError::Failed("the ledgers and the boxes' records differ".to_string()))
 }
 
-fn settle(args: &SettleArgs, out: &mut Out) -> Result<(), Failure> {
+fn settle(args: &SettleArgs, out: &mut Out) -> Result<(), CommandError> {
     let runs = runs(&args.boxes)?;
     let name = args.directory.display();
     let owner = owner(&args.directory)?;
-    let failed = |e: &dyn std::fmt::Display| Failure::Failed(format!("{name}: {e}"));
+    let failed = |e: &dyn std::fmt::Display| CommandError::Failed(format!("{name}: {e}"));
     let _lock = Lock::acquire(&args.directory).map_err(|e| failed(&e))?;
     let mut books = LedgerIndex::new();
     read(&args.directory, ReadScope::All, |seen| books.add(0, seen))?;
--- a/src/commands/site.rs
+++ b/src/commands/site.rs
@@ -6,7 +6,7 @@
 use magpietally_site::model::spec::Site;
 use magpietally_site::virt::{self, Misdeed, Pick, Variant};
 
-use super::{text_of, wrong, Failure};
+use super::{invalid_input, read_text_file, CommandError};
 
 /// What to do with a site.
 #[derive(Subcommand)]
@@ -55,32 +55,33 @@
 }
 
 /// A site by its embedded name or from a file.
-pub fn site_of(name: &str) -> Result<Site, Failure> {
+pub fn site_of(name: &str) -> Result<Site, CommandError> {
     match examples::site(name) {
         Some(site) => Ok(site),
         None => {
             let words = |e| format!("{e}; the embedded sites are {}", examples::names().join(", "));
-            let text = text_of(name).map_err(|e| Failure::Wrong(words(e)))?;
-            Site::read(&text).map_err(|lines| wrong(name, &lines))
+            let text = read_text_file(name).map_err(|e| CommandError::InvalidInput(words(e)))?;
+            Site::read(&text).map_err(|lines| invalid_input(name, &lines))
         }
     }
 }
 
 /// A variant by its name.
-fn variant_of(name: &str) -> Result<Variant, Failure> {
+fn variant_of(name: &str) -> Result<Variant, CommandError> {
     if name == "policy" {
         return Ok(Variant::policy());
     }
     let pick = Pick::ALL.into_iter().find(|p| p.name() == name).map(Variant::baseline);
     let misdeed = || Misdeed::ALL.into_iter().find(|m| m.name() == name).map(Variant::faulty);
-    pick.or_else(misdeed).ok_or_else(|| Failure::Wrong(format!("--variant: {name:?} is unknown")))
+    pick.or_else(misdeed).ok_or_else(|| CommandError::InvalidInput(format!("--variant: {name:?} is unknown")))
 }
 
 /// Carries it out.
-pub fn run(command: &SiteCommand) -> Result<(), Failure> {
+pub fn run(command: &SiteCommand) -> Result<(), CommandError> {
     match command {
         SiteCommand::Check { file } => {
-            let site = Site::read(&text_of(file).map_err(Failure::Wrong)?).map_err(|l| wrong(file, &l))?;
+            let site = Site::read(&read_text_file(file).map_err(CommandError::InvalidInput)?)
+                .map_err(|l| invalid_input(file, &l))?;
             println!(
                 "{file}: {} boxes, {} nodes, {:.0} requests a second for {} s; {}",
                 site.box_count(),
@@ -96,7 +97,7 @@
                 print!("{text}");
                 Ok(())
             }
-            None => Err(Failure::Wrong(format!("{name:?} is no embedded file: club, demo"))),
+            None => Err(CommandError::InvalidInput(format!("{name:?} is no embedded file: club, demo"))),
         },
         SiteCommand::Run(args) => play(args),
     }
@@ -120,11 +121,11 @@
     }
 }
 
-fn play(args: &RunArgs) -> Result<(), Failure> {
+fn play(args: &RunArgs) -> Result<(), CommandError> {
     let mut site = site_of(&args.site)?;
     site.for_s = args.seconds.unwrap_or(site.for_s);
     resize(&mut site, args.nodes, args.boxes);
-    site.check().map_err(|lines| wrong(&args.site, &lines))?;
+    site.check().map_err(|lines| invalid_input(&args.site, &lines))?;
     let variant = variant_of(&args.variant)?;
     let (run, took) = virt::run_timed(&site, args.seed, &variant);
     if args.cost {
@@ -149,7 +150,7 @@
     }
     let broken = run.verdict.rules_broken();
     if broken > 0 {
-        return Err(Failure::Failed(format!("{broken} rules broken")));
+        return Err(CommandError::Failed(format!("{broken} rules broken")));
     }
     Ok(())
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -28,14 +28,14 @@
 use magpietally_transport::{Name, Peer};
 use signal_hook::consts::SIGXFSZ;
 
-use crate::commands::Failure;
+use crate::commands::CommandError;
 pub use gate::Shared;
 pub use settings::{read, Options};
 
 /// The fleet's thread at work.
-pub struct Running {
+pub struct FleetThread {
     /// What the node asks.
-    pub gate: Arc<Shared>,
+    pub shared: Arc<Shared>,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Result<(), String>>,
 }
@@ -44,9 +44,10 @@
 ///
 /// # Errors
 /// The name, the store, a socket or a thread can't be had.
-pub fn start(name: &str, options: Options, ground: BaseSettings) -> Result<Running, Failure> {
-    let failed = |what: &str, why: String| Failure::Failed(format!("fleet: {what}: {why}"));
-    let name = Name::new(name).map_err(|e| Failure::Wrong(format!("fleet: name {name:?}: {e}")))?;
+pub fn start(name: &str, options: Options, ground: BaseSettings) -> Result<FleetThread, CommandError> {
+    let failed = |what: &str, why: String| CommandError::Failed(format!("fleet: {what}: {why}"));
+    let name =
+        Name::new(name).map_err(|e| CommandError::InvalidInput(format!("fleet: name {name:?}: {e}")))?;
     let place = options.store.display().to_string();
     // A file that reaches the process's limit is to be refused at its write, as a full disk is, and not to end the node.
     signal_hook::flag::register(SIGXFSZ, Arc::default()).map_err(|e| failed("SIGXFSZ", e.to_string()))?;
@@ -66,10 +67,10 @@
         .map_err(|e| failed(&place, e.to_string()))?;
     let check = ground.clone();
     let check = Box::new(move |text: &[u8]| {
-        fleet_policy::parse(text, &check).map(|_| ()).map_err(|wrong| wrong.to_string())
+        fleet_policy::parse(text, &check).map(|_| ()).map_err(|error| error.to_string())
     });
     let policy = PolicyChange::new(me.clone(), options.policy.clone(), check, now)
-        .map_err(|e| Failure::Wrong(format!("fleet: {e}")))?;
+        .map_err(|e| CommandError::InvalidInput(format!("fleet: {e}")))?;
     let mut quota = Quota::new(me.clone(), magpietally_quota::LeaseSettings::default(), now);
     if let Some(planted) = &options.planted {
         quota.inject_fault(planted);
@@ -79,7 +80,7 @@
         retry::at_start(Call::File, "records", open)
             .map_err(|e| failed("records", format!("{}: {e}", path.display())))
     });
-    let gate = Shared::new(me.clone(), ground, policy, quota, records.transpose()?);
+    let shared = Shared::new(me.clone(), ground, policy, quota, records.transpose()?);
     let fleet = FleetId::from_name(&options.fleet);
     let mut udp = Udp::bind(me.clone(), fleet, options.listen.datagrams)
         .map_err(|e| failed("datagrams", format!("{}: {e}", options.listen.datagrams)))?;
@@ -88,7 +89,7 @@
         .map_err(|e| failed("streams", format!("{}: {e}", options.listen.streams)))?;
     for (peer, at) in &options.peers {
         if !(udp.set_peer(peer.clone(), at.datagrams) && tcp.set_peer(peer.clone(), at.streams)) {
-            return Err(Failure::Wrong(format!("fleet: peers: {peer}: more than are kept")));
+            return Err(CommandError::InvalidInput(format!("fleet: peers: {peer}: more than are kept")));
         }
     }
     log.set_peers(&options.peers.keys().cloned().collect::<Vec<_>>());
@@ -96,10 +97,10 @@
     tracing::info!(target: "fleet", "{me} of {} at {datagrams} and {}", options.fleet, tcp.address());
     let stop = Arc::new(AtomicBool::new(false));
     let carrier =
-        thread::Carrier::new(gate.clone(), log, store, udp, tcp, options.policy_file.clone(), stop.clone());
+        thread::Carrier::new(shared.clone(), log, store, udp, tcp, options.policy_file.clone(), stop.clone());
     let thread =
         retry::spawn("fleet", move || carrier.run()).map_err(|e| failed("a thread", e.to_string()))?;
-    Ok(Running { gate, stop, thread })
+    Ok(FleetThread { shared, stop, thread })
 }
 
 /// Opens the store; a disk that fails or is full for a moment is waited for.
@@ -125,7 +126,7 @@
     }
 }
 
-impl Running {
+impl FleetThread {
     /// Gives the leases back and ends the thread.
     ///
     /// # Errors
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -10,7 +10,7 @@
 use magpietally_transport::{Name, Now, Peer};
 use serde::Deserialize;
 
-use crate::commands::{toml_file, wrong, Failure};
+use crate::commands::{invalid_input, read_toml_file, CommandError};
 
 /// The largest file that is read, in bytes: a thousand peers take a tenth of it.
 const FILE_MOST: usize = 1 << 20;
@@ -81,9 +81,9 @@
 ///
 /// # Errors
 /// One line that names the file, and the line or the field.
-pub fn read(file: &str) -> Result<Options, Failure> {
-    let parsed: File = toml_file(file, FILE_MOST)?;
-    let fail = |field: &str, what: String| wrong(file, &[format!("{field}: {what}")]);
+pub fn read(file: &str) -> Result<Options, CommandError> {
+    let parsed: File = read_toml_file(file, FILE_MOST)?;
+    let fail = |field: &str, what: String| invalid_input(file, &[format!("{field}: {what}")]);
     if parsed.fleet.is_empty() || parsed.fleet.len() > FLEET_MOST {
         return Err(fail("fleet", format!("a name of 1 to {FLEET_MOST} bytes is needed")));
     }
--- a/src/fleet/settings/tests.rs
+++ b/src/fleet/settings/tests.rs
@@ -22,7 +22,7 @@
         ),
     ] {
         std::fs::write(&file, &text).expect("a file");
-        let Err(Failure::Wrong(told)) = read(&path) else { panic!("{text}") };
+        let Err(CommandError::InvalidInput(told)) = read(&path) else { panic!("{text}") };
         assert!(told.starts_with(&format!("{path}: {words}")), "{told}");
     }
     std::fs::remove_file(&file).expect("it was there");
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -17,7 +17,7 @@
 
 use super::clock;
 use super::gate::{Line, Shared};
-use crate::end::end_in_order;
+use crate::shutdown::request_shutdown;
 
 /// How long the thread rests when nothing came: a message waits that long at most, an entry takes some of these, and five
 /// hundred looks a second cost half a hundredth of a core.
@@ -79,7 +79,7 @@
             if let Some(words) = self.doubt.take() {
                 // Nothing is known of what is on the disk: only a new start can read it. What the node has taken it still
                 // answers; the fleet hears no more of it.
-                end_in_order("fleet", &words);
+                request_shutdown("fleet", &words);
                 return Err(format!("fleet: {words}"));
             }
             let came = self.hear();
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log: lines to standard error by a thread of its own. Nothing waits on a full pipe: lines beyond a bound are
-//! dropped and counted, and so are those that can't be written.
+//! Logging to standard error by a dedicated thread. Callers never block on a full pipe: lines beyond the queue's
+//! capacity are dropped and counted, and so are lines that can't be written.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,44 +10,44 @@
 use magpietally_os_error::{classify, retry, Call, Class};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that may wait to be written; further ones are dropped.
-const WAITING: usize = 256;
-/// How long the end of the program waits for the last lines: a full pipe must not hold it up.
-const LAST_LINES: Duration = Duration::from_millis(50);
+/// Lines that may be queued for writing; further ones are dropped.
+const QUEUE_CAPACITY: usize = 256;
+/// How long the program waits at exit for the last lines: a full pipe must not delay the exit.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// `target: words`, for people.
+    /// `target: message`, for people.
     Text,
-    /// One object a line, for programs.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// The log while it is open.
+/// An open log.
 pub struct Log {
-    queue: Queue,
-    written: mpsc::Receiver<()>,
+    queue: LineQueue,
+    finished: mpsc::Receiver<()>,
 }
 
-/// What the writing thread is told.
-enum Entry {
+/// An item for the writing thread.
+enum QueueItem {
     Line(Vec<u8>),
-    /// The log is closed: what came before is written, and no more.
+    /// Closes the log: lines queued before it are written, later ones are not.
     Close,
 }
 
-/// Where lines wait for the thread that writes them; clones share it. A line is what is written at once.
+/// The queue of the writing thread; clones share it. Each call of `write` is one line.
 #[derive(Clone)]
-struct Queue {
-    entries: mpsc::SyncSender<Entry>,
-    lost: Arc<AtomicU64>,
+struct LineQueue {
+    items: mpsc::SyncSender<QueueItem>,
+    dropped: Arc<AtomicU64>,
 }
 
-impl Write for Queue {
+impl Write for LineQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.entries.try_send(Entry::Line(line.to_vec())).is_err() {
-            self.lost.fetch_add(1, Ordering::Relaxed);
+        if self.items.try_send(QueueItem::Line(line.to_vec())).is_err() {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -57,7 +57,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Queue {
+impl<'a> MakeWriter<'a> for LineQueue {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
@@ -65,29 +65,31 @@
     }
 }
 
-/// A bounded queue, and the thread behind it.
+/// Creates the bounded queue and starts the thread that writes its lines.
 fn start(to: impl Write + Send + 'static) -> io::Result<Log> {
-    let (entries, waiting) = mpsc::sync_channel(WAITING);
-    let lost = Arc::new(AtomicU64::new(0));
-    let (done, written) = mpsc::channel();
-    let lost_here = lost.clone();
+    let (items, queued) = mpsc::sync_channel(QUEUE_CAPACITY);
+    let dropped = Arc::new(AtomicU64::new(0));
+    let (finished_sender, finished) = mpsc::channel();
+    let dropped_by_writer = dropped.clone();
     retry::spawn("log", move || {
-        write_lines(&waiting, to, &lost_here);
-        drop(done);
+        write_lines(&queued, to, &dropped_by_writer);
+        drop(finished_sender);
     })?;
-    Ok(Log { queue: Queue { entries, lost }, written })
+    Ok(Log { queue: LineQueue { items, dropped }, finished })
 }
 
-fn write_lines(waiting: &mpsc::Receiver<Entry>, mut to: impl Write, lost: &AtomicU64) {
-    while let Ok(Entry::Line(line)) = waiting.recv() {
-        // A disk that is full for a while must not end the log, and old lines are of no more use than new ones.
+fn write_lines(queued: &mpsc::Receiver<QueueItem>, mut to: impl Write, dropped: &AtomicU64) {
+    while let Ok(QueueItem::Line(line)) = queued.recv() {
+        // A temporarily full disk must not stop logging. The line is dropped: an old line is worth no more than
+        // a new one.
         if write_line(&mut to, &line).is_err() {
-            lost.fetch_add(1, Ordering::Relaxed);
+            dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Writes a whole line, where it can. One that was begun is ended, so that the next begins a line of its own.
+/// Writes a whole line. If the write fails part way, a line feed is attempted, so that the next line starts on
+/// its own.
 fn write_line(to: &mut impl Write, line: &[u8]) -> io::Result<()> {
     let mut rest = line;
     while !rest.is_empty() {
@@ -108,7 +110,7 @@
 /// Opens the log for the whole process.
 ///
 /// # Errors
-/// Where one is open already, or there is no thread to be had.
+/// A log is open already, or the thread can't be started.
 pub fn open(format: Format) -> Result<Log, String> {
     let opened = start(io::stderr()).map_err(|e| format!("log: {e}"))?;
     let log =
@@ -124,17 +126,18 @@
 }
 
 impl Log {
-    /// How many lines have been dropped so far, as a count that can be kept.
-    pub fn lost_lines(&self) -> impl Fn() -> u64 + Clone + Send + 'static {
-        let lost = self.queue.lost.clone();
-        move || lost.load(Ordering::Relaxed)
+    /// Returns a function that reads the number of lines dropped so far.
+    pub fn dropped_lines(&self) -> impl Fn() -> u64 + Clone + Send + 'static {
+        let dropped = self.queue.dropped.clone();
+        move || dropped.load(Ordering::Relaxed)
     }
 
-    /// Writes what waits, for a short while.
+    /// Writes the queued lines, for at most [`FLUSH_TIMEOUT`].
     pub fn close(self) {
-        // Writing may block for as long as nobody reads, and the queue be full: the process does not wait for that.
-        if self.queue.entries.try_send(Entry::Close).is_ok() {
-            let _ = self.written.recv_timeout(LAST_LINES);
+        // A write may block for as long as nobody reads, and the queue may be full: the process does not wait for
+        // either.
+        if self.queue.items.try_send(QueueItem::Close).is_ok() {
+            let _ = self.finished.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A pipe that takes nothing until it is told to, and says what it took.
+/// A pipe that blocks each write until the test permits it, and reports what was written.
 struct Pipe(mpsc::Receiver<()>, mpsc::Sender<Vec<u8>>);
 
 impl Write for Pipe {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // An end of the test ends the wait.
+        // The wait ends when the test drops its sender.
         let _ = self.0.recv();
         let _ = self.1.send(bytes.to_vec());
         Ok(bytes.len())
@@ -16,28 +16,28 @@
     }
 }
 
-/// Were a line to wait for the full pipe, this test would never end.
+/// Guards against a caller that blocks on a full pipe: the test would then never finish.
 #[test]
-fn a_full_pipe_holds_up_nothing_and_what_is_dropped_is_counted() {
+fn a_full_pipe_blocks_no_caller_and_dropped_lines_are_counted() {
     const LINES: usize = 1000;
-    let ((go, gone), (took, taken)) = (mpsc::channel(), mpsc::channel());
-    let log = start(Pipe(gone, took)).expect("a thread");
+    let ((permit, permits), (accept, accepted)) = (mpsc::channel(), mpsc::channel());
+    let log = start(Pipe(permits, accept)).expect("a thread");
     let mut writer = log.queue.clone();
     for n in 0..LINES {
-        writer.write_all(format!("line {n}\n").as_bytes()).expect("it takes or drops");
+        writer.write_all(format!("line {n}\n").as_bytes()).expect("it queues or drops");
     }
-    let lost = log.lost_lines()() as usize;
-    // One may be in the writing thread's hands already.
-    assert!((LINES - WAITING - 1..=LINES - WAITING).contains(&lost), "{lost} lost");
-    for _ in 0..LINES - lost {
-        go.send(()).expect("the pipe is there");
+    let dropped = log.dropped_lines()() as usize;
+    // The writing thread may already have taken one line from the queue.
+    assert!((LINES - QUEUE_CAPACITY - 1..=LINES - QUEUE_CAPACITY).contains(&dropped), "{dropped} dropped");
+    for _ in 0..LINES - dropped {
+        permit.send(()).expect("the pipe exists");
     }
-    let written: Vec<Vec<u8>> = taken.iter().take(LINES - lost).collect();
+    let written: Vec<Vec<u8>> = accepted.iter().take(LINES - dropped).collect();
     assert_eq!(written[0], b"line 0\n", "the first ones are kept");
-    drop(go);
+    drop(permit);
 }
 
-/// A writer that fails as this says, call by call, and says what it took.
+/// A writer that returns these results call by call, and stores what it accepted.
 struct Failing(Vec<io::Result<usize>>, Vec<u8>);
 
 impl Write for Failing {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_interrupted_or_short_write_is_continued_and_a_failed_one_ends_its_line() {
+fn an_interrupted_or_short_write_is_continued_and_a_failed_one_terminates_its_line() {
     let error = |kind: io::ErrorKind| Err(kind.into());
     let mut to = Failing(vec![error(io::ErrorKind::Interrupted), Ok(3)], Vec::new());
     write_line(&mut to, b"a line\n").expect("it is written");
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -14,8 +14,8 @@
 use magpietally_os_error::{classify, retry, Call, Class};
 use serde::Deserialize;
 
-use crate::commands::{toml_file, wrong, Failure};
-use crate::end::end_in_order;
+use crate::commands::{invalid_input, read_toml_file, CommandError};
+use crate::shutdown::request_shutdown;
 
 /// The largest file that is read, in bytes.
 const FILE_MOST: usize = 1 << 16;
@@ -55,23 +55,26 @@
 ///
 /// # Errors
 /// One line that names the file, and the line or the field.
-pub fn read(file: &str) -> Result<Options, Failure> {
-    let parsed: File = toml_file(file, FILE_MOST)?;
+pub fn read(file: &str) -> Result<Options, CommandError> {
+    let parsed: File = read_toml_file(file, FILE_MOST)?;
     let address = |field: &str, value: &str| {
         value
             .parse::<SocketAddrV4>()
-            .map_err(|_| wrong(file, &[format!("{field}: {value:?} is no IPv4 address with a port")]))
+            .map_err(|_| invalid_input(file, &[format!("{field}: {value:?} is no IPv4 address with a port")]))
     };
     let listen = address("listen", &parsed.listen)?;
     let advertise = parsed.advertise.as_deref().map(|a| address("advertise", a)).transpose()?;
     if advertise.is_some_and(|a| a.port() == 0 || a.ip().is_unspecified()) {
-        return Err(wrong(
+        return Err(invalid_input(
             file,
             &["advertise: peers must be able to send to it: a port and an address".into()],
         ));
     }
     if parsed.seeds.len() > SEEDS_MOST {
-        return Err(wrong(file, &[format!("seeds: {} named, at most {SEEDS_MOST}", parsed.seeds.len())]));
+        return Err(invalid_input(
+            file,
+            &[format!("seeds: {} named, at most {SEEDS_MOST}", parsed.seeds.len())],
+        ));
     }
     let seeds = parsed.seeds.iter().map(|s| address("seeds", s)).collect::<Result<Vec<_>, _>>()?;
     let mut settings = Settings::default();
@@ -81,7 +84,7 @@
     let millis = |field: &str, value: Option<u64>, least: u64, default: Duration| match value {
         None => Ok(default),
         Some(ms) if (least..=600_000).contains(&ms) => Ok(Duration::from_millis(ms)),
-        Some(ms) => Err(wrong(file, &[format!("{field}: {ms} is out of {least} to 600000")])),
+        Some(ms) => Err(invalid_input(file, &[format!("{field}: {ms} is out of {least} to 600000")])),
     };
     settings.probe_period = millis("probe_period_ms", parsed.probe_period_ms, 100, settings.probe_period)?;
     settings.probe_rtt = settings.probe_rtt.min(settings.probe_period / 2);
@@ -90,7 +93,7 @@
 }
 
 /// The carrier at work.
-pub struct Running {
+pub struct MembershipThread {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Result<(), String>>,
 }
@@ -99,14 +102,15 @@
 ///
 /// # Errors
 /// The name is no node's name, or the socket can't be had.
-pub fn start(name: &str, options: Options) -> Result<Running, Failure> {
-    let name = Name::new(name).map_err(|e| Failure::Wrong(format!("membership: name {name:?}: {e}")))?;
+pub fn start(name: &str, options: Options) -> Result<MembershipThread, CommandError> {
+    let name =
+        Name::new(name).map_err(|e| CommandError::InvalidInput(format!("membership: name {name:?}: {e}")))?;
     let socket = retry::at_start(Call::Create, "membership", || UdpSocket::bind(options.listen))
-        .map_err(|e| Failure::Failed(format!("membership: listen {}: {e}", options.listen)))?;
+        .map_err(|e| CommandError::Failed(format!("membership: listen {}: {e}", options.listen)))?;
     let bound = match socket.local_addr() {
         Ok(SocketAddr::V4(a)) => a,
-        Ok(other) => return Err(Failure::Failed(format!("membership: bound to {other}, not IPv4"))),
-        Err(e) => return Err(Failure::Failed(format!("membership: listen {}: {e}", options.listen))),
+        Ok(other) => return Err(CommandError::Failed(format!("membership: bound to {other}, not IPv4"))),
+        Err(e) => return Err(CommandError::Failed(format!("membership: listen {}: {e}", options.listen))),
     };
     let me = NodeId { addr: options.advertise.unwrap_or(bound), name, generation: generation() };
     tracing::info!(target: "membership", "membership listens at {bound} as {me}");
@@ -116,11 +120,11 @@
     let stopping = stop.clone();
     let seeds = options.seeds;
     let thread = retry::spawn("membership", move || carry(&socket, &mut room, &seeds, &stopping))
-        .map_err(|e| Failure::Failed(format!("membership: a thread: {e}")))?;
-    Ok(Running { stop, thread })
+        .map_err(|e| CommandError::Failed(format!("membership: a thread: {e}")))?;
+    Ok(MembershipThread { stop, thread })
 }
 
-impl Running {
+impl MembershipThread {
     /// Leaves the fleet on purpose and ends the carrier.
     ///
     /// # Errors
@@ -193,7 +197,7 @@
             let (name, at) = (&me.name, first.addr);
             let words =
                 format!("membership: the name {name} is taken by the node at {at}, which started first");
-            end_in_order("membership", &words);
+            request_shutdown("membership", &words);
             return Err(words);
         }
     }
@@ -222,13 +226,13 @@
 ///
 /// # Errors
 /// No answer within 2 s, or one that does not end.
-pub fn members(at: SocketAddr) -> Result<(), Failure> {
+pub fn print_members(at: SocketAddr) -> Result<(), CommandError> {
     let local: SocketAddr = if at.ip().is_loopback() { "127.0.0.1:0" } else { "0.0.0.0:0" }
         .parse()
-        .map_err(|_| Failure::Failed("members: no local address".into()))?;
-    let failed = |e: std::io::Error| Failure::Failed(format!("members: {at}: {e}"));
+        .map_err(|_| CommandError::Failed("members: no local address".into()))?;
+    let failed = |e: std::io::Error| CommandError::Failed(format!("members: {at}: {e}"));
     let socket = retry::at_start(Call::Create, "members", || UdpSocket::bind(local))
-        .map_err(|e| Failure::Failed(format!("members: a socket: {e}")))?;
+        .map_err(|e| CommandError::Failed(format!("members: a socket: {e}")))?;
     socket.set_read_timeout(Some(ANSWER_WITHIN)).map_err(failed)?;
     let mut buf = vec![0; VIEW_PART_MAX_BYTES];
     let mut after: Option<NodeId> = None;
@@ -241,7 +245,7 @@
             return Ok(());
         }
     }
-    Err(Failure::Failed(format!("members: {at} does not come to an end")))
+    Err(CommandError::Failed(format!("members: {at} does not come to an end")))
 }
 
 /// Prints the part behind `after`; the identity behind which there is more.
@@ -250,7 +254,7 @@
     at: SocketAddr,
     after: Option<NodeId>,
     buf: &mut [u8],
-) -> Result<Option<NodeId>, Failure> {
+) -> Result<Option<NodeId>, CommandError> {
     let deadline = Instant::now() + ANSWER_WITHIN;
     while Instant::now() < deadline {
         match retry::interrupted(|| socket.recv_from(buf)) {
@@ -264,10 +268,10 @@
             },
             Ok(_) => {}
             Err(e) if classify(Call::Datagram, &e) == Class::WaitForReadiness => break,
-            Err(e) => return Err(Failure::Failed(format!("members: {at}: {e}"))),
+            Err(e) => return Err(CommandError::Failed(format!("members: {at}: {e}"))),
         }
     }
-    Err(Failure::Failed(format!("members: {at} did not answer within 2 s")))
+    Err(CommandError::Failed(format!("members: {at} did not answer within 2 s")))
 }
 
 #[cfg(test)]
