--- a/src/fleet/gate.rs
+++ b/src/fleet/admission.rs
@@ -1,4 +1,5 @@
-//! What the node asks of the fleet, and what both share: the rooms behind one lock that no I/O is done under.
+//! The node's interface to the fleet, and the state both share: the protocols behind one lock, under which no network
+//! or store I/O is done.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -19,14 +20,15 @@
 
 use super::clock;
 
-/// Versions whose settings are kept: a request is decided under its own for as long as it lasts, which is seconds.
+/// Number of versions whose settings are kept. A request is decided under its own version for as long as it lasts,
+/// which is seconds.
 const VERSIONS_KEPT: usize = 8;
 
-/// One line of the records.
+/// One line of the record file.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Line {
-    /// For the checker of policy changes; a request's number is that of its id.
+pub enum RecordLine {
+    /// For the checker of policy changes; requests are numbered by the hash of their id.
     Policy(policy_check::Record),
     /// For the checker of quotas.
     Quota(quota_check::Record),
@@ -34,80 +36,85 @@
     Log(magpietally_consensus::check::Record),
 }
 
-/// The rooms of one node.
-pub struct Rooms {
-    /// The change of policy.
+/// The protocols of one node.
+pub struct Protocols {
+    /// The policy change protocol.
     pub policy: PolicyChange,
-    /// The quotas.
+    /// The quota protocol.
     pub quota: Quota,
-    /// The version whose quotas hold.
-    quotas_of: Version,
-    /// What each version sets the decision module with.
+    /// The version whose quotas are in force.
+    quota_version: Version,
+    /// The decision module's settings under each version.
     settings: BTreeMap<u64, Option<Arc<Settings>>>,
 }
 
-/// What the fleet's thread and the node's workers share.
-pub struct Shared {
+/// The state that the fleet thread and the node's workers share.
+pub struct FleetState {
     me: Peer,
-    ground: BaseSettings,
-    rooms: Mutex<Rooms>,
+    base_settings: BaseSettings,
+    protocols: Mutex<Protocols>,
     records: Option<File>,
 }
 
-impl fmt::Debug for Shared {
+impl fmt::Debug for FleetState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the fleet as {} sees it", self.me)
     }
 }
 
-impl Shared {
-    /// The rooms at a node's start.
+impl FleetState {
+    /// The state at a node's start.
     pub fn new(
         me: Peer,
-        ground: BaseSettings,
+        base_settings: BaseSettings,
         policy: PolicyChange,
         quota: Quota,
         records: Option<File>,
     ) -> Arc<Self> {
-        let rooms =
-            Rooms { policy, quota, quotas_of: Version::default(), settings: BTreeMap::from([(0, None)]) };
-        Arc::new(Self { me, ground, rooms: Mutex::new(rooms), records })
+        let protocols = Protocols {
+            policy,
+            quota,
+            quota_version: Version::default(),
+            settings: BTreeMap::from([(0, None)]),
+        };
+        Arc::new(Self { me, base_settings, protocols: Mutex::new(protocols), records })
     }
 
-    /// The rooms; for as long as it takes to ask or tell them something.
-    pub fn rooms(&self) -> MutexGuard<'_, Rooms> {
-        // A panic ends the whole process, so nobody goes on with what it left.
-        self.rooms.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the protocols; the guard is held for a short exchange only.
+    pub fn protocols(&self) -> MutexGuard<'_, Protocols> {
+        // A panic ends the whole process, so no thread continues with an inconsistent state.
+        self.protocols.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a record, if records are kept: before what it tells of has any effect, so that a kill leaves no gap.
-    pub fn record(&self, line: &Line) {
+    /// Writes a record, if records are kept. It is written before the recorded event has any effect, so that a kill
+    /// leaves no gap.
+    pub fn record(&self, line: &RecordLine) {
         let Some(mut file) = self.records.as_ref() else { return };
         if let Ok(mut text) = serde_json::to_vec(line) {
             text.push(b'\n');
-            // Records are for tests; a full disk must not stop the node.
+            // Records serve tests only; a full disk must not stop the node.
             let _ = file.write_all(&text);
         }
     }
 
-    /// Whether records are kept.
+    /// Returns whether records are kept.
     pub fn keeps_records(&self) -> bool {
         self.records.is_some()
     }
 
-    /// A record of the policy's checker.
+    /// Writes a record for the checker of policy changes.
     pub fn record_policy(&self, at: Duration, what: policy_check::Event) {
         if self.keeps_records() {
             let at = u64::try_from(at.as_nanos()).unwrap_or(u64::MAX);
             let node = self.me.name.to_string();
-            self.record(&Line::Policy(policy_check::Record { at, node, what }));
+            self.record(&RecordLine::Policy(policy_check::Record { at, node, what }));
         }
     }
 
-    /// A record of the quotas' checker.
+    /// Writes a record for the checker of quotas.
     pub fn record_quota(&self, at: Duration, what: quota_check::Observation) {
         if self.keeps_records() {
-            self.record(&Line::Quota(quota_check::Record {
+            self.record(&RecordLine::Quota(quota_check::Record {
                 at,
                 node: crc32fast::hash(self.me.name.as_str().as_bytes()),
                 session: self.me.session.0,
@@ -116,39 +123,42 @@
         }
     }
 
-    /// Brings the quotas and the decision module's settings to the version that is active by the log. To be called after
+    /// Updates the quotas and the decision module's settings to the version that is active by the log. To be called after
     /// every entry that may have changed it, under the same lock.
-    pub fn follow(&self, rooms: &mut Rooms, now: Now) {
-        let active = rooms.policy.state().active;
-        if rooms.quotas_of == active {
+    pub fn update_version(&self, protocols: &mut Protocols, now: Now) {
+        let active = protocols.policy.state().active;
+        if protocols.quota_version == active {
             return;
         }
-        rooms.quotas_of = active;
-        let text = rooms.policy.state().document.clone();
-        // It was checked here before it was accepted, or this node serves nothing under it (`document_error`).
-        let Ok(Document { settings, mut quotas }) = fleet_policy::parse(&text, &self.ground) else { return };
+        protocols.quota_version = active;
+        let text = protocols.policy.state().document.clone();
+        // This node checked the document before it accepted it; if the check failed, the node serves no requests under
+        // this version (`document_error`).
+        let Ok(Document { settings, mut quotas }) = fleet_policy::parse(&text, &self.base_settings) else {
+            return;
+        };
         quotas.version = active.0;
-        if let Err(error) = rooms.quota.set_policy(now, &quotas) {
+        if let Err(error) = protocols.quota.set_policy(now, &quotas) {
             tracing::error!(target: "fleet", "version {}: quotas: {error}", active.0);
         }
-        // The same settings keep the same Arc, by which the core knows that its module can stay.
-        let last = rooms.settings.values().next_back().cloned().flatten();
+        // Equal settings keep the same Arc: by it the core recognizes that its decision module can stay.
+        let last = protocols.settings.values().next_back().cloned().flatten();
         let new = match (settings, last) {
-            (Some(new), Some(old)) if same(&new, &old) => Some(old),
+            (Some(new), Some(old)) if are_equal(&new, &old) => Some(old),
             (Some(new), _) => Some(Arc::new(new)),
             (None, _) => None,
         };
-        rooms.settings.insert(active.0, new);
-        while rooms.settings.len() > VERSIONS_KEPT {
-            rooms.settings.pop_first();
+        protocols.settings.insert(active.0, new);
+        while protocols.settings.len() > VERSIONS_KEPT {
+            protocols.settings.pop_first();
         }
         self.record_quota(now.boot, quota_check::Observation::Policy(quotas.clone()));
         tracing::info!(target: "fleet", "version {} is active: {} tenants with a quota", active.0, quotas.tenants.len());
     }
 }
 
-/// Settings are equal where they print the same: they hold plain values alone.
-fn same(a: &Settings, b: &Settings) -> bool {
+/// Compares settings by their debug output, which is complete because they hold plain values only.
+fn are_equal(a: &Settings, b: &Settings) -> bool {
     format!("{a:?}") == format!("{b:?}")
 }
 
@@ -156,31 +166,31 @@
     span.as_secs_f64() * 1000.0
 }
 
-impl AdmissionControl for Shared {
-    fn decide(&self, ask: &AdmissionRequest<'_>) -> AdmissionDecision {
+impl AdmissionControl for FleetState {
+    fn decide(&self, request: &AdmissionRequest<'_>) -> AdmissionDecision {
         let now = clock::now().boot;
-        let rooms = &mut *self.rooms();
-        // With no time of its own left, nothing is held here: the front waits before it asks.
-        let version = match rooms.policy.admit(now, Duration::ZERO) {
+        let protocols = &mut *self.protocols();
+        // The queueing time is zero, so nothing is queued here: the HTTP front end waits before it calls this.
+        let version = match protocols.policy.admit(now, Duration::ZERO) {
             Admission::Admit(epoch) => epoch.version,
             Admission::Reject(rejection) => {
                 return AdmissionDecision::NoLease { retry_after: ms(rejection.retry_after) }
             }
             Admission::Queue(slot) => {
-                rooms.policy.abandon(slot);
+                protocols.policy.abandon(slot);
                 return AdmissionDecision::NoLease { retry_after: 100.0 };
             }
         };
-        let request = stable_hash(ask.id);
-        let class = self.ground.classes.get(ask.class).map_or("", String::as_str);
-        let tenant = ask.tenant.and_then(|t| self.ground.tenants.get(t));
+        let request_hash = stable_hash(request.id);
+        let class = self.base_settings.classes.get(request.class).map_or("", String::as_str);
+        let tenant = request.tenant.and_then(|t| self.base_settings.tenants.get(t));
         if let Some(tenant) = tenant {
-            let key = ask.key.map(|k| {
+            let key = request.key.map(|k| {
                 let mut crc = crc32fast::Hasher::new();
                 crc.update(k);
                 (k.len() as u64) << 32 | u64::from(crc.finalize())
             });
-            let spent = rooms.quota.spend(now, tenant, class, key);
+            let spent = protocols.quota.spend(now, tenant, class, key);
             match spent.decision {
                 SpendDecision::Refused { retry_after, reason } => {
                     let sure = reason == RefusalReason::RateExceeded;
@@ -211,41 +221,42 @@
                 SpendDecision::Unlimited | SpendDecision::Repeat => {}
             }
         }
-        self.record_policy(now, policy_check::Event::Arrived { request });
-        self.record_policy(now, policy_check::Event::Decided { request, version: version.0 });
+        self.record_policy(now, policy_check::Event::Arrived { request: request_hash });
+        self.record_policy(now, policy_check::Event::Decided { request: request_hash, version: version.0 });
         AdmissionDecision::Admit { epoch: version.0, at: now }
     }
 
     fn may_send(&self, epoch: u64, at: Duration) -> bool {
         let now = clock::now().boot;
-        self.rooms().policy.check_epoch(now, &Epoch::from_parts(Version(epoch), at)).is_ok()
+        self.protocols().policy.check_epoch(now, &Epoch::from_parts(Version(epoch), at)).is_ok()
     }
 
     fn is_changing_policy(&self) -> bool {
         let now = clock::now().boot;
-        let rooms = self.rooms();
-        // `is_ready` goes on saying yes while a version closes, for as long as a request may be held.
-        rooms.policy.admissible_version(now) == Err(RejectionReason::Closing) && rooms.policy.is_ready(now)
+        let protocols = self.protocols();
+        // `is_ready` stays true while a version closes, for as long as a request may be queued.
+        protocols.policy.admissible_version(now) == Err(RejectionReason::Closing)
+            && protocols.policy.is_ready(now)
     }
 
     fn is_ready(&self) -> bool {
-        self.rooms().policy.is_ready(clock::now().boot)
+        self.protocols().policy.is_ready(clock::now().boot)
     }
 
     fn settings(&self, epoch: u64) -> Option<Arc<Settings>> {
-        self.rooms().settings.get(&epoch).cloned().flatten()
+        self.protocols().settings.get(&epoch).cloned().flatten()
     }
 
     fn propose(&self, document: &[u8]) -> Result<String, ProposalError> {
         let now = clock::now();
-        let rooms = &mut *self.rooms();
-        if !rooms.policy.is_ready(now.boot) {
+        let protocols = &mut *self.protocols();
+        if !protocols.policy.is_ready(now.boot) {
             return Err(ProposalError::Unavailable(
                 "this node holds no lease and may be behind the fleet".into(),
             ));
         }
-        let base = rooms.policy.state().active;
-        match rooms.policy.propose(now, base, document.to_vec()) {
+        let base = protocols.policy.state().active;
+        match protocols.policy.propose(now, base, document.to_vec()) {
             Ok(ticket) => Ok(format!("proposal {ticket} against version {}", base.0)),
             Err(error @ ProposeError::Pending(_)) => Err(ProposalError::Unavailable(error.to_string())),
             Err(error) => Err(ProposalError::Invalid(error.to_string())),
@@ -254,23 +265,26 @@
 
     fn describe(&self) -> String {
         let now = clock::now().boot;
-        let rooms = self.rooms();
-        let state = rooms.policy.state();
-        let word = if rooms.policy.is_ready(now) { "ready" } else { "not ready" };
-        let mut out = format!("{}: {word} under version {}\n", self.me, state.active.0);
+        let protocols = self.protocols();
+        let state = protocols.policy.state();
+        let readiness = if protocols.policy.is_ready(now) { "ready" } else { "not ready" };
+        let mut out = format!("{}: {readiness} under version {}\n", self.me, state.active.0);
         let _ = writeln!(out, "{} members hold a lease", state.members.len());
         if let Some(change) = &state.change {
-            let (done, of) = (change.acknowledged.len(), state.members.len());
-            let _ =
-                writeln!(out, "version {} is under way: {:?}, {done} of {of}", change.version.0, change.step);
+            let (acknowledged, members) = (change.acknowledged.len(), state.members.len());
+            let _ = writeln!(
+                out,
+                "version {} is under way: {:?}, {acknowledged} of {members}",
+                change.version.0, change.step
+            );
         }
-        if let Some(why) = rooms.policy.document_error() {
-            let _ = writeln!(out, "this node's check refuses the active version: {why}");
+        if let Some(error) = protocols.policy.document_error() {
+            let _ = writeln!(out, "this node's check refuses the active version: {error}");
         }
-        for past in &state.history {
-            let _ = writeln!(out, "by {}, proposal {}: {:?}", past.proposer, past.ticket, past.outcome);
+        for change in &state.history {
+            let _ = writeln!(out, "by {}, proposal {}: {:?}", change.proposer, change.ticket, change.outcome);
         }
-        let metrics = rooms.policy.metrics();
+        let metrics = protocols.policy.metrics();
         let _ = writeln!(
             out,
             "refused {}; closings {}, the longest {:.0} ms",
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! A node's part of a fleet that decides together: the carriers' assembly. One thread beside the node's moves messages and
-//! entries; the rooms decide. Off unless `node --fleet FILE` names a file like `deploy/fleet.toml`.
+//! A node's membership in a fleet that agrees on policy and quotas: set-up of the store, the transports and the
+//! protocols. One additional thread moves messages and log entries; the protocols make the decisions. Off unless
+//! `node --fleet FILE` names a file like `deploy/fleet.toml`.
 
+mod admission;
 mod clock;
-mod gate;
 mod session;
 mod settings;
 mod thread;
@@ -29,13 +30,13 @@
 use signal_hook::consts::SIGXFSZ;
 
 use crate::commands::CommandError;
-pub use gate::Shared;
+pub use admission::FleetState;
 pub use settings::{read, Options};
 
-/// The fleet's thread at work.
+/// The running fleet thread.
 pub struct FleetThread {
-    /// What the node asks.
-    pub shared: Arc<Shared>,
+    /// The state shared with the node's workers.
+    pub shared: Arc<FleetState>,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Result<(), String>>,
 }
@@ -43,44 +44,44 @@
 /// Opens the store and the sockets and starts the thread for the node named `name`.
 ///
 /// # Errors
-/// The name, the store, a socket or a thread can't be had.
-pub fn start(name: &str, options: Options, ground: BaseSettings) -> Result<FleetThread, CommandError> {
-    let failed = |what: &str, why: String| CommandError::Failed(format!("fleet: {what}: {why}"));
+/// The name is not valid, or the store, a socket or the thread can't be opened or started.
+pub fn start(name: &str, options: Options, base_settings: BaseSettings) -> Result<FleetThread, CommandError> {
+    let failed = |subject: &str, cause: String| CommandError::Failed(format!("fleet: {subject}: {cause}"));
     let name =
         Name::new(name).map_err(|e| CommandError::InvalidInput(format!("fleet: name {name:?}: {e}")))?;
-    let place = options.store.display().to_string();
-    // A file that reaches the process's limit is to be refused at its write, as a full disk is, and not to end the node.
+    let directory = options.store.display().to_string();
+    // A write beyond the process's file size limit must fail like one to a full disk, and not kill the node.
     signal_hook::flag::register(SIGXFSZ, Arc::default()).map_err(|e| failed("SIGXFSZ", e.to_string()))?;
     let (store, recovered) =
-        open_store(&options.store, name.as_str()).map_err(|e| failed(&place, e.to_string()))?;
+        open_store(&options.store, name.as_str()).map_err(|e| failed(&directory, e.to_string()))?;
     if let Some(cut) = &recovered.torn_tail {
-        tracing::warn!(target: "fleet", "{place}: {}: a torn end of {} bytes was cut", cut.file, cut.bytes);
+        tracing::warn!(target: "fleet", "{directory}: {}: a torn tail of {} bytes was truncated", cut.file, cut.bytes);
     }
-    let session = retry::at_start(Call::File, "session", || session::next(&options.store))
-        .map_err(|e| failed(&place, e.to_string()))?;
+    let session = retry::at_start(Call::File, "session", || session::next_session(&options.store))
+        .map_err(|e| failed(&directory, e.to_string()))?;
     let me = Peer { name, session };
     let now = clock::now();
     let settings = consensus::Settings::new(options.voters.clone(), session.0);
     let snapshot = recovered.snapshot.as_ref().map(|(_, state)| state.as_slice());
     let records: Vec<Vec<u8>> = recovered.records.into_iter().map(|(_, record)| record).collect();
     let mut log = consensus::Node::open(settings, me.clone(), now, snapshot, &records)
-        .map_err(|e| failed(&place, e.to_string()))?;
-    let check = ground.clone();
+        .map_err(|e| failed(&directory, e.to_string()))?;
+    let checked_against = base_settings.clone();
     let check = Box::new(move |text: &[u8]| {
-        fleet_policy::parse(text, &check).map(|_| ()).map_err(|error| error.to_string())
+        fleet_policy::parse(text, &checked_against).map(|_| ()).map_err(|error| error.to_string())
     });
     let policy = PolicyChange::new(me.clone(), options.policy.clone(), check, now)
         .map_err(|e| CommandError::InvalidInput(format!("fleet: {e}")))?;
     let mut quota = Quota::new(me.clone(), magpietally_quota::LeaseSettings::default(), now);
-    if let Some(planted) = &options.planted {
-        quota.inject_fault(planted);
+    if let Some(fault) = &options.injected_fault {
+        quota.inject_fault(fault);
     }
     let records = options.records.as_ref().map(|path| {
         let open = || OpenOptions::new().append(true).create(true).open(path);
         retry::at_start(Call::File, "records", open)
             .map_err(|e| failed("records", format!("{}: {e}", path.display())))
     });
-    let shared = Shared::new(me.clone(), ground, policy, quota, records.transpose()?);
+    let shared = FleetState::new(me.clone(), base_settings, policy, quota, records.transpose()?);
     let fleet = FleetId::from_name(&options.fleet);
     let mut udp = Udp::bind(me.clone(), fleet, options.listen.datagrams)
         .map_err(|e| failed("datagrams", format!("{}: {e}", options.listen.datagrams)))?;
@@ -96,29 +97,36 @@
     let datagrams = udp.address().map_err(|e| failed("datagrams", e.to_string()))?;
     tracing::info!(target: "fleet", "{me} of {} at {datagrams} and {}", options.fleet, tcp.address());
     let stop = Arc::new(AtomicBool::new(false));
-    let carrier =
-        thread::Carrier::new(shared.clone(), log, store, udp, tcp, options.policy_file.clone(), stop.clone());
+    let worker = thread::FleetWorker::new(
+        shared.clone(),
+        log,
+        store,
+        udp,
+        tcp,
+        options.policy_file.clone(),
+        stop.clone(),
+    );
     let thread =
-        retry::spawn("fleet", move || carrier.run()).map_err(|e| failed("a thread", e.to_string()))?;
+        retry::spawn("fleet", move || worker.run()).map_err(|e| failed("a thread", e.to_string()))?;
     Ok(FleetThread { shared, stop, thread })
 }
 
-/// Opens the store; a disk that fails or is full for a moment is waited for.
-fn open_store(place: &Path, owner: &str) -> Result<(Log<Folder>, Recovered), StoreError> {
+/// Opens the store; retries while a disk error is transient or the disk is full.
+fn open_store(directory: &Path, owner: &str) -> Result<(Log<Folder>, Recovered), StoreError> {
     let began = Instant::now();
-    let mut pauses = Backoff::default();
+    let mut backoff = Backoff::default();
     loop {
-        match Log::<Folder>::open_dir(place, owner) {
-            Err(error) if may_pass(&error) && began.elapsed() < STARTUP_TIMEOUT => {
-                tracing::warn!(target: "fleet", "{}: {error}; opened again", place.display());
-                std::thread::sleep(pauses.next_delay());
+        match Log::<Folder>::open_dir(directory, owner) {
+            Err(error) if is_transient(&error) && began.elapsed() < STARTUP_TIMEOUT => {
+                tracing::warn!(target: "fleet", "{}: {error}; retrying", directory.display());
+                std::thread::sleep(backoff.next_delay());
             }
-            ended => return ended,
+            result => return result,
         }
     }
 }
 
-fn may_pass(error: &StoreError) -> bool {
+fn is_transient(error: &StoreError) -> bool {
     match error {
         StoreError::Full => true,
         StoreError::Io(_, error) => classify(Call::File, error).is_transient(),
@@ -127,14 +135,14 @@
 }
 
 impl FleetThread {
-    /// Gives the leases back and ends the thread.
+    /// Returns the leases and stops the thread.
     ///
     /// # Errors
-    /// Why the thread had ended the node by itself, if it had.
+    /// The reason for which the thread had shut the node down, if it had.
     pub fn leave(self) -> Result<(), String> {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.join().unwrap_or_else(|_| {
-            tracing::warn!(target: "fleet", "its thread ended in a panic");
+            tracing::warn!(target: "fleet", "the fleet thread panicked");
             Ok(())
         })
     }
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -1,4 +1,4 @@
-//! Which start of a node this is: a number in the store's directory that grows with each.
+//! The session number of a node's start: kept in the store's directory and increased with each start.
 
 use std::io;
 use std::path::Path;
@@ -8,26 +8,30 @@
 
 use super::clock;
 
-const FILE: &str = "session";
+const SESSION_FILE: &str = "session";
 
-/// The number of this start, written down before it is used. The wall clock's seconds where the file is missing, so that a
-/// node whose directory was lost is most likely a later session than the one that others remember.
+/// Determines the session number of this start and persists it before use. Where the file is missing it is the wall
+/// clock in seconds, so that a node that lost its directory most likely gets a later session than the one its peers
+/// remember.
 ///
 /// # Errors
 /// The file can't be read or replaced, or holds no number.
-pub fn next(folder: &Path) -> io::Result<Session> {
-    let path = folder.join(FILE);
+pub fn next_session(directory: &Path) -> io::Result<Session> {
+    let path = directory.join(SESSION_FILE);
     let wall = clock::now().wall_ms / 1000;
     let last = match std::fs::read_to_string(&path) {
         Ok(text) => text.trim().parse::<u64>().map_err(|_| {
-            io::Error::new(io::ErrorKind::InvalidData, format!("{FILE}: a number was expected, not {text:?}"))
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("{SESSION_FILE}: a number was expected, not {text:?}"),
+            )
         })?,
         Err(error) if error.kind() == io::ErrorKind::NotFound => 0,
-        // As it is: its number says whether it may pass.
+        // Returned unchanged: the caller decides by its error number whether to retry.
         Err(error) => return Err(error),
     };
     let session = wall.max(last.saturating_add(1));
-    replace_file(folder, FILE, format!("{session}\n").as_bytes())?;
+    replace_file(directory, SESSION_FILE, format!("{session}\n").as_bytes())?;
     Ok(Session(session))
 }
 
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the fleet: who votes, where nodes reach each other, where the store lies.
+//! The operators' fleet file: the voters, the addresses of the nodes and the directory of the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 
 use crate::commands::{invalid_input, read_toml_file, CommandError};
 
-/// The largest file that is read, in bytes: a thousand peers take a tenth of it.
-const FILE_MOST: usize = 1 << 20;
-/// The longest fleet's name, in bytes: it is hashed, so this only keeps mistakes out.
-const FLEET_MOST: usize = 64;
+/// The largest file that is read: a thousand peers take a tenth of it.
+const FILE_MAX_BYTES: usize = 1 << 20;
+/// The longest name of a fleet. The name is hashed, so the limit only catches mistakes.
+const FLEET_NAME_MAX_BYTES: usize = 64;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -26,66 +26,66 @@
     datagrams: SocketAddr,
     streams: SocketAddr,
     #[serde(default)]
-    peers: BTreeMap<String, At>,
+    peers: BTreeMap<String, PeerAddresses>,
     policy_file: Option<PathBuf>,
     #[serde(default)]
-    without_lease: Without,
+    without_lease: WithoutLeaseSetting,
     lease_ms: Option<u64>,
     records: Option<PathBuf>,
-    /// A fault for the tests of the checkers; no build of the program knows any.
+    /// A fault to inject, for tests of the checkers; no build of the program itself accepts one.
     planted: Option<String>,
 }
 
-/// Where a node is reached.
+/// The addresses of a node.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct At {
-    /// Over UDP.
+pub struct PeerAddresses {
+    /// For UDP.
     pub datagrams: SocketAddr,
-    /// Over TCP.
+    /// For TCP.
     pub streams: SocketAddr,
 }
 
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Without {
+enum WithoutLeaseSetting {
     #[default]
     Stop,
     Serve,
 }
 
-/// What the file sets, checked.
+/// The checked settings of the file.
 #[derive(Debug)]
 pub struct Options {
     /// The fleet's name.
     pub fleet: String,
-    /// Who votes.
+    /// The voters.
     pub voters: Vec<Name>,
     /// The directory of the store.
     pub store: PathBuf,
-    /// Where this node listens.
-    pub listen: At,
-    /// The other nodes, and where each is reached.
-    pub peers: BTreeMap<Name, At>,
-    /// The document that is watched and proposed when it changes.
+    /// The addresses this node listens on.
+    pub listen: PeerAddresses,
+    /// The other nodes and their addresses.
+    pub peers: BTreeMap<Name, PeerAddresses>,
+    /// The policy document, which is watched and proposed when it changes.
     pub policy_file: Option<PathBuf>,
-    /// The room's settings.
+    /// The settings of the policy change protocol.
     pub policy: Settings,
-    /// Where each decision is recorded, for checkers.
+    /// The file that every decision is recorded in, for the checkers.
     pub records: Option<PathBuf>,
-    /// A fault of a test's build.
-    pub planted: Option<String>,
+    /// The fault that a test build injects.
+    pub injected_fault: Option<String>,
 }
 
-/// Reads the file.
+/// Reads and checks the file.
 ///
 /// # Errors
-/// One line that names the file, and the line or the field.
+/// A line that names the file, and the line or the field.
 pub fn read(file: &str) -> Result<Options, CommandError> {
-    let parsed: File = read_toml_file(file, FILE_MOST)?;
-    let fail = |field: &str, what: String| invalid_input(file, &[format!("{field}: {what}")]);
-    if parsed.fleet.is_empty() || parsed.fleet.len() > FLEET_MOST {
-        return Err(fail("fleet", format!("a name of 1 to {FLEET_MOST} bytes is needed")));
+    let parsed: File = read_toml_file(file, FILE_MAX_BYTES)?;
+    let fail = |field: &str, message: String| invalid_input(file, &[format!("{field}: {message}")]);
+    if parsed.fleet.is_empty() || parsed.fleet.len() > FLEET_NAME_MAX_BYTES {
+        return Err(fail("fleet", format!("a name of 1 to {FLEET_NAME_MAX_BYTES} bytes is needed")));
     }
     let name = |field: &str, n: &str| Name::new(n).map_err(|e| fail(field, format!("{n:?}: {e}")));
     let voters = parsed.voters.iter().map(|v| name("voters", v)).collect::<Result<Vec<_>, _>>()?;
@@ -98,8 +98,8 @@
     }
     let mut policy = Settings {
         without_lease: match parsed.without_lease {
-            Without::Stop => WithoutLease::Stop,
-            Without::Serve => WithoutLease::Serve,
+            WithoutLeaseSetting::Stop => WithoutLease::Stop,
+            WithoutLeaseSetting::Serve => WithoutLease::Serve,
         },
         ..Settings::default()
     };
@@ -109,10 +109,10 @@
         policy.retry_interval = policy.retry_interval.min(policy.term / 8);
     }
     if let Some(planted) = &parsed.planted {
-        // The quotas' are planted once their room is there.
-        let mut probe =
+        // A fault of the quotas is injected later, once their protocol exists; here only its name is checked.
+        let mut quota =
             Quota::new(Peer::default(), magpietally_quota::LeaseSettings::default(), Now::default());
-        if !policy.inject_named(planted) && !probe.inject_fault(planted) {
+        if !policy.inject_named(planted) && !quota.inject_fault(planted) {
             return Err(fail("planted", format!("{planted:?} is no fault of this build")));
         }
     }
@@ -127,12 +127,12 @@
         fleet: parsed.fleet,
         voters,
         store: parsed.store,
-        listen: At { datagrams: parsed.datagrams, streams: parsed.streams },
+        listen: PeerAddresses { datagrams: parsed.datagrams, streams: parsed.streams },
         peers,
         policy_file: parsed.policy_file,
         policy,
         records: parsed.records,
-        planted: parsed.planted,
+        injected_fault: parsed.planted,
     })
 }
 
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -1,5 +1,5 @@
-//! The fleet's thread: messages between the transports and the log, writes into the store, entries into the rooms, and the
-//! rooms' proposals back. It decides nothing.
+//! The fleet thread: passes messages between the transports and the log, writes to the store, applies decided entries
+//! to the protocols and proposes what the protocols request. It makes no decisions itself.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,49 +15,51 @@
 use magpietally_transport::udp::Udp;
 use magpietally_transport::{Event, Kind, Now, Protocol, Transport};
 
+use super::admission::{FleetState, RecordLine};
 use super::clock;
-use super::gate::{Line, Shared};
 use crate::shutdown::request_shutdown;
 
-/// How long the thread rests when nothing came: a message waits that long at most, an entry takes some of these, and five
-/// hundred looks a second cost half a hundredth of a core.
-const REST: Duration = Duration::from_millis(2);
-/// How often the document's file is looked at.
-const FILE_LOOK: Duration = Duration::from_millis(250);
-/// After how long a document is proposed again that some node did not answer: a few beats of the others.
-const AGAIN: Duration = Duration::from_secs(1);
-/// How long the end waits for the log to take the leases back; SIGKILL is near by then.
-const LEAVE_WITHIN: Duration = Duration::from_millis(400);
-/// Events taken from a transport before the rooms have their turn.
-const EVENTS_AT_ONCE: usize = 256;
+/// Pause of the thread when it has nothing to do. A message waits at most that long, an entry needs several such
+/// pauses, and polling 500 times a second costs 0.5% of a core.
+const IDLE_PAUSE: Duration = Duration::from_millis(2);
+/// How often the document's file is checked.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay before a document is proposed again that some node did not acknowledge: a few heartbeats of the others.
+const REPROPOSE_DELAY: Duration = Duration::from_secs(1);
+/// How long shutdown waits until the log has recorded the return of the leases; the platform sends SIGKILL soon after.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The most events taken from a transport before the protocols run.
+const EVENTS_PER_TURN_MAX: usize = 256;
 
-/// What the thread holds.
-pub struct Carrier {
-    shared: Arc<Shared>,
+/// The state of the thread.
+pub struct FleetWorker {
+    shared: Arc<FleetState>,
     log: Node,
     store: Log<Folder>,
     udp: Udp,
     tcp: Tcp,
     document: Option<Document>,
     stop: Arc<AtomicBool>,
-    told: (Version, bool),
-    /// Why it can't go on.
-    doubt: Option<String>,
+    /// The active version and the readiness that were logged last.
+    logged: (Version, bool),
+    /// The error after which the thread can't continue.
+    fatal_error: Option<String>,
 }
 
-/// The watched document.
+/// The watched policy document.
 struct Document {
     path: PathBuf,
-    look_at: Duration,
-    /// What was read last and proposed, or refused.
+    /// When the file is checked next, on the boot clock.
+    next_check: Duration,
+    /// The text that was last proposed or rejected.
     last: Option<Vec<u8>>,
-    /// The proposal that is under way.
+    /// The proposal in progress.
     ticket: Option<u64>,
 }
 
-impl Carrier {
+impl FleetWorker {
     pub fn new(
-        shared: Arc<Shared>,
+        shared: Arc<FleetState>,
         log: Node,
         store: Log<Folder>,
         udp: Udp,
@@ -65,73 +67,85 @@
         file: Option<PathBuf>,
         stop: Arc<AtomicBool>,
     ) -> Self {
-        let document = file.map(|path| Document { path, look_at: Duration::ZERO, last: None, ticket: None });
-        Self { shared, log, store, udp, tcp, document, stop, told: (Version::default(), false), doubt: None }
+        let document =
+            file.map(|path| Document { path, next_check: Duration::ZERO, last: None, ticket: None });
+        Self {
+            shared,
+            log,
+            store,
+            udp,
+            tcp,
+            document,
+            stop,
+            logged: (Version::default(), false),
+            fatal_error: None,
+        }
     }
 
-    /// Runs until it is told to stop and the leases are given back.
+    /// Runs until `stop` is set and the leases are returned.
     ///
     /// # Errors
-    /// Why it could not go on, and has told the node to end.
+    /// The error for which the thread stopped and requested the shutdown of the node.
     pub fn run(mut self) -> Result<(), String> {
         let mut leaving_since = None;
         loop {
-            if let Some(words) = self.doubt.take() {
-                // Nothing is known of what is on the disk: only a new start can read it. What the node has taken it still
-                // answers; the fleet hears no more of it.
-                request_shutdown("fleet", &words);
-                return Err(format!("fleet: {words}"));
+            if let Some(error) = self.fatal_error.take() {
+                // The state of the disk is unknown, and only a restart can read it again. The node still answers the
+                // requests it has accepted, but sends nothing more to the fleet.
+                request_shutdown("fleet", &error);
+                return Err(format!("fleet: {error}"));
             }
-            let came = self.hear();
+            let received = self.receive();
             let now = clock::now();
             if self.log.next_due().is_some_and(|due| due <= now.boot) {
                 self.log.tick(now);
             }
             self.write(now);
             self.send();
-            let learnt = self.learn(now);
-            self.rooms(now);
+            let applied = self.apply_decided(now);
+            self.run_protocols(now);
             self.write(now);
             self.send();
-            self.look_at_document(now);
-            self.tell(now);
+            self.check_document(now);
+            self.log_status(now);
             if self.stop.load(Ordering::SeqCst) {
                 let since = *leaving_since.get_or_insert_with(|| {
-                    self.shared.rooms().policy.leave(now);
+                    self.shared.protocols().policy.leave(now);
                     now.boot
                 });
-                if self.shared.rooms().policy.has_left() || now.boot.saturating_sub(since) > LEAVE_WITHIN {
+                if self.shared.protocols().policy.has_left() || now.boot.saturating_sub(since) > LEAVE_TIMEOUT
+                {
                     return Ok(());
                 }
             }
-            if !came && !learnt {
-                std::thread::sleep(REST);
+            if !received && !applied {
+                std::thread::sleep(IDLE_PAUSE);
             }
         }
     }
 
-    /// Takes what came; whether anything did.
-    fn hear(&mut self) -> bool {
+    /// Handles received events. Returns whether there were any.
+    fn receive(&mut self) -> bool {
         let mut any = false;
         let transports: [&mut dyn Transport; 2] = [&mut self.udp, &mut self.tcp];
         for transport in transports {
-            for _ in 0..EVENTS_AT_ONCE {
+            for _ in 0..EVENTS_PER_TURN_MAX {
                 let now = clock::now();
                 let Some(event) = transport.poll(now.boot) else { break };
                 any = true;
                 match event {
                     Event::Message { from, bytes } => self.log.on_message(now, &from, &bytes),
-                    Event::NewSession(peer) => tracing::info!(target: "fleet", "met {peer}"),
-                    // The log repeats by its own timers.
+                    Event::NewSession(peer) => tracing::info!(target: "fleet", "new session {peer}"),
+                    // The log repeats messages by its own timers.
                     Event::Lost { .. } => {}
-                    Event::Dropped(why) => tracing::debug!(target: "fleet", "dropped: {why}"),
+                    Event::Dropped(reason) => tracing::debug!(target: "fleet", "dropped: {reason}"),
                 }
             }
         }
         any
     }
 
-    /// Makes durable what has to be before what depends on it may be sent.
+    /// Persists the log's pending writes, before messages that depend on them are sent.
     fn write(&mut self, now: Now) {
         while let Some(ready) = self.log.take_ready(now) {
             let written = match &ready.write {
@@ -146,7 +160,7 @@
                 Err(error) => {
                     tracing::error!(target: "fleet", "the store refuses: {error}");
                     if matches!(error, StoreError::ReopenRequired(_)) {
-                        self.doubt = Some(error.to_string());
+                        self.fatal_error = Some(error.to_string());
                         return;
                     }
                     self.log.write_failed(now, ready.number, error.to_string());
@@ -162,17 +176,17 @@
                 Kind::Datagram => self.udp.send(&out.to, &out.bytes),
                 Kind::Stream => self.tcp.send(&out.to, &out.bytes),
             };
-            // Lost, as a message may be.
+            // A message that can't be sent counts as lost, which the protocols tolerate.
             if let Err(error) = sent {
                 tracing::debug!(target: "fleet", "to {}: {error}", out.to);
             }
         }
     }
 
-    /// Hands decided entries to the rooms; whether there were any.
-    fn learn(&mut self, now: Now) -> bool {
+    /// Applies decided entries to the protocols. Returns whether there were any.
+    fn apply_decided(&mut self, now: Now) -> bool {
         let mut any = false;
-        let rooms = &mut *self.shared.rooms();
+        let protocols = &mut *self.shared.protocols();
         if let Some((index, machines)) = self.log.take_restore() {
             any = true;
             if self.shared.keeps_records() {
@@ -180,15 +194,15 @@
             }
             for (topic, snapshot) in machines {
                 let restored = match topic {
-                    Topic::Policy => rooms.policy.restore(now, &snapshot),
-                    Topic::Quota => rooms.quota.restore(now, &snapshot),
+                    Topic::Policy => protocols.policy.restore(now, &snapshot),
+                    Topic::Quota => protocols.quota.restore(now, &snapshot),
                     Topic::Voters | Topic::Addresses => Ok(()),
                 };
                 if let Err(error) = restored {
                     tracing::error!(target: "fleet", "{topic:?}: {error}");
                 }
             }
-            self.shared.follow(rooms, now);
+            self.shared.update_version(protocols, now);
         }
         while let Some(decided) = self.log.take_decided() {
             any = true;
@@ -197,18 +211,20 @@
             }
             match decided.proposal.topic {
                 Topic::Policy => {
-                    rooms.policy.apply(now, &decided);
-                    self.shared.follow(rooms, now);
+                    protocols.policy.apply(now, &decided);
+                    self.shared.update_version(protocols, now);
                 }
-                Topic::Quota => rooms.quota.apply(now, &decided),
+                Topic::Quota => protocols.quota.apply(now, &decided),
                 Topic::Voters | Topic::Addresses => {}
             }
         }
         if let Some(index) = self.log.snapshot_due() {
-            let machines =
-                vec![(Topic::Policy, rooms.policy.snapshot()), (Topic::Quota, rooms.quota.snapshot())];
+            let machines = vec![
+                (Topic::Policy, protocols.policy.snapshot()),
+                (Topic::Quota, protocols.quota.snapshot()),
+            ];
             if let Err(error) = self.log.provide_snapshot(now, index, machines) {
-                tracing::error!(target: "fleet", "a snapshot at {}: {error}", index.0);
+                tracing::error!(target: "fleet", "snapshot at {}: {error}", index.0);
             }
         }
         any
@@ -216,47 +232,47 @@
 
     fn record_log(&self, now: Now, what: log_check::Observation) {
         let at_us = u64::try_from(now.boot.as_micros()).unwrap_or(u64::MAX);
-        self.shared.record(&Line::Log(log_check::Record { node: self.udp.me().clone(), at_us, what }));
+        self.shared.record(&RecordLine::Log(log_check::Record { node: self.udp.me().clone(), at_us, what }));
     }
 
-    /// Lets the rooms do what is due, and proposes what they want.
-    fn rooms(&mut self, now: Now) {
+    /// Runs the protocols' due timers and proposes what they request.
+    fn run_protocols(&mut self, now: Now) {
         let leading = self.log.is_leader();
-        let rooms = &mut *self.shared.rooms();
-        let mut machines: [&mut dyn StateMachine; 2] = [&mut rooms.policy, &mut rooms.quota];
+        let protocols = &mut *self.shared.protocols();
+        let mut machines: [&mut dyn StateMachine; 2] = [&mut protocols.policy, &mut protocols.quota];
         for machine in &mut machines {
             if machine.next_due().is_some_and(|due| due <= now.boot) {
                 machine.tick(now, leading);
             }
             while let Some(body) = machine.take_proposal() {
-                // What is not taken now is said again by the machine's own timer.
+                // A proposal that is not accepted now is repeated by the protocol's own timer.
                 let _ = self.log.propose(now, machine.topic(), body);
             }
         }
     }
 
-    /// Proposes the watched document when its text is a new one.
-    fn look_at_document(&mut self, now: Now) {
+    /// Proposes the watched document when its text has changed.
+    fn check_document(&mut self, now: Now) {
         let Some(document) = &mut self.document else { return };
-        if now.boot < document.look_at {
+        if now.boot < document.next_check {
             return;
         }
-        document.look_at = now.boot + FILE_LOOK;
-        let rooms = &mut *self.shared.rooms();
+        document.next_check = now.boot + FILE_CHECK_INTERVAL;
+        let protocols = &mut *self.shared.protocols();
         if let Some(ticket) = document.ticket {
-            match rooms.policy.proposal_status(ticket) {
+            match protocols.policy.proposal_status(ticket) {
                 ProposalStatus::Waiting | ProposalStatus::UnderWay(_) => return,
-                ended => {
-                    tracing::info!(target: "fleet", "{}: {ended:?}", document.path.display());
+                status => {
+                    tracing::info!(target: "fleet", "{}: {status:?}", document.path.display());
                     document.ticket = None;
                     if matches!(
-                        ended,
+                        status,
                         ProposalStatus::Ended(ProposalOutcome::Aborted(_, AbortReason::Silent { .. }))
                     ) {
-                        // Nobody was against it: what the file says is still wanted, once those who were silent speak or
-                        // are no longer counted.
+                        // No node rejected the document. It is proposed again, since the silent nodes may answer by
+                        // then or no longer be counted.
                         document.last = None;
-                        document.look_at = now.boot + AGAIN;
+                        document.next_check = now.boot + REPROPOSE_DELAY;
                         return;
                     }
                 }
@@ -265,20 +281,20 @@
         let path = document.path.display();
         let text = match read_regular(&document.path, DOCUMENT_MAX_BYTES) {
             Ok(text) => text.into_bytes(),
-            // It may be in the middle of being replaced; if not, there is nothing to propose.
+            // The file may be about to be replaced; otherwise there is nothing to propose.
             Err(error) => return tracing::debug!(target: "fleet", "{path}: {error}"),
         };
-        let state = rooms.policy.state();
+        let state = protocols.policy.state();
         if document.last.as_ref() == Some(&text) || state.document == text {
             return;
         }
-        // A node that starts holds its own file against a fleet that it does not know yet: only once it is ready does it
-        // know which version it would change.
-        if !rooms.policy.is_ready(now.boot) {
+        // A starting node does not know the fleet's state yet: only when it is ready does it know which version its
+        // file would change.
+        if !protocols.policy.is_ready(now.boot) {
             return;
         }
         let base = state.active;
-        match rooms.policy.propose(now, base, text.clone()) {
+        match protocols.policy.propose(now, base, text.clone()) {
             Ok(ticket) => {
                 tracing::info!(target: "fleet", "{path}: proposed against version {}", base.0);
                 document.ticket = Some(ticket);
@@ -288,20 +304,21 @@
         document.last = Some(text);
     }
 
-    /// Says in the log when the node becomes ready or stops being so, and under which version.
-    fn tell(&mut self, now: Now) {
+    /// Logs changes of the node's readiness and of the active version.
+    fn log_status(&mut self, now: Now) {
         let (active, ready) = {
-            let rooms = self.shared.rooms();
-            (rooms.policy.state().active, rooms.policy.is_ready(now.boot))
+            let protocols = self.shared.protocols();
+            (protocols.policy.state().active, protocols.policy.is_ready(now.boot))
         };
-        if self.told != (active, ready) {
-            self.told = (active, ready);
-            let word = if ready { "ready" } else { "not ready" };
+        if self.logged != (active, ready) {
+            self.logged = (active, ready);
+            let readiness = if ready { "ready" } else { "not ready" };
             let status = self.log.status();
-            let why = status.no_vote.map_or(String::new(), |why| format!("; does not vote: {why:?}"));
+            let no_vote =
+                status.no_vote.map_or(String::new(), |reason| format!("; does not vote: {reason:?}"));
             tracing::info!(
                 target: "fleet",
-                "version {}, {word}; log at {} of {}{why}",
+                "version {}, {readiness}; log at {} of {}{no_vote}",
                 active.0, status.decided.0, status.known.0
             );
         }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,5 +1,6 @@
-//! Membership on UDP: the carrier that runs a node's [`Membership`] on a socket of its own, and `magpietally members`, which
-//! asks a node for its view. Off unless `node --membership FILE` names a file like `deploy/membership.toml`.
+//! Membership over UDP: the thread that runs a node's [`Membership`] on its own socket, and `magpietally members`,
+//! which queries a node for its view. Off unless `node --membership FILE` names a file like
+//! `deploy/membership.toml`.
 
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,19 +18,19 @@
 use crate::commands::{invalid_input, read_toml_file, CommandError};
 use crate::shutdown::request_shutdown;
 
-/// The largest file that is read, in bytes.
-const FILE_MOST: usize = 1 << 16;
+/// The largest file that is read.
+const FILE_MAX_BYTES: usize = 1 << 16;
 /// The most seeds a file may name.
-const SEEDS_MOST: usize = 1024;
-/// The most parts of a view that `members` asks for: each holds hundreds of nodes, so this only ends a conversation with
-/// something that is no node.
-const PARTS_MOST: usize = 1024;
-/// How long the socket waits at most before the room is looked at again (a stop, a timer).
-const WAIT_MOST: Duration = Duration::from_millis(50);
-/// How long the socket is left alone after a read that failed.
-const READ_REST: Duration = Duration::from_millis(10);
-/// How long `members` waits for each part of the answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const SEEDS_MAX: usize = 1024;
+/// The most parts of a view that `members` requests. Each holds hundreds of nodes, so the limit only ends an exchange
+/// with a program that is not a node.
+const VIEW_PARTS_MAX: usize = 1024;
+/// The longest wait on the socket before the stop flag and the timers are checked again.
+const SOCKET_WAIT_MAX: Duration = Duration::from_millis(50);
+/// Pause after a read error that may repeat at once.
+const READ_ERROR_PAUSE: Duration = Duration::from_millis(10);
+/// How long `members` waits for each part of the response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -43,7 +44,7 @@
     suspect_for_ms: Option<u64>,
 }
 
-/// What the operators' file of membership sets.
+/// The settings of the operators' membership file.
 pub struct Options {
     listen: SocketAddrV4,
     advertise: Option<SocketAddrV4>,
@@ -51,12 +52,12 @@
     settings: Settings,
 }
 
-/// Reads the file.
+/// Reads and checks the file.
 ///
 /// # Errors
-/// One line that names the file, and the line or the field.
+/// A line that names the file, and the line or the field.
 pub fn read(file: &str) -> Result<Options, CommandError> {
-    let parsed: File = read_toml_file(file, FILE_MOST)?;
+    let parsed: File = read_toml_file(file, FILE_MAX_BYTES)?;
     let address = |field: &str, value: &str| {
         value
             .parse::<SocketAddrV4>()
@@ -70,10 +71,10 @@
             &["advertise: peers must be able to send to it: a port and an address".into()],
         ));
     }
-    if parsed.seeds.len() > SEEDS_MOST {
+    if parsed.seeds.len() > SEEDS_MAX {
         return Err(invalid_input(
             file,
-            &[format!("seeds: {} named, at most {SEEDS_MOST}", parsed.seeds.len())],
+            &[format!("seeds: {} named, at most {SEEDS_MAX}", parsed.seeds.len())],
         ));
     }
     let seeds = parsed.seeds.iter().map(|s| address("seeds", s)).collect::<Result<Vec<_>, _>>()?;
@@ -81,10 +82,10 @@
     if let Some(n) = parsed.fleet_size {
         settings.fleet_size = n.clamp(1, 100_000);
     }
-    let millis = |field: &str, value: Option<u64>, least: u64, default: Duration| match value {
+    let millis = |field: &str, value: Option<u64>, min: u64, default: Duration| match value {
         None => Ok(default),
-        Some(ms) if (least..=600_000).contains(&ms) => Ok(Duration::from_millis(ms)),
-        Some(ms) => Err(invalid_input(file, &[format!("{field}: {ms} is out of {least} to 600000")])),
+        Some(ms) if (min..=600_000).contains(&ms) => Ok(Duration::from_millis(ms)),
+        Some(ms) => Err(invalid_input(file, &[format!("{field}: {ms} is out of {min} to 600000")])),
     };
     settings.probe_period = millis("probe_period_ms", parsed.probe_period_ms, 100, settings.probe_period)?;
     settings.probe_rtt = settings.probe_rtt.min(settings.probe_period / 2);
@@ -92,16 +93,16 @@
     Ok(Options { listen, advertise, seeds, settings })
 }
 
-/// The carrier at work.
+/// The running membership thread.
 pub struct MembershipThread {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Result<(), String>>,
 }
 
-/// Binds the socket and starts the carrier's thread for the node named `name`.
+/// Binds the socket and starts the membership thread for the node named `name`.
 ///
 /// # Errors
-/// The name is no node's name, or the socket can't be had.
+/// The name is not a valid node name, the socket can't be bound or the thread can't be started.
 pub fn start(name: &str, options: Options) -> Result<MembershipThread, CommandError> {
     let name =
         Name::new(name).map_err(|e| CommandError::InvalidInput(format!("membership: name {name:?}: {e}")))?;
@@ -115,117 +116,120 @@
     let me = NodeId { addr: options.advertise.unwrap_or(bound), name, generation: generation() };
     tracing::info!(target: "membership", "membership listens at {bound} as {me}");
     let seed = u64::from(me.generation) ^ u64::from(bound.port()) << 32;
-    let mut room = Membership::new(me, &options.settings, seed);
+    let mut membership = Membership::new(me, &options.settings, seed);
     let stop = Arc::new(AtomicBool::new(false));
-    let stopping = stop.clone();
+    let stop_requested = stop.clone();
     let seeds = options.seeds;
-    let thread = retry::spawn("membership", move || carry(&socket, &mut room, &seeds, &stopping))
+    let thread = retry::spawn("membership", move || run(&socket, &mut membership, &seeds, &stop_requested))
         .map_err(|e| CommandError::Failed(format!("membership: a thread: {e}")))?;
     Ok(MembershipThread { stop, thread })
 }
 
 impl MembershipThread {
-    /// Leaves the fleet on purpose and ends the carrier.
+    /// Announces that the node leaves the fleet and stops the thread.
     ///
     /// # Errors
-    /// Why the carrier had ended the node by itself, if it had.
+    /// The reason for which the thread had shut the node down, if it had.
     pub fn leave(self) -> Result<(), String> {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.join().unwrap_or_else(|_| {
-            tracing::warn!(target: "membership", "its thread ended in a panic");
+            tracing::warn!(target: "membership", "the membership thread panicked");
             Ok(())
         })
     }
 }
 
-/// Which start of the node this is: tenths of a second since 2026, so that a restart is a later identity.
+/// The generation of this start of the node: tenths of a second since the start of 2026, so that a restart has a
+/// later identity.
 fn generation() -> u32 {
-    const BASE: u64 = 1_767_225_600;
+    const BASE_UNIX_S: u64 = 1_767_225_600;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u32::try_from(now.as_millis().saturating_sub(u128::from(BASE) * 1000) / 100).unwrap_or(u32::MAX)
+    u32::try_from(now.as_millis().saturating_sub(u128::from(BASE_UNIX_S) * 1000) / 100).unwrap_or(u32::MAX)
 }
 
-/// Carries the room's datagrams until it is told to stop, or the node may not go on.
-fn carry(
+/// Sends and receives membership datagrams until `stop` is set, or until the node has to shut down.
+fn run(
     socket: &UdpSocket,
-    room: &mut Membership,
+    membership: &mut Membership,
     seeds: &[SocketAddrV4],
     stop: &AtomicBool,
 ) -> Result<(), String> {
     let start = Instant::now();
-    // One byte more than may come, so that what is longer is seen to be.
+    // One byte more than the maximum, so that a datagram that is too long is detected.
     let mut buf = [0; DATAGRAM_MAX_BYTES + 1];
-    room.join(start.elapsed(), seeds);
-    let mut told_version = 0;
+    membership.join(start.elapsed(), seeds);
+    let mut logged_version = 0;
     loop {
         let now = start.elapsed();
         if stop.load(Ordering::SeqCst) {
-            room.leave(now);
-            send(socket, room);
+            membership.leave(now);
+            send_outgoing(socket, membership);
             tracing::info!(target: "membership", "left the fleet");
             return Ok(());
         }
-        let wait = room
+        let wait = membership
             .next_due()
-            .map_or(WAIT_MOST, |due| due.saturating_sub(now))
-            .clamp(Duration::from_millis(1), WAIT_MOST);
-        // A socket that refuses a timeout still works; it is then looked at when a datagram comes.
+            .map_or(SOCKET_WAIT_MAX, |due| due.saturating_sub(now))
+            .clamp(Duration::from_millis(1), SOCKET_WAIT_MAX);
+        // A socket that refuses a timeout still works: the loop then continues with each datagram received.
         let _ = socket.set_read_timeout(Some(wait));
         match retry::interrupted(|| socket.recv_from(&mut buf)) {
             Ok((n, from)) => match decode(&buf[..n]) {
                 Ok(Datagram::Query(after)) => {
-                    let stats = room.stats().clone();
-                    // Lost, as a datagram may be; whoever asked asks again.
-                    let part = encode_view_part(room.view(), &stats, after.as_ref());
+                    let stats = membership.stats().clone();
+                    // Like any datagram the response may be lost; the client repeats its query.
+                    let part = encode_view_part(membership.view(), &stats, after.as_ref());
                     let _ = retry::interrupted(|| socket.send_to(&part, from));
                 }
-                _ => room.on_datagram(start.elapsed(), &buf[..n]),
+                _ => membership.on_datagram(start.elapsed(), &buf[..n]),
             },
-            Err(error) => rest_after(&error),
+            Err(error) => pause_after(&error),
         }
-        room.tick(start.elapsed());
-        send(socket, room);
-        let me = room.local_id().clone();
-        let view = room.view();
-        if view.version() != told_version {
-            told_version = view.version();
+        membership.tick(start.elapsed());
+        send_outgoing(socket, membership);
+        let me = membership.local_id().clone();
+        let view = membership.view();
+        if view.version() != logged_version {
+            logged_version = view.version();
             let c = view.counts();
             tracing::info!(target: "membership", "view {}: {} alive, {} suspect, {} dead, {} left", view.version(), c.alive, c.suspect, c.dead, c.left);
         }
         if let Some(first) = view.name_conflict(&me) {
-            // Two nodes may not share a name; the one that started first keeps it. What this one has taken it still answers.
+            // Two nodes may not share a name; the one that started first keeps it. This node still answers the
+            // requests it has accepted.
             let (name, at) = (&me.name, first.addr);
-            let words =
+            let message =
                 format!("membership: the name {name} is taken by the node at {at}, which started first");
-            request_shutdown("membership", &words);
-            return Err(words);
+            request_shutdown("membership", &message);
+            return Err(message);
         }
     }
 }
 
-/// What a failed read asks for: nothing where a time-out was over, a rest where it may fail again at once.
-fn rest_after(error: &std::io::Error) {
+/// Handles a failed read: nothing to do after a time-out, a pause where the next read may fail at once.
+fn pause_after(error: &std::io::Error) {
     match classify(Call::Datagram, error) {
-        // An earlier datagram to a peer that is gone comes back as a refusal; SWIM sees the loss itself.
+        // The kernel reports an earlier datagram to a dead peer as a refused connection; SWIM detects the loss
+        // itself.
         Class::WaitForReadiness | Class::TryAgain | Class::ConnectionOver => {}
         Class::OutOfResources | Class::Permanent => {
             tracing::warn!(target: "membership", "a read failed: {error}");
-            std::thread::sleep(READ_REST);
+            std::thread::sleep(READ_ERROR_PAUSE);
         }
     }
 }
 
-fn send(socket: &UdpSocket, room: &mut Membership) {
-    while let Some((to, bytes)) = room.take_outgoing() {
-        // A datagram that can't go is a loss, which the protocol is built for.
+fn send_outgoing(socket: &UdpSocket, membership: &mut Membership) {
+    while let Some((to, bytes)) = membership.take_outgoing() {
+        // A datagram that can't be sent counts as lost, which the protocol tolerates.
         let _ = retry::interrupted(|| socket.send_to(&bytes, to));
     }
 }
 
-/// `magpietally members --at ADDR`: asks the node whose membership listens there for its view and prints it.
+/// `magpietally members --at ADDR`: queries the node whose membership listens there for its view and prints it.
 ///
 /// # Errors
-/// No answer within 2 s, or one that does not end.
+/// No response within [`RESPONSE_TIMEOUT`], or a view of more than [`VIEW_PARTS_MAX`] parts.
 pub fn print_members(at: SocketAddr) -> Result<(), CommandError> {
     let local: SocketAddr = if at.ip().is_loopback() { "127.0.0.1:0" } else { "0.0.0.0:0" }
         .parse()
@@ -233,14 +237,14 @@
     let failed = |e: std::io::Error| CommandError::Failed(format!("members: {at}: {e}"));
     let socket = retry::at_start(Call::Create, "members", || UdpSocket::bind(local))
         .map_err(|e| CommandError::Failed(format!("members: a socket: {e}")))?;
-    socket.set_read_timeout(Some(ANSWER_WITHIN)).map_err(failed)?;
+    socket.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(failed)?;
     let mut buf = vec![0; VIEW_PART_MAX_BYTES];
     let mut after: Option<NodeId> = None;
-    for _ in 0..PARTS_MOST {
+    for _ in 0..VIEW_PARTS_MAX {
         let query = encode_query(after.as_ref());
-        retry::within(ANSWER_WITHIN, Call::Datagram, "members", || socket.send_to(&query, at))
+        retry::within(RESPONSE_TIMEOUT, Call::Datagram, "members", || socket.send_to(&query, at))
             .map_err(failed)?;
-        after = part(&socket, at, after, &mut buf)?;
+        after = print_part(&socket, at, after, &mut buf)?;
         if after.is_none() {
             return Ok(());
         }
@@ -248,18 +252,18 @@
     Err(CommandError::Failed(format!("members: {at} does not come to an end")))
 }
 
-/// Prints the part behind `after`; the identity behind which there is more.
-fn part(
+/// Prints the part of the view after `after`. Returns the identity after which the next part starts, if there is one.
+fn print_part(
     socket: &UdpSocket,
     at: SocketAddr,
     after: Option<NodeId>,
     buf: &mut [u8],
 ) -> Result<Option<NodeId>, CommandError> {
-    let deadline = Instant::now() + ANSWER_WITHIN;
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
     while Instant::now() < deadline {
         match retry::interrupted(|| socket.recv_from(buf)) {
             Ok((n, from)) if from == at => match decode_view_part(&buf[..n]) {
-                // One that does not go on is an earlier part again.
+                // A part that does not advance is a duplicate of an earlier one.
                 Some((next, text)) if next.is_none() || next > after => {
                     print!("{}", String::from_utf8_lossy(text));
                     return Ok(next);
