--- a/src/commands/boxes.rs
+++ b/src/commands/boxes.rs
@@ -1,4 +1,4 @@
-//! `magpietally boxes`: a box list's file, checked as a node would.
+//! `magpietally boxes`: checks a server list file as a node would.
 
 use std::path::PathBuf;
 
@@ -10,28 +10,28 @@
 
 use super::{invalid_input, CommandError};
 
-/// What to do with a list.
+/// The operations on a list.
 #[derive(Subcommand)]
 pub enum BoxesCommand {
-    /// Name everything that is wrong with a list, each with its line; exit code 2 where anything is
+    /// Report every problem of a list with its line; exit code 2 if there are any
     Check(CheckArgs),
-    /// Print what the list's `sum` should be
+    /// Print the correct value of the list's `sum`
     Sum {
-        /// The list
+        /// The list file
         file: PathBuf,
     },
 }
 
 #[derive(Args)]
 pub struct CheckArgs {
-    /// The list
+    /// The list file
     file: PathBuf,
-    /// One object, for programs
+    /// Print one JSON object, for programs
     #[arg(long)]
     json: bool,
 }
 
-/// Carries it out.
+/// Runs the subcommand.
 pub fn run(command: &BoxesCommand) -> Result<(), CommandError> {
     let file = match command {
         BoxesCommand::Check(args) => &args.file,
--- a/src/commands/demo/tests.rs
+++ b/src/commands/demo/tests.rs
@@ -1,7 +1,7 @@
 use magpietally_site::examples;
 
 #[test]
-fn the_embedded_demo_is_a_good_site() {
-    let site = examples::site("demo").expect("it is embedded and good");
+fn the_embedded_demo_is_a_valid_site() {
+    let site = examples::site("demo").expect("it is embedded and valid");
     assert_eq!((site.nodes.count, site.box_count(), site.clients.classes.len()), (2, 6, 3));
 }
--- a/src/commands/experiment.rs
+++ b/src/commands/experiment.rs
@@ -1,4 +1,4 @@
-//! `magpietally experiment`: variants of a node held against one another.
+//! `magpietally experiment`: compares variants of a node.
 
 use std::collections::BTreeMap;
 use std::io::{IsTerminal, Write};
@@ -9,40 +9,40 @@
 
 use super::{invalid_input, read_text_file, CommandError};
 
-/// What to compare.
+/// The arguments of a comparison.
 #[derive(Args)]
 pub struct ExperimentArgs {
     /// The experiment file: sites, seeds and variants in TOML
     file: String,
-    /// Where each run's result is kept, one line of JSON each; runs that are there already are not played again
+    /// File that each run's result is appended to as a line of JSON; runs that it already holds are not repeated
     #[arg(long)]
     results: Option<String>,
-    /// Threads; as many as there are cores by default
+    /// Number of threads; by default that of the cores
     #[arg(long)]
     threads: Option<usize>,
-    /// Worst sites first, and then this many of the first variant's worst runs
+    /// Print the worst sites first, and after them this many of the first variant's worst runs
     #[arg(long)]
     worst: Option<usize>,
-    /// The comparison as one line of JSON for each row, in place of the table
+    /// Print each row of the comparison as a line of JSON, instead of the table
     #[arg(long)]
     json: bool,
 }
 
-/// Carries it out.
+/// Runs the subcommand.
 pub fn run(args: &ExperimentArgs) -> Result<(), CommandError> {
     let text = read_text_file(&args.file).map_err(CommandError::InvalidInput)?;
     let plan = Plan::read(&text, read_text_file).map_err(|lines| invalid_input(&args.file, &lines))?;
-    let before = match &args.results {
+    let earlier_results = match &args.results {
         Some(file) if std::path::Path::new(file).exists() => read_text_file(file)?,
         _ => String::new(),
     };
-    let mut results: BTreeMap<String, Kept> = plan.resume(&before);
-    let mut kept = match &args.results {
+    let mut results: BTreeMap<String, Kept> = plan.resume(&earlier_results);
+    let mut results_file = match &args.results {
         Some(file) => {
             let opened = std::fs::OpenOptions::new().create(true).append(true).open(file);
             let mut to = opened.map_err(|e| format!("{file}: {e}"))?;
-            // A line that an interrupt cut off must not run into the next.
-            if !before.is_empty() && !before.ends_with('\n') {
+            // Completes a line that an interrupted run left unfinished, so that the next starts on its own.
+            if !earlier_results.is_empty() && !earlier_results.ends_with('\n') {
                 writeln!(to).map_err(|e| format!("{file}: {e}"))?;
             }
             Some((file, to))
@@ -60,14 +60,14 @@
     bar.set_position(results.len() as u64);
     let threads = args.threads.or_else(|| std::thread::available_parallelism().ok().map(Into::into));
     let done = results.clone();
-    let mut trouble = None;
+    let mut write_error = None;
     plan.play(&done, threads.unwrap_or(1), |job, run| {
         results.insert(job.digest.clone(), Kept::from(run));
         bar.inc(1);
-        if let Some((file, to)) = &mut kept {
+        if let Some((file, to)) = &mut results_file {
             let line = serde_json::to_string(&Line { digest: &job.digest, run }).unwrap_or_default();
             if let Err(error) = writeln!(to, "{line}") {
-                trouble.get_or_insert(format!("{file}: {error}"));
+                write_error.get_or_insert(format!("{file}: {error}"));
             }
         }
     });
@@ -87,5 +87,5 @@
             println!("worst: {goal:.4}  {site} --seed {seed}");
         }
     }
-    trouble.map_or(Ok(()), |words| Err(CommandError::Failed(words)))
+    write_error.map_or(Ok(()), |message| Err(CommandError::Failed(message)))
 }
--- a/src/commands/ledger.rs
+++ b/src/commands/ledger.rs
@@ -1,4 +1,4 @@
-//! `magpietally ledger`: what a node's ledger holds, and whether it agrees with the app boxes' own records.
+//! `magpietally ledger`: reads a node's ledger, and compares it with the servers' own records.
 
 use std::io::{BufRead, BufReader, BufWriter, ErrorKind, IsTerminal, Read, Write};
 use std::path::{Path, PathBuf};
@@ -17,29 +17,29 @@
 
 use super::CommandError;
 
-/// What recovery may hold here, where there is a whole machine's memory.
-const BOUNDS: RecoveryLimits = RecoveryLimits { open: 1 << 20, findings: 10_000 };
-/// The longest line of the boxes' records, in bytes.
-const LINE_MOST: u64 = 1 << 20;
-/// How often a follower looks.
-const LOOK: Duration = Duration::from_millis(200);
+/// Limits of recovery in this command, which may use more memory than a node.
+const LIMITS: RecoveryLimits = RecoveryLimits { open: 1 << 20, findings: 10_000 };
+/// The longest line of the servers' records.
+const LINE_MAX_BYTES: u64 = 1 << 20;
+/// How often `follow` polls for new records.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What to do with a ledger.
+/// The operations on a ledger.
 #[derive(Subcommand)]
 pub enum LedgerCommand {
     /// Print every record, one line each
     Show(ShowArgs),
-    /// Print the intents without an outcome: what was out when the node died, or is out now
+    /// Print the intents without an outcome: requests open when the node died, or open now
     Open(ReadArgs),
-    /// Read everything and name what is not as it should be; exit code 1 where there is damage
+    /// Read everything and report irregularities; exit code 1 if there is damage
     Verify(ReadArgs),
     /// Print every record as a line of JSON
     Export(ExportArgs),
-    /// Print records as they come
+    /// Print records as they are written
     Follow(FollowArgs),
-    /// Hold ledgers against the app boxes' own records; exit code 1 where they differ
+    /// Compare ledgers with the app boxes' own records; exit code 1 if they differ
     Reconcile(ReconcileArgs),
-    /// Settle what is unknown by the app boxes' records, so that it is not unknown at the next start; the node must be down
+    /// Settle unknown outcomes by the app boxes' records, so that the next start knows them; the node must be stopped
     Settle(SettleArgs),
 }
 
@@ -47,7 +47,7 @@
 pub struct ReadArgs {
     /// The ledger's directory; it may be in use
     directory: PathBuf,
-    /// One object a line, for programs
+    /// Print one JSON object per line, for programs
     #[arg(long)]
     json: bool,
 }
@@ -56,7 +56,7 @@
 pub struct ShowArgs {
     #[command(flatten)]
     read: ReadArgs,
-    /// Records of this request alone
+    /// Print only the records of this request
     #[arg(long)]
     id: Option<String>,
 }
@@ -65,7 +65,7 @@
 pub struct ExportArgs {
     /// The ledger's directory; it may be in use
     directory: PathBuf,
-    /// For the sake of habit: it is always JSON
+    /// Accepted for uniformity with the other subcommands: the output is always JSON
     #[arg(long)]
     json: bool,
 }
@@ -74,20 +74,20 @@
 pub struct FollowArgs {
     #[command(flatten)]
     read: ReadArgs,
-    /// End after so many seconds; without it only a signal ends it
+    /// Stop after this many seconds; without it only a signal stops it
     #[arg(long, value_name = "SECONDS")]
     seconds: Option<f64>,
 }
 
 #[derive(Args)]
 pub struct ReconcileArgs {
-    /// The ledgers' directories: of all nodes before the boxes, or requests of the others would seem to be missing
+    /// The ledgers' directories: of all nodes that send to the boxes, or requests of the others would appear to be missing
     #[arg(required = true)]
     directories: Vec<PathBuf>,
     /// The boxes' records: a line of JSON for each request that ran, with `box`, `id` and, where it has one, `key`
     #[arg(long, required = true, num_args = 1.., value_name = "FILE")]
     boxes: Vec<PathBuf>,
-    /// One object a line, and one with the sums at the end
+    /// Print one JSON object per line, and one with the totals at the end
     #[arg(long)]
     json: bool,
 }
@@ -96,35 +96,35 @@
 pub struct SettleArgs {
     /// The ledger's directory
     directory: PathBuf,
-    /// The boxes' records: all of the boxes', from before the node's death until now
+    /// The boxes' records: of all boxes, from before the node's death until now
     #[arg(long, required = true, num_args = 1.., value_name = "FILE")]
     boxes: Vec<PathBuf>,
-    /// One object with the sums
+    /// Print one JSON object with the totals
     #[arg(long)]
     json: bool,
 }
 
-/// Carries it out.
+/// Runs the subcommand.
 pub fn run(command: &LedgerCommand) -> Result<(), CommandError> {
-    let mut out = Out(BufWriter::new(std::io::stdout().lock()));
+    let mut out = Output(BufWriter::new(std::io::stdout().lock()));
     let done = match command {
         LedgerCommand::Show(args) => show(args, &mut out),
         LedgerCommand::Open(args) => open(args, &mut out),
         LedgerCommand::Verify(args) => verify(args, &mut out),
-        LedgerCommand::Export(args) => records(&args.directory, None, true, &mut out).map(drop),
+        LedgerCommand::Export(args) => print_records(&args.directory, None, true, &mut out).map(drop),
         LedgerCommand::Follow(args) => follow(args, &mut out),
         LedgerCommand::Reconcile(args) => reconcile(args, &mut out),
         LedgerCommand::Settle(args) => settle(args, &mut out),
     };
-    out.0.flush().or_else(Out::gone)?;
+    out.0.flush().or_else(Output::write_error)?;
     done
 }
 
-/// Standard output. Whoever reads it may leave: that ends the writing, and is no failure.
-struct Out<'a>(BufWriter<std::io::StdoutLock<'a>>);
+/// Standard output. If its reader closes the pipe, the program exits; that is not a failure.
+struct Output<'a>(BufWriter<std::io::StdoutLock<'a>>);
 
-impl Out<'_> {
-    fn gone(error: std::io::Error) -> Result<(), CommandError> {
+impl Output<'_> {
+    fn write_error(error: std::io::Error) -> Result<(), CommandError> {
         if error.kind() == ErrorKind::BrokenPipe {
             std::process::exit(0);
         }
@@ -133,8 +133,8 @@
 
     fn line(&mut self, line: &str) {
         if let Err(error) = writeln!(self.0, "{line}") {
-            // What can't be written at all is told when it is flushed at the end.
-            let _ = Self::gone(error);
+            // Any other error is reported by the flush at the end.
+            let _ = Self::write_error(error);
         }
     }
 
@@ -147,53 +147,53 @@
 }
 
 fn owner(directory: &Path) -> Result<Owner, CommandError> {
-    let own = read_identity(directory)
+    let identity = read_identity(directory)
         .map_err(|e| CommandError::InvalidInput(format!("{}: {e}", directory.display())))?;
-    Ok(own.owner)
+    Ok(identity.owner)
 }
 
-/// Reads a whole ledger, with a count on a terminal while that takes.
+/// Reads a ledger, with a running count of the records on a terminal.
 fn read(
     directory: &Path,
-    reach: ReadScope,
+    scope: ReadScope,
     mut sink: impl FnMut(&LocatedRecord),
 ) -> Result<Recovered, CommandError> {
     let owner = owner(directory)?;
     let bar =
         if std::io::stderr().is_terminal() { ProgressBar::new_spinner() } else { ProgressBar::hidden() };
     let mut count = 0u64;
-    let recovered = recover(&mut Folder::new(directory), owner, BOUNDS, reach, &mut |seen| {
+    let recovered = recover(&mut Folder::new(directory), owner, LIMITS, scope, &mut |located| {
         count += 1;
         if count.is_multiple_of(65_536) {
             bar.set_message(format!("{count} records"));
             bar.tick();
         }
-        sink(&seen);
+        sink(&located);
     });
     bar.finish_and_clear();
     recovered.map_err(|e| CommandError::Failed(format!("{}: {e}", directory.display())))
 }
 
-fn time(at: Timestamp) -> String {
+fn format_time(at: Timestamp) -> String {
     let at = UNIX_EPOCH.checked_add(Duration::from_micros(at.wall_us)).unwrap_or(UNIX_EPOCH);
     humantime::format_rfc3339_millis(at).to_string()
 }
 
-fn fate(fate: Execution) -> &'static str {
-    match fate {
+fn format_execution(execution: Execution) -> &'static str {
+    match execution {
         Execution::Ran => "ran",
         Execution::Never => "never ran",
         Execution::Unknown => "may have run",
     }
 }
 
-fn words(record: &Record) -> String {
+fn format_record(record: &Record) -> String {
     let intent = |i: &magpietally_ledger::record::Intent| {
         let key = i.key.map_or(String::new(), |k| format!(" key {k}"));
         let tenant = if i.tenant.is_empty() { String::new() } else { format!(" of {}", i.tenant) };
         format!(
             "{} intent {} {} {}{tenant}{key} attempt {} to {}, {} ms left",
-            time(i.at),
+            format_time(i.at),
             i.number,
             i.class,
             i.id,
@@ -205,11 +205,22 @@
     match record {
         Record::Intent(i) => intent(i),
         Record::Outcome(o) => {
-            format!("{} outcome {} {:?}: {}", time(o.at), o.intent, o.how, fate(o.how.execution()))
+            format!(
+                "{} outcome {} {:?}: {}",
+                format_time(o.at),
+                o.intent,
+                o.how,
+                format_execution(o.how.execution())
+            )
         }
-        Record::Final(f) => format!("{} answer {} {} {:?}", time(f.at), f.intent, f.id, f.told),
+        Record::Final(f) => format!("{} answer {} {} {:?}", format_time(f.at), f.intent, f.id, f.told),
         Record::Settled(s) => {
-            format!("{} settled {}: {}", time(s.at), s.intent, if s.ran { "ran" } else { "did not run" })
+            format!(
+                "{} settled {}: {}",
+                format_time(s.at),
+                s.intent,
+                if s.ran { "ran" } else { "did not run" }
+            )
         }
         Record::Carried(c) => {
             format!("carried: {}{}", intent(&c.intent), if c.trusted { "" } else { " (not trusted)" })
@@ -220,7 +231,7 @@
     }
 }
 
-fn is_about(record: &Record, id: &str, numbers: &mut Vec<u64>) -> bool {
+fn belongs_to_request(record: &Record, id: &str, numbers: &mut Vec<u64>) -> bool {
     match record {
         Record::Intent(i) if i.id == id => numbers.push(i.number),
         Record::Carried(c) if c.intent.id == id => numbers.push(c.intent.number),
@@ -233,37 +244,47 @@
 }
 
 /// Prints records as they are read.
-fn records(directory: &Path, id: Option<&str>, json: bool, out: &mut Out) -> Result<Recovered, CommandError> {
+fn print_records(
+    directory: &Path,
+    id: Option<&str>,
+    json: bool,
+    out: &mut Output,
+) -> Result<Recovered, CommandError> {
     let mut numbers = Vec::new();
-    read(directory, ReadScope::All, |seen| {
-        if id.is_some_and(|id| !is_about(&seen.record, id, &mut numbers)) {
+    read(directory, ReadScope::All, |located| {
+        if id.is_some_and(|id| !belongs_to_request(&located.record, id, &mut numbers)) {
             return;
         }
         if json {
-            out.json(seen);
+            out.json(located);
         } else {
-            let doubt = if seen.trusted { "" } else { "  (not trusted)" };
-            out.line(&format!("{}.{} {}{doubt}", seen.segment.0, seen.seq, words(&seen.record)));
+            let trust_note = if located.trusted { "" } else { "  (not trusted)" };
+            out.line(&format!(
+                "{}.{} {}{trust_note}",
+                located.segment.0,
+                located.seq,
+                format_record(&located.record)
+            ));
         }
     })
 }
 
-fn show(args: &ShowArgs, out: &mut Out) -> Result<(), CommandError> {
-    let recovered = records(&args.read.directory, args.id.as_deref(), args.read.json, out)?;
+fn show(args: &ShowArgs, out: &mut Output) -> Result<(), CommandError> {
+    let recovered = print_records(&args.read.directory, args.id.as_deref(), args.read.json, out)?;
     if !args.read.json {
         recovered.findings.iter().for_each(|finding| out.line(&format!("! {finding}")));
     }
     Ok(())
 }
 
-fn open(args: &ReadArgs, out: &mut Out) -> Result<(), CommandError> {
+fn open(args: &ReadArgs, out: &mut Output) -> Result<(), CommandError> {
     let recovered = read(&args.directory, ReadScope::Checkpoint, |_| {})?;
     for open in &recovered.open {
         if args.json {
             out.json(open);
         } else {
-            let doubt = if open.trusted { "" } else { "  (not trusted)" };
-            out.line(&format!("{}{doubt}", words(&Record::Intent(open.intent.clone()))));
+            let trust_note = if open.trusted { "" } else { "  (not trusted)" };
+            out.line(&format!("{}{trust_note}", format_record(&Record::Intent(open.intent.clone()))));
         }
     }
     if !args.json {
@@ -274,7 +295,7 @@
     Ok(())
 }
 
-fn verify(args: &ReadArgs, out: &mut Out) -> Result<(), CommandError> {
+fn verify(args: &ReadArgs, out: &mut Output) -> Result<(), CommandError> {
     let recovered = read(&args.directory, ReadScope::All, |_| {})?;
     if args.json {
         out.json(&json!({
@@ -298,7 +319,7 @@
     Ok(())
 }
 
-fn follow(args: &FollowArgs, out: &mut Out) -> Result<(), CommandError> {
+fn follow(args: &FollowArgs, out: &mut Output) -> Result<(), CommandError> {
     let directory = &args.read.directory;
     let end = match args.seconds {
         Some(s) if !(s.is_finite() && s >= 0.0) => {
@@ -308,10 +329,15 @@
     };
     let (mut disk, mut follower) = (Folder::new(directory), Follower::new(owner(directory)?));
     loop {
-        let polled = follower.poll(&mut disk, &mut |news| match (news, args.read.json) {
-            (FollowEvent::Record(seen), true) => out.json(&seen),
-            (FollowEvent::Record(seen), false) => {
-                out.line(&format!("{}.{} {}", seen.segment.0, seen.seq, words(&seen.record)));
+        let polled = follower.poll(&mut disk, &mut |event| match (event, args.read.json) {
+            (FollowEvent::Record(located), true) => out.json(&located),
+            (FollowEvent::Record(located), false) => {
+                out.line(&format!(
+                    "{}.{} {}",
+                    located.segment.0,
+                    located.seq,
+                    format_record(&located.record)
+                ));
             }
             (FollowEvent::Finding(finding), true) => out.json(&finding),
             (FollowEvent::Finding(finding), false) => out.line(&format!("! {finding}")),
@@ -326,16 +352,16 @@
             }
         });
         polled.map_err(|e| CommandError::Failed(format!("{}: {e}", directory.display())))?;
-        out.0.flush().or_else(Out::gone)?;
+        out.0.flush().or_else(Output::write_error)?;
         if end.is_some_and(|end| std::time::Instant::now() >= end) {
             return Ok(());
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The boxes' records.
-fn runs(files: &[PathBuf]) -> Result<Vec<ServerRun>, CommandError> {
+/// Reads the servers' records.
+fn read_runs(files: &[PathBuf]) -> Result<Vec<ServerRun>, CommandError> {
     let mut all = Vec::new();
     for file in files {
         let name = file.display();
@@ -343,36 +369,37 @@
             std::fs::File::open(file).map_err(|e| CommandError::InvalidInput(format!("{name}: {e}")))?;
         let mut from = BufReader::new(open);
         for n in 1.. {
-            let bad = |words: String| CommandError::InvalidInput(format!("{name}: line {n}: {words}"));
+            let invalid =
+                |message: String| CommandError::InvalidInput(format!("{name}: line {n}: {message}"));
             let mut line = Vec::new();
-            // A file that is no file of lines, as a device, must not fill the memory with its first.
-            let read = from.by_ref().take(LINE_MOST + 1).read_until(b'\n', &mut line);
-            let length = read.map_err(|e| bad(e.to_string()))? as u64;
+            // Bounded, since a file without line feeds, such as a device, would fill the memory.
+            let read = from.by_ref().take(LINE_MAX_BYTES + 1).read_until(b'\n', &mut line);
+            let length = read.map_err(|e| invalid(e.to_string()))? as u64;
             if length == 0 {
                 break;
             }
-            if length > LINE_MOST {
-                return Err(bad(format!("longer than {LINE_MOST} bytes")));
+            if length > LINE_MAX_BYTES {
+                return Err(invalid(format!("longer than {LINE_MAX_BYTES} bytes")));
             }
             if !line.trim_ascii().is_empty() {
-                all.push(serde_json::from_slice(&line).map_err(|e| bad(e.to_string()))?);
+                all.push(serde_json::from_slice(&line).map_err(|e| invalid(e.to_string()))?);
             }
         }
     }
     Ok(all)
 }
 
-fn reconcile(args: &ReconcileArgs, out: &mut Out) -> Result<(), CommandError> {
-    let runs = runs(&args.boxes)?;
-    let (mut books, mut damaged) = (LedgerIndex::new(), false);
+fn reconcile(args: &ReconcileArgs, out: &mut Output) -> Result<(), CommandError> {
+    let runs = read_runs(&args.boxes)?;
+    let (mut index, mut damaged) = (LedgerIndex::new(), false);
     for (n, directory) in args.directories.iter().enumerate() {
-        let recovered = read(directory, ReadScope::All, |seen| books.add(n, seen))?;
+        let recovered = read(directory, ReadScope::All, |located| index.add(n, located))?;
         damaged |= recovered.is_damaged();
         for finding in recovered.findings.iter().filter(|f| f.is_damage()) {
             eprintln!("magpietally: {}: {finding}", directory.display());
         }
     }
-    let all = books.compare(&runs);
+    let all = index.compare(&runs);
     let unknown = all.iter().filter(|d| d.is_unknown()).count();
     for difference in &all {
         if args.json {
@@ -383,14 +410,14 @@
     }
     if args.json {
         let sums = json!({
-            "requests": books.requests(), "runs": runs.len(), "unknown": unknown,
+            "requests": index.requests(), "runs": runs.len(), "unknown": unknown,
             "other_differences": all.len() - unknown, "damaged": damaged,
         });
         out.json(&sums);
     } else {
         out.line(&format!(
             "{} requests in the ledgers, {} runs at the boxes: {unknown} unknown, {} other differences",
-            books.requests(),
+            index.requests(),
             runs.len(),
             all.len() - unknown
         ));
@@ -401,15 +428,15 @@
     Err(CommandError::Failed("the ledgers and the boxes' records differ".to_string()))
 }
 
-fn settle(args: &SettleArgs, out: &mut Out) -> Result<(), CommandError> {
-    let runs = runs(&args.boxes)?;
+fn settle(args: &SettleArgs, out: &mut Output) -> Result<(), CommandError> {
+    let runs = read_runs(&args.boxes)?;
     let name = args.directory.display();
     let owner = owner(&args.directory)?;
     let failed = |e: &dyn std::fmt::Display| CommandError::Failed(format!("{name}: {e}"));
     let _lock = Lock::acquire(&args.directory).map_err(|e| failed(&e))?;
-    let mut books = LedgerIndex::new();
-    read(&args.directory, ReadScope::All, |seen| books.add(0, seen))?;
-    let unknown: Vec<(u64, bool)> = books
+    let mut index = LedgerIndex::new();
+    read(&args.directory, ReadScope::All, |located| index.add(0, located))?;
+    let unknown: Vec<(u64, bool)> = index
         .compare(&runs)
         .into_iter()
         .filter_map(|d| match d {
@@ -418,14 +445,14 @@
             _ => None,
         })
         .collect();
-    // Nothing is removed here, and each batch is safe before it is told of.
+    // The options remove no segments, and each batch is durable before it is reported.
     let journal_options = JournalOptions {
         durability: Durability::PowerLoss,
         segment_bytes: 64 << 20,
         segment_age_us: u64::MAX,
         segments: usize::MAX,
         age_us: u64::MAX,
-        open: BOUNDS.open,
+        open: LIMITS.open,
         backlog: 0,
     };
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/src/commands/site.rs
+++ b/src/commands/site.rs
@@ -1,4 +1,4 @@
-//! `magpietally site`: check a site file, or play a site in virtual time.
+//! `magpietally site`: checks a site file, or simulates a site in virtual time.
 
 use clap::{Args, Subcommand};
 use magpietally_site::examples;
@@ -8,75 +8,77 @@
 
 use super::{invalid_input, read_text_file, CommandError};
 
-/// What to do with a site.
+/// The operations on a site.
 #[derive(Subcommand)]
 pub enum SiteCommand {
-    /// Check a site file: exit code 0 where it makes sense, 2 and one line for each fault where not
+    /// Check a site file: exit code 0 if it is valid, else 2 and a line for each error
     Check {
         /// The site file
         file: String,
     },
-    /// Print an embedded site file, to start one's own from
+    /// Print an embedded site file, as a template for your own
     Print {
-        /// Its name: club or demo
+        /// Name of the file: club or demo
         name: String,
     },
-    /// Play a site in virtual time: the referee's table, exit code 1 where a rule broke
+    /// Simulate a site in virtual time and print the referee's table; exit code 1 if a rule was broken
     Run(RunArgs),
 }
 
-/// What to play.
+/// The arguments of a simulation.
 #[derive(Args)]
 pub struct RunArgs {
-    /// A site file, or an embedded site: calm, club, demo, or club with one fault by its name, as hang
+    /// A site file, or an embedded site: calm, club, demo, or club with a single fault, given by its name, such as hang
     site: String,
-    /// The seed of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seconds for which requests come, in place of the site's own
+    /// Seconds for which requests arrive, instead of the site's own
     #[arg(long)]
     seconds: Option<f64>,
-    /// A baseline in place of the policy: random, round_robin, least_in_flight, two_choices; or a faulty node:
+    /// A baseline instead of the policy: random, round_robin, least_in_flight, two_choices; or a faulty node:
     /// second_run, ignores_drains, refuses_what_ran, loses_requests, pushes_cold, holds_back
     #[arg(long, default_value = "policy")]
     variant: String,
-    /// How many nodes, in place of the site's own
+    /// Number of nodes, instead of the site's own
     #[arg(long)]
     nodes: Option<usize>,
-    /// How many boxes in all, in place of the site's own: its kinds in the same proportion
+    /// Total number of boxes, instead of the site's own; the proportions of its kinds stay the same
     #[arg(long)]
     boxes: Option<usize>,
-    /// One object with all figures
+    /// Print one JSON object with all figures
     #[arg(long)]
     json: bool,
-    /// Tell what it cost in real time, on standard error
+    /// Report the real time used, on standard error
     #[arg(long)]
     cost: bool,
 }
 
-/// A site by its embedded name or from a file.
-pub fn site_of(name: &str) -> Result<Site, CommandError> {
+/// Loads a site by its embedded name or from a file.
+pub fn load_site(name: &str) -> Result<Site, CommandError> {
     match examples::site(name) {
         Some(site) => Ok(site),
         None => {
-            let words = |e| format!("{e}; the embedded sites are {}", examples::names().join(", "));
-            let text = read_text_file(name).map_err(|e| CommandError::InvalidInput(words(e)))?;
+            let describe = |e| format!("{e}; the embedded sites are {}", examples::names().join(", "));
+            let text = read_text_file(name).map_err(|e| CommandError::InvalidInput(describe(e)))?;
             Site::read(&text).map_err(|lines| invalid_input(name, &lines))
         }
     }
 }
 
-/// A variant by its name.
-fn variant_of(name: &str) -> Result<Variant, CommandError> {
+/// Finds a variant by its name.
+fn find_variant(name: &str) -> Result<Variant, CommandError> {
     if name == "policy" {
         return Ok(Variant::policy());
     }
-    let pick = Pick::ALL.into_iter().find(|p| p.name() == name).map(Variant::baseline);
+    let baseline = Pick::ALL.into_iter().find(|p| p.name() == name).map(Variant::baseline);
     let misdeed = || Misdeed::ALL.into_iter().find(|m| m.name() == name).map(Variant::faulty);
-    pick.or_else(misdeed).ok_or_else(|| CommandError::InvalidInput(format!("--variant: {name:?} is unknown")))
+    baseline
+        .or_else(misdeed)
+        .ok_or_else(|| CommandError::InvalidInput(format!("--variant: {name:?} is unknown")))
 }
 
-/// Carries it out.
+/// Runs the subcommand.
 pub fn run(command: &SiteCommand) -> Result<(), CommandError> {
     match command {
         SiteCommand::Check { file } => {
@@ -99,34 +101,34 @@
             }
             None => Err(CommandError::InvalidInput(format!("{name:?} is no embedded file: club, demo"))),
         },
-        SiteCommand::Run(args) => play(args),
+        SiteCommand::Run(args) => simulate(args),
     }
 }
 
-/// The site at another size: its kinds in the same proportion, its load the same part of what they can do.
+/// Resizes the site: the proportions of its kinds stay the same, and so does its load relative to their capacity.
 fn resize(site: &mut Site, nodes: Option<usize>, boxes: Option<usize>) {
     if let Some(nodes) = nodes {
         site.nodes.count = nodes;
     }
     if let Some(boxes) = boxes {
         let before = site.box_count();
-        let mut left = boxes;
+        let mut remaining = boxes;
         let kinds = site.boxes.len();
         for (n, kind) in site.boxes.iter_mut().enumerate() {
             let share = (kind.count * boxes).div_ceil(before.max(1));
-            kind.count = if n + 1 == kinds { left } else { share.min(left) };
-            left -= kind.count;
+            kind.count = if n + 1 == kinds { remaining } else { share.min(remaining) };
+            remaining -= kind.count;
         }
         site.boxes.retain(|k| k.count > 0);
     }
 }
 
-fn play(args: &RunArgs) -> Result<(), CommandError> {
-    let mut site = site_of(&args.site)?;
+fn simulate(args: &RunArgs) -> Result<(), CommandError> {
+    let mut site = load_site(&args.site)?;
     site.for_s = args.seconds.unwrap_or(site.for_s);
     resize(&mut site, args.nodes, args.boxes);
     site.check().map_err(|lines| invalid_input(&args.site, &lines))?;
-    let variant = variant_of(&args.variant)?;
+    let variant = find_variant(&args.variant)?;
     let (run, took) = virt::run_timed(&site, args.seed, &variant);
     if args.cost {
         let requests = run.verdict.whole.requests as f64;
@@ -155,7 +157,7 @@
     Ok(())
 }
 
-/// The referee's word as a table.
+/// Formats the referee's verdict as a table.
 pub fn verdict_table(v: &Verdict) -> String {
     let w = &v.whole;
     let percent = |part: f64| format!("{:.1}%", 100.0 * part);
