--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,4 +1,4 @@
-//! Reading files that somebody else writes, within bounds.
+//! Reads files that other programs write, with a limit on their size.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -7,43 +7,44 @@
 
 use magpietally_os_error::{retry, Call};
 
-/// Reads a file to its end, `most` bytes at the most.
+/// Reads a whole file of at max_bytes `max_bytes` bytes.
 ///
 /// # Errors
-/// The system's, and a word where there is more than that: a device has no end.
-pub fn read(path: &Path, most: usize) -> io::Result<Vec<u8>> {
-    bounded(File::open(path)?, most)
+/// An I/O error, or the file is longer. The limit also covers devices, which have no end.
+pub fn read(path: &Path, max_bytes: usize) -> io::Result<Vec<u8>> {
+    read_bounded(File::open(path)?, max_bytes)
 }
 
-/// The same as text.
+/// Reads a whole text file of at max_bytes `max_bytes` bytes.
 ///
 /// # Errors
-/// Those of [`read`], and a word where it is not UTF-8.
-pub fn read_text(path: &Path, most: usize) -> io::Result<String> {
-    text(read(path, most)?)
+/// Those of [`read`], or the file is not UTF-8.
+pub fn read_text(path: &Path, max_bytes: usize) -> io::Result<String> {
+    decode_utf8(read(path, max_bytes)?)
 }
 
-/// The same for a process that serves, of a plain file alone: see [`open_regular`].
+/// Reads a text file like [`read_text`], but only a regular file, as a long-running process needs: see [`open_regular`].
 ///
 /// # Errors
 /// Those of [`read_text`] and [`open_regular`].
-pub fn read_regular(path: &Path, most: usize) -> io::Result<String> {
-    text(bounded(open_regular(path)?, most)?)
+pub fn read_regular(path: &Path, max_bytes: usize) -> io::Result<String> {
+    decode_utf8(read_bounded(open_regular(path)?, max_bytes)?)
 }
 
-/// The same of a file that can't be done without: a disk or a table that fails for a moment is waited for, for so long.
+/// Reads a required file like [`read_regular`], and retries transient errors of the disk or the file table for up to
+/// `timeout`.
 ///
 /// # Errors
 /// Those of [`read_regular`].
-pub fn read_regular_within(span: Duration, path: &Path, most: usize) -> io::Result<String> {
+pub fn read_regular_within(timeout: Duration, path: &Path, max_bytes: usize) -> io::Result<String> {
     let name = path.display().to_string();
-    retry::within(span, Call::File, &name, || read_regular(path, most))
+    retry::within(timeout, Call::File, &name, || read_regular(path, max_bytes))
 }
 
-/// Opens a file for a process that serves: a pipe without a writer in its place would hold it up for good.
+/// Opens a regular file. Opening a pipe without a writer instead would block a long-running process forever.
 ///
 /// # Errors
-/// The system's, and a word where it is no plain file.
+/// An I/O error, or the path is not a regular file.
 pub fn open_regular(path: &Path) -> io::Result<File> {
     if !std::fs::metadata(path)?.is_file() {
         return Err(io::Error::other("not a file"));
@@ -51,16 +52,16 @@
     File::open(path)
 }
 
-fn bounded(file: File, most: usize) -> io::Result<Vec<u8>> {
+fn read_bounded(file: File, max_bytes: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    // One more than may be read, so that what is too long is seen to be.
-    file.take(most as u64 + 1).read_to_end(&mut bytes)?;
-    if bytes.len() > most {
-        return Err(io::Error::other(format!("longer than {most} bytes")));
+    // One byte more than the limit, so that a file that is too long is detected.
+    file.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+    if bytes.len() > max_bytes {
+        return Err(io::Error::other(format!("longer than {max_bytes} bytes")));
     }
     Ok(bytes)
 }
 
-fn text(bytes: Vec<u8>) -> io::Result<String> {
+fn decode_utf8(bytes: Vec<u8>) -> io::Result<String> {
     String::from_utf8(bytes).map_err(|e| io::Error::other(format!("not UTF-8: {e}")))
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! What operators write, checked before it is used: box lists in files, and the fleet's policy.
+//! The files that operators write, checked before use: server lists and the fleet's policy.
 //!
-//! [`server_list`] reads a list and finds what is wrong with it; [`reload`] decides whether and when a list that was read is
-//! applied; both are pure. [`watch`] looks at a file, on a thread of its own, and hands on what the keeper lets through.
-//! [`fleet_policy`] is the one document that the whole fleet decides by. [`mod@file`] reads within bounds what others write.
+//! [`server_list`] parses a list and reports its problems; [`reload`] decides whether and when a list is applied. Both
+//! do no I/O. [`watch`] checks a list's file on a dedicated thread and publishes the lists that are applied.
+//! [`fleet_policy`] is the document that the whole fleet decides by. [`mod@file`] reads files of other programs with a
+//! limit on their size.
 
 pub mod file;
 pub mod fleet_policy;
--- a/crates/config/src/server_list.rs
+++ b/crates/config/src/server_list.rs
@@ -1,5 +1,5 @@
-//! A box list as operators and their tools write it: TOML, with the count of its boxes, so that a half-written copy is known
-//! for one. `docs/operate/boxes.md` is its reference.
+//! The server list as operators and their tools write it: TOML, with the count of its servers, by which a half-written
+//! copy is detected. `docs/operate/boxes.md` is the reference of the format.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,65 +9,65 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-/// The largest file that is read, in bytes.
+/// The largest file that is read.
 pub const FILE_MAX_BYTES: usize = 16 << 20;
-/// The most boxes of a list.
+/// The most servers of a list.
 pub const SERVERS_MAX: usize = 20_000;
-/// The longest name, in bytes.
+/// The longest name of a server.
 pub const NAME_MAX_BYTES: usize = 128;
-/// The bounds of weights.
+/// The smallest and the largest weight.
 pub const WEIGHT_RANGE: (f64, f64) = (0.001, 1000.0);
 
-/// What a box is up to.
+/// The state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Active,
-    /// It finishes what it has, and takes nothing new.
+    /// It finishes its requests and accepts no new ones.
     Draining,
 }
 
-/// A box of a list.
+/// A server of a list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AppServer {
-    /// Its name, the same for as long as it is the same box.
+    /// Its name, which identifies the server across lists.
     pub name: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: String,
-    /// The cell that it shares its memory of keys with.
+    /// The cell whose servers share the memory of idempotency keys.
     pub cell: u64,
-    /// Its weight against the others.
+    /// Its weight relative to the other servers.
     pub weight: f64,
     /// Its state.
     pub state: ServerState,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// The time of its last start as Unix time in milliseconds; 0 if it started long ago.
     pub started_ms: f64,
 }
 
-/// A whole list that nothing is wrong with.
+/// A complete, valid list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServerList {
-    /// Its boxes in the order of the file.
+    /// Its servers in the order of the file.
     #[serde(rename = "boxes")]
     pub servers: Vec<AppServer>,
-    /// That it has none is meant.
+    /// Whether the list is empty on purpose.
     pub empty_is_meant: bool,
-    /// That it has less than half of the boxes of before is meant.
+    /// Whether the list drops more than half of the servers of the previous one on purpose.
     pub shrink_is_meant: bool,
 }
 
-/// Something wrong with a file.
+/// A problem of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Problem {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The description of the problem.
     #[serde(rename = "words")]
     pub message: String,
 }
@@ -103,38 +103,38 @@
     kind: String,
     #[serde(default)]
     cell: u64,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: Spanned<f64>,
     #[serde(default)]
     state: ServerState,
-    #[serde(default = "long_ago")]
+    #[serde(default = "default_started_ms")]
     started_ms: Spanned<f64>,
 }
 
-fn one() -> Spanned<f64> {
+fn default_weight() -> Spanned<f64> {
     Spanned::new(0..0, 1.0)
 }
 
-fn long_ago() -> Spanned<f64> {
+fn default_started_ms() -> Spanned<f64> {
     Spanned::new(0..0, 0.0)
 }
 
-/// Reads a list.
+/// Parses a list.
 ///
 /// # Errors
-/// Everything that is wrong with it, in the order of its lines; of what is no TOML the first place.
+/// All problems of the list, in the order of its lines; only the first_line error if it is not valid TOML.
 pub fn parse(bytes: &[u8]) -> Result<ServerList, Vec<Problem>> {
-    let one = |line, message: String| Err(vec![Problem { line, message }]);
+    let single = |line, message: String| Err(vec![Problem { line, message }]);
     if bytes.len() > FILE_MAX_BYTES {
-        return one(1, format!("{} bytes; {FILE_MAX_BYTES} are the most", bytes.len()));
+        return single(1, format!("{} bytes; {FILE_MAX_BYTES} are the most", bytes.len()));
     }
-    // Some editors begin a file with a mark of its encoding.
+    // Some editors begin a file with a byte order mark.
     let bytes = bytes.strip_prefix(b"\xEF\xBB\xBF").unwrap_or(bytes);
     let text = match std::str::from_utf8(bytes) {
         Ok(text) => text,
         Err(error) => {
             let line = line_of(&bytes[..error.valid_up_to()]);
-            return one(line, "not UTF-8: cut within a character, or in another encoding".into());
+            return single(line, "not UTF-8: cut within a character, or in another encoding".into());
         }
     };
     let at = |span: &Range<usize>| line_of(&bytes[..span.start.min(bytes.len())]);
@@ -142,25 +142,28 @@
         Ok(file) => file,
         Err(error) => {
             let line = error.span().map_or(1, |span| at(&span));
-            return one(line, error.message().trim().replace('\n', "; "));
+            return single(line, error.message().trim().replace('\n', "; "));
         }
     };
     let mut problems = Vec::new();
     let mut problem =
         |span: Range<usize>, message: String| problems.push(Problem { line: at(&span), message });
     if *file.count.get_ref() != file.servers.len() {
-        let (says, has) = (file.count.get_ref(), file.servers.len());
-        problem(file.count.span(), format!("count is {says}, and there are {has} boxes: is the copy whole?"));
+        let (count, actual) = (file.count.get_ref(), file.servers.len());
+        problem(
+            file.count.span(),
+            format!("count is {count}, and there are {actual} boxes: is the copy whole?"),
+        );
     }
     if file.servers.len() > SERVERS_MAX {
         problem(file.count.span(), format!("{} boxes; {SERVERS_MAX} are the most", file.servers.len()));
     }
     if let Some(sum) = &file.sum {
-        let is = format!("{:08x}", sum_without(bytes, &sum.span()));
-        if *sum.get_ref() != is {
+        let expected = format!("{:08x}", checksum_without(bytes, &sum.span()));
+        if *sum.get_ref() != expected {
             problem(
                 sum.span(),
-                format!("sum is {}, and the file's is {is}: is the copy whole?", sum.get_ref()),
+                format!("sum is {}, and the file's is {expected}: is the copy whole?", sum.get_ref()),
             );
         }
     }
@@ -171,38 +174,38 @@
     let mut servers = Vec::with_capacity(file.servers.len());
     for entry in file.servers {
         let entry = entry.into_inner();
-        let (name, named) = (entry.name.get_ref().clone(), entry.name.span());
+        let (name, name_span) = (entry.name.get_ref().clone(), entry.name.span());
         if name.is_empty() || name.len() > NAME_MAX_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
             problem(
-                named.clone(),
+                name_span.clone(),
                 format!("name: 1 to {NAME_MAX_BYTES} visible characters expected, not {name:?}"),
             );
         }
-        if let Some(first) = names.insert(name.clone(), at(&named)) {
-            problem(named, format!("name: {name} is on line {first} already"));
+        if let Some(first_line) = names.insert(name.clone(), at(&name_span)) {
+            problem(name_span, format!("name: {name} is on line {first_line} already"));
         }
         let address = entry.address.get_ref().parse::<SocketAddr>();
-        let place = entry.address.span();
+        let address_span = entry.address.span();
         match &address {
             Err(_) => {
-                let message = entry.address.get_ref();
-                problem(place, format!("address: IP address and port expected, not {message:?}"));
+                let value = entry.address.get_ref();
+                problem(address_span, format!("address: IP address and port expected, not {value:?}"));
             }
             Ok(address) if address.port() == 0 || address.ip().is_unspecified() => {
-                problem(place, format!("address: {address} is nowhere to connect to"));
+                problem(address_span, format!("address: {address} is nowhere to connect to"));
             }
             Ok(address) => {
-                if let Some(first) = addresses.insert(*address, at(&place)) {
-                    problem(place, format!("address: {address} is on line {first} already"));
+                if let Some(first_line) = addresses.insert(*address, at(&address_span)) {
+                    problem(address_span, format!("address: {address} is on line {first_line} already"));
                 }
             }
         }
         let weight = *entry.weight.get_ref();
         if !(WEIGHT_RANGE.0..=WEIGHT_RANGE.1).contains(&weight) {
-            let (least, most) = WEIGHT_RANGE;
+            let (min, max) = WEIGHT_RANGE;
             let hint =
                 if weight == 0.0 { "; a box that is to get nothing has state = \"draining\"" } else { "" };
-            problem(entry.weight.span(), format!("weight: {weight} is not within {least} to {most}{hint}"));
+            problem(entry.weight.span(), format!("weight: {weight} is not within {min} to {max}{hint}"));
         }
         let started_ms = *entry.started_ms.get_ref();
         if !(0.0..1e15).contains(&started_ms) {
@@ -224,19 +227,19 @@
     Err(problems)
 }
 
-/// CRC-32 of a file without the value of its `sum`, the quotes around it included.
-fn sum_without(bytes: &[u8], span: &Range<usize>) -> u32 {
+/// Computes the CRC-32 of a file without the value of its `sum`, which includes the quotes.
+fn checksum_without(bytes: &[u8], span: &Range<usize>) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(bytes.get(..span.start).unwrap_or_default());
     sum.update(bytes.get(span.end..).unwrap_or_default());
     sum.finalize()
 }
 
-/// What the `sum` of a file should say; `None` where it has none, or can't be read.
+/// Returns the correct `sum` of a file; `None` if it has no `sum` or can't be parsed.
 pub fn expected_sum(bytes: &[u8]) -> Option<String> {
     let bytes = bytes.strip_prefix(b"\xEF\xBB\xBF").unwrap_or(bytes);
     let file: File = toml::from_str(std::str::from_utf8(bytes).ok()?).ok()?;
-    Some(format!("{:08x}", sum_without(bytes, &file.sum?.span())))
+    Some(format!("{:08x}", checksum_without(bytes, &file.sum?.span())))
 }
 
 fn line_of(before: &[u8]) -> usize {
--- a/crates/config/src/watch.rs
+++ b/crates/config/src/watch.rs
@@ -1,5 +1,5 @@
-//! Looks at a list's file, ten times a second, on a thread of its own: a file system that hangs hangs nothing else. Looking
-//! is the floor that needs no notifications, which network file systems lose.
+//! Checks a list's file ten times a second on a dedicated thread, so that a file system that hangs blocks nothing else.
+//! Polling needs no change notifications, which network file systems lose.
 
 use std::fs::File;
 use std::io::Read;
@@ -16,18 +16,19 @@
 use crate::reload::{FileCheck, ReloadAction, ReloadRules, ReloadTracker};
 use crate::server_list::{ServerList, FILE_MAX_BYTES};
 
-/// How often the file is looked at. Twice this, and the time that a file must stand still, is within what a drain allows.
+/// How often the file is checked. Twice this and [`QUIET_PERIOD`] together are within the time allowed for a drain.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How soon a file that something is wrong with is looked at again, in milliseconds, for the first looks: a writer that goes on
-/// in step with the looks would else show its half-written copies each time.
-const AGAIN: [u64; 5] = [7, 13, 23, 41, 61];
-const AGAIN_MOST: usize = 20;
-/// How long a file that was written in place must have stood still.
-const STILL: Duration = Duration::from_millis(250);
-/// How often the same trouble is told again.
-const TELL: Duration = Duration::from_secs(30);
-/// Changes within so short a time may leave the same time stamp.
-const STAMPS_APART: Duration = Duration::from_secs(2);
+/// Pauses before the first rechecks of a file with a problem. They are irregular: a writer in step with regular checks
+/// would show a half-written copy each time.
+const RECHECK_PAUSES_MS: [u64; 5] = [7, 13, 23, 41, 61];
+/// The most rechecks after such pauses.
+const RECHECKS_MAX: usize = 20;
+/// How long a file that was modified in place must stay unchanged before it is read.
+const QUIET_PERIOD: Duration = Duration::from_millis(250);
+/// How often the same problem is reported again.
+const REPORT_INTERVAL: Duration = Duration::from_secs(30);
+/// Changes within this time may leave the same time stamp.
+const TIMESTAMP_RESOLUTION: Duration = Duration::from_secs(2);
 
 /// The operators' settings of a watched list.
 #[derive(Clone, Debug, Deserialize)]
@@ -35,12 +36,12 @@
 pub struct WatchOptions {
     /// The file.
     pub file: PathBuf,
-    /// Seconds for which a list that takes away more than half of the boxes is held; 0 to 3,600.
-    #[serde(default = "ten")]
+    /// Seconds for which a list that drops more than half of the servers is held back; 0 to 3,600.
+    #[serde(default = "default_hold_s")]
     pub hold_s: f64,
 }
 
-fn ten() -> f64 {
+fn default_hold_s() -> f64 {
     10.0
 }
 
@@ -60,86 +61,89 @@
     }
 }
 
-/// A list that was let through, and the how-manieth it is.
+/// An applied list and its version.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedList {
-    /// Counted from 1; 0 where there is none yet.
+    /// Counted from 1; 0 if no list has been applied yet.
     pub version: u64,
     /// The list.
     pub list: ServerList,
 }
 
-/// A watched file; clones share the watching, which ends with the last of them.
+/// A watched server list file. Clones share the watching thread, which ends when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct ServerListFile {
-    news: watch::Receiver<Arc<AppliedList>>,
-    seen: u64,
+    applied: watch::Receiver<Arc<AppliedList>>,
+    seen_version: u64,
 }
 
 impl ServerListFile {
-    /// Starts to watch.
+    /// Starts to watch the file.
     ///
     /// # Errors
-    /// Where there is no thread to be had.
+    /// The thread can't be started.
     pub fn start(options: &WatchOptions) -> std::io::Result<Self> {
-        let (tell, news) = watch::channel(Arc::<AppliedList>::default());
+        let (publisher, applied) = watch::channel(Arc::<AppliedList>::default());
         let rules = ReloadRules {
             hold: Duration::from_secs_f64(options.hold_s),
-            quiet_period: STILL,
-            report_interval: TELL,
+            quiet_period: QUIET_PERIOD,
+            report_interval: REPORT_INTERVAL,
         };
         let (mut watcher, mut tracker) = (FileWatcher::new(options.file.clone()), ReloadTracker::new(rules));
-        let (name, began) = (options.file.display().to_string(), Instant::now());
-        let mut troubled = 0;
-        let look = move || {
-            while !tell.is_closed() {
-                match tracker.observe(began.elapsed(), watcher.check()) {
+        let (name, started) = (options.file.display().to_string(), Instant::now());
+        let mut failed_checks = 0;
+        let run = move || {
+            while !publisher.is_closed() {
+                match tracker.observe(started.elapsed(), watcher.check()) {
                     ReloadAction::None => {}
                     ReloadAction::Apply(list) => {
-                        let version = tell.borrow().version + 1;
+                        let version = publisher.borrow().version + 1;
                         tracing::info!(target: "list", "{name}: {} boxes, version {version}", list.servers.len());
-                        tell.send_replace(Arc::new(AppliedList { version, list }));
+                        publisher.send_replace(Arc::new(AppliedList { version, list }));
                     }
                     ReloadAction::Report(lines) => {
                         lines.iter().for_each(|line| tracing::warn!(target: "list", "{name}: {line}"));
                     }
                 }
-                let soon = tracker.has_problem() && troubled < AGAIN_MOST;
-                let pause =
-                    if soon { Duration::from_millis(AGAIN[troubled % AGAIN.len()]) } else { CHECK_INTERVAL };
-                troubled = if tracker.has_problem() { troubled + 1 } else { 0 };
+                let recheck = tracker.has_problem() && failed_checks < RECHECKS_MAX;
+                let pause = if recheck {
+                    Duration::from_millis(RECHECK_PAUSES_MS[failed_checks % RECHECK_PAUSES_MS.len()])
+                } else {
+                    CHECK_INTERVAL
+                };
+                failed_checks = if tracker.has_problem() { failed_checks + 1 } else { 0 };
                 std::thread::sleep(pause);
             }
         };
-        retry::spawn("list", look)?;
-        Ok(Self { news, seen: 0 })
+        retry::spawn("list", run)?;
+        Ok(Self { applied, seen_version: 0 })
     }
 
-    /// The next list that this clone has not handed out; `None` where the watching has ended.
+    /// Waits for the next list that this clone has not returned yet; `None` if the watching thread has ended.
     pub async fn next(&mut self) -> Option<Arc<AppliedList>> {
         loop {
-            let now = self.news.borrow_and_update().clone();
-            if now.version > self.seen {
-                self.seen = now.version;
-                return Some(now);
+            let current = self.applied.borrow_and_update().clone();
+            if current.version > self.seen_version {
+                self.seen_version = current.version;
+                return Some(current);
             }
-            self.news.changed().await.ok()?;
+            self.applied.changed().await.ok()?;
         }
     }
 }
 
-/// What tells one state of a file from another without reading it.
+/// Metadata that distinguishes the states of a file without reading it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Stamp {
     device: u64,
-    node: u64,
-    /// When it was made: the number of a file that is gone is soon another's. `None` where the file system does not say.
-    born: Option<SystemTime>,
+    inode: u64,
+    /// The time of creation: inode numbers of deleted files are soon reused. `None` if the file system does not record it.
+    created: Option<SystemTime>,
     size: u64,
     modified: Option<SystemTime>,
 }
 
-/// Looks at a file.
+/// Detects changes of a file.
 #[derive(Debug)]
 pub struct FileWatcher {
     path: PathBuf,
@@ -147,12 +151,12 @@
 }
 
 impl FileWatcher {
-    /// It has not been looked at.
+    /// Creates a watcher that has not checked the file yet.
     pub fn new(path: PathBuf) -> Self {
         Self { path, seen: None }
     }
 
-    /// Looks once. What was open stays the same file while it is read, whatever happens to its name.
+    /// Checks the file once. The opened file stays the same while it is read, even if the path is replaced.
     pub fn check(&mut self) -> FileCheck {
         let (stamp, bytes) = match self.read() {
             Ok(Some(read)) => read,
@@ -167,38 +171,41 @@
             return FileCheck::Unchanged;
         }
         match self.seen.replace((stamp, bytes.clone())) {
-            Some((old, _)) if (old.device, old.node, old.born) == (stamp.device, stamp.node, stamp.born) => {
+            Some((old, _))
+                if (old.device, old.inode, old.created) == (stamp.device, stamp.inode, stamp.created) =>
+            {
                 FileCheck::Modified(bytes)
             }
-            // The first look may fall into somebody's writing, too.
+            // The file may also be being written at the first check.
             None => FileCheck::Modified(bytes),
             Some(_) => FileCheck::Replaced(bytes),
         }
     }
 
-    /// The file's content, where it may differ from what was seen.
+    /// Reads the file if its content may differ from the last check's.
     fn read(&self) -> std::io::Result<Option<(Stamp, Vec<u8>)>> {
         let file = open_regular(&self.path)?;
-        let stamp = stamp_of(&file)?;
-        let fresh = stamp.modified.and_then(|m| m.elapsed().ok()).is_none_or(|age| age < STAMPS_APART);
-        if self.seen.as_ref().is_some_and(|(seen, _)| *seen == stamp) && !fresh {
+        let stamp = file_stamp(&file)?;
+        let recently_modified =
+            stamp.modified.and_then(|m| m.elapsed().ok()).is_none_or(|age| age < TIMESTAMP_RESOLUTION);
+        if self.seen.as_ref().is_some_and(|(seen, _)| *seen == stamp) && !recently_modified {
             return Ok(None);
         }
         let mut bytes = Vec::new();
-        // One more than may be read, so that what is too long is seen to be.
+        // One byte more than the limit, so that a file that is too long is detected.
         (&file).take(FILE_MAX_BYTES as u64 + 1).read_to_end(&mut bytes)?;
-        // It may have grown while it was read: then the stamp is the later one's, and the content is looked at again.
+        // If the file grew while it was read, the stamp is that of before, so the next check reads it again.
         Ok(Some((stamp, bytes)))
     }
 }
 
-fn stamp_of(file: &File) -> std::io::Result<Stamp> {
-    let data = file.metadata()?;
+fn file_stamp(file: &File) -> std::io::Result<Stamp> {
+    let metadata = file.metadata()?;
     Ok(Stamp {
-        device: data.dev(),
-        node: data.ino(),
-        born: data.created().ok(),
-        size: data.len(),
-        modified: data.modified().ok(),
+        device: metadata.dev(),
+        inode: metadata.ino(),
+        created: metadata.created().ok(),
+        size: metadata.len(),
+        modified: metadata.modified().ok(),
     })
 }
