--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -23,7 +23,8 @@
     decode_utf8(read(path, max_bytes)?)
 }
 
-/// Reads a text file like [`read_text`], but only a regular file, as a long-running process needs: see [`open_regular`].
+/// Reads a text file like [`read_text`], but only a regular file, as a long-running process needs: see
+/// [`open_regular`].
 ///
 /// # Errors
 /// Those of [`read_text`] and [`open_regular`].
@@ -31,8 +32,8 @@
     decode_utf8(read_bounded(open_regular(path)?, max_bytes)?)
 }
 
-/// Reads a required file like [`read_regular`], and retries transient errors of the disk or the file table for up to
-/// `timeout`.
+/// Reads a required file like [`read_regular`], and retries transient errors of the disk or the file table
+/// for up to `timeout`.
 ///
 /// # Errors
 /// Those of [`read_regular`].
--- a/crates/config/src/fleet_policy.rs
+++ b/crates/config/src/fleet_policy.rs
@@ -1,5 +1,6 @@
-//! The fleet's policy as operators write it: one checked document with the settings of the decision module and the
-//! quotas. `deploy/fleet-policy.toml` shows every setting. Does no I/O: it turns a text into settings or one error.
+//! The fleet's policy as operators write it: one checked document with the settings of the decision module
+//! and the quotas. `deploy/fleet-policy.toml` shows every setting. Does no I/O: it turns a text into settings
+//! or one error.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -220,8 +221,8 @@
 }
 
 impl Class {
-    /// Applies the settings of a class. Returns whether anything changed. A document may only restrict what the platform
-    /// allows a class: whether its requests may run twice is a property of the servers.
+    /// Applies the settings of a class. Returns whether anything changed. A document may only restrict what
+    /// the platform allows a class: whether its requests may run twice is a property of the servers.
     fn apply(&self, name: &str, to: &mut magpietally_policy::Class) -> Result<bool, FieldError> {
         let path = |field| field_error(&["classes", name, field], "");
         let before = to.clone();
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -133,8 +133,8 @@
     /// Returns the reason for which a valid list may still be a mistake.
     fn suspect_mistake(&self, list: &ServerList, bytes: &[u8]) -> Option<String> {
         let hold = self.rules.hold.as_secs_f64();
-        // The count of its servers is right, but the end of the file is missing, and with it perhaps the draining state
-        // of the last server.
+        // The count of its servers is right, but the end of the file is missing, and with it perhaps the
+        // draining state of the last server.
         if bytes.len() < self.last_valid_bytes.len() && self.last_valid_bytes.starts_with(bytes) {
             return Some(format!(
                 "it is the beginning of the one before: is the copy whole? held for {hold} s"
@@ -147,7 +147,8 @@
         })
     }
 
-    /// Returns the number of active servers in the last valid list, and how many of them are active in the new one.
+    /// Returns the number of active servers in the last valid list, and how many of them are active in the
+    /// new one.
     fn count_kept(&self, list: &ServerList) -> (usize, usize) {
         let active = |list: &ServerList| {
             let in_service = list.servers.iter().filter(|b| b.state == ServerState::Active);
@@ -172,7 +173,8 @@
         self.report(now)
     }
 
-    /// Reports the same problem again after [`ReloadRules::report_interval`], with the age of the list in use.
+    /// Reports the same problem again after [`ReloadRules::report_interval`], with the age of the list in
+    /// use.
     fn repeat_report(&mut self, now: Duration) -> ReloadAction {
         match &mut self.problem {
             Some((_, reported_at)) if now.saturating_sub(*reported_at) >= self.rules.report_interval => {
--- a/crates/config/src/server_list.rs
+++ b/crates/config/src/server_list.rs
@@ -1,5 +1,5 @@
-//! The server list as operators and their tools write it: TOML, with the count of its servers, by which a half-written
-//! copy is detected. `docs/operate/boxes.md` is the reference of the format.
+//! The server list as operators and their tools write it: TOML, with the count of its servers, by which a
+//! half-written copy is detected. `docs/operate/boxes.md` is the reference of the format.
 
 use std::collections::HashMap;
 use std::fmt;
--- a/crates/config/src/watch.rs
+++ b/crates/config/src/watch.rs
@@ -1,5 +1,5 @@
-//! Checks a list's file ten times a second on a dedicated thread, so that a file system that hangs blocks nothing else.
-//! Polling needs no change notifications, which network file systems lose.
+//! Checks a list's file ten times a second on a dedicated thread, so that a file system that hangs blocks
+//! nothing else. Polling needs no change notifications, which network file systems lose.
 
 use std::fs::File;
 use std::io::Read;
@@ -16,10 +16,11 @@
 use crate::reload::{FileCheck, ReloadAction, ReloadRules, ReloadTracker};
 use crate::server_list::{ServerList, FILE_MAX_BYTES};
 
-/// How often the file is checked. Twice this and [`QUIET_PERIOD`] together are within the time allowed for a drain.
+/// How often the file is checked. Twice this and [`QUIET_PERIOD`] together are within the time allowed for a
+/// drain.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pauses before the first rechecks of a file with a problem. They are irregular: a writer in step with regular checks
-/// would show a half-written copy each time.
+/// Pauses before the first rechecks of a file with a problem. They are irregular: a writer in step with
+/// regular checks would show a half-written copy each time.
 const RECHECK_PAUSES_MS: [u64; 5] = [7, 13, 23, 41, 61];
 /// The most rechecks after such pauses.
 const RECHECKS_MAX: usize = 20;
@@ -137,7 +138,8 @@
 struct Stamp {
     device: u64,
     inode: u64,
-    /// The time of creation: inode numbers of deleted files are soon reused. `None` if the file system does not record it.
+    /// The time of creation: inode numbers of deleted files are soon reused. `None` if the file system does
+    /// not record it.
     created: Option<SystemTime>,
     size: u64,
     modified: Option<SystemTime>,
--- a/crates/config/tests/server_list.rs
+++ b/crates/config/tests/server_list.rs
@@ -212,7 +212,8 @@
     );
 }
 
-/// A real file that is replaced, modified in place, swapped behind a symbolic link, deleted and created again.
+/// A real file that is replaced, modified in place, swapped behind a symbolic link, deleted and created
+/// again.
 #[test]
 fn a_replaced_file_is_distinguished_from_one_modified_in_place() {
     let directory = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("eye");
@@ -264,8 +265,8 @@
     }
 }
 
-/// Guards against a pipe without a writer in place of the file, which would block the watcher forever, so that no later
-/// list would be applied.
+/// Guards against a pipe without a writer in place of the file, which would block the watcher forever, so
+/// that no later list would be applied.
 #[test]
 fn a_pipe_in_place_of_the_list_is_reported_and_the_next_list_is_read() {
     let path = std::env::temp_dir().join(format!("magpietally-pipe-{}", std::process::id()));
@@ -289,8 +290,8 @@
     std::fs::remove_file(&path).expect("it was there");
 }
 
-/// A known gap: docs/review-of-parts.md, finding 14. A copy truncated within the optional lines of its last server still
-/// has the right count, and the missing lines are lost. `sum` detects it, but is optional.
+/// A known gap: docs/review-of-parts.md, finding 14. A copy truncated within the optional lines of its last
+/// server still has the right count, and the missing lines are lost. `sum` detects it, but is optional.
 #[test]
 #[should_panic(expected = "a cut copy was read as a whole list")]
 fn a_copy_truncated_in_the_optional_lines_of_its_last_server_is_rejected() {
@@ -300,8 +301,8 @@
     assert!(parse(&whole.as_bytes()[..cut]).is_err(), "a cut copy was read as a whole list");
 }
 
-/// Guards against a truncated copy that lacks the draining state of the last server and would bring it back into
-/// service.
+/// Guards against a truncated copy that lacks the draining state of the last server and would bring it back
+/// into service.
 #[test]
 fn a_prefix_of_the_list_in_use_is_held() {
     let hold = Duration::from_secs(10);
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -20,7 +20,8 @@
     /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A site file, or an embedded site, instead of the demo's: two nodes, six boxes, one hangs and one restarts cold
+    /// A site file, or an embedded site, instead of the demo's: two nodes, six boxes, one hangs and one
+    /// restarts cold
     #[arg(long)]
     site: Option<String>,
     /// Requests per second, instead of the site's own rate
@@ -35,8 +36,8 @@
     /// Let each node keep a ledger of requests that must not run twice: process-crash or power-loss
     #[arg(long, value_name = "PROMISE", value_parser = ["process-crash", "power-loss"])]
     ledger: Option<String>,
-    /// Let the nodes read the box list from a watched file that is replaced 100 times a second: whole, or torn, where every
-    /// third copy is half-written
+    /// Let the nodes read the box list from a watched file that is replaced 100 times a second: whole, or
+    /// torn, where every third copy is half-written
     #[arg(long, value_name = "HOW", value_parser = ["whole", "torn"])]
     list_file: Option<String>,
     /// Keep the nodes' configurations and ledgers and the boxes' records in this new directory
--- a/src/commands/experiment.rs
+++ b/src/commands/experiment.rs
@@ -14,7 +14,8 @@
 pub struct ExperimentArgs {
     /// The experiment file: sites, seeds and variants in TOML
     file: String,
-    /// File that each run's result is appended to as a line of JSON; runs that it already holds are not repeated
+    /// File that each run's result is appended to as a line of JSON; runs that it already holds are not
+    /// repeated
     #[arg(long)]
     results: Option<String>,
     /// Number of threads; by default that of the cores
--- a/src/commands/ledger.rs
+++ b/src/commands/ledger.rs
@@ -39,7 +39,8 @@
     Follow(FollowArgs),
     /// Compare ledgers with the app boxes' own records; exit code 1 if they differ
     Reconcile(ReconcileArgs),
-    /// Settle unknown outcomes by the app boxes' records, so that the next start knows them; the node must be stopped
+    /// Settle unknown outcomes by the app boxes' records, so that the next start knows them; the node must be
+    /// stopped
     Settle(SettleArgs),
 }
 
@@ -81,10 +82,12 @@
 
 #[derive(Args)]
 pub struct ReconcileArgs {
-    /// The ledgers' directories: of all nodes that send to the boxes, or requests of the others would appear to be missing
+    /// The ledgers' directories: of all nodes that send to the boxes, or requests of the others would appear
+    /// to be missing
     #[arg(required = true)]
     directories: Vec<PathBuf>,
-    /// The boxes' records: a line of JSON for each request that ran, with `box`, `id` and, where it has one, `key`
+    /// The boxes' records: a line of JSON for each request that ran, with `box`, `id` and, where it has one,
+    /// `key`
     #[arg(long, required = true, num_args = 1.., value_name = "FILE")]
     boxes: Vec<PathBuf>,
     /// Print one JSON object per line, and one with the totals at the end
--- a/src/commands/site.rs
+++ b/src/commands/site.rs
@@ -28,7 +28,8 @@
 /// The arguments of a simulation.
 #[derive(Args)]
 pub struct RunArgs {
-    /// A site file, or an embedded site: calm, club, demo, or club with a single fault, given by its name, such as hang
+    /// A site file, or an embedded site: calm, club, demo, or club with a single fault, given by its name,
+    /// such as hang
     site: String,
     /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
@@ -105,7 +106,8 @@
     }
 }
 
-/// Resizes the site: the proportions of its kinds stay the same, and so does its load relative to their capacity.
+/// Resizes the site: the proportions of its kinds stay the same, and so does its load relative to their
+/// capacity.
 fn resize(site: &mut Site, nodes: Option<usize>, boxes: Option<usize>) {
     if let Some(nodes) = nodes {
         site.nodes.count = nodes;
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -1,5 +1,5 @@
-//! The node's interface to the fleet, and the state both share: the protocols behind one lock, under which no network
-//! or store I/O is done.
+//! The node's interface to the fleet, and the state both share: the protocols behind one lock, under which no
+//! network or store I/O is done.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -20,8 +20,8 @@
 
 use super::clock;
 
-/// Number of versions whose settings are kept. A request is decided under its own version for as long as it lasts,
-/// which is seconds.
+/// Number of versions whose settings are kept. A request is decided under its own version for as long as it
+/// lasts, which is seconds.
 const VERSIONS_KEPT: usize = 8;
 
 /// One line of the record file.
@@ -86,8 +86,8 @@
         self.protocols.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a record, if records are kept. It is written before the recorded event has any effect, so that a kill
-    /// leaves no gap.
+    /// Writes a record, if records are kept. It is written before the recorded event has any effect, so that
+    /// a kill leaves no gap.
     pub fn record(&self, line: &RecordLine) {
         let Some(mut file) = self.records.as_ref() else { return };
         if let Ok(mut text) = serde_json::to_vec(line) {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Updates the quotas and the decision module's settings to the version that is active by the log. To be called after
-    /// every entry that may have changed it, under the same lock.
+    /// Updates the quotas and the decision module's settings to the version that is active by the log. To be
+    /// called after every entry that may have changed it, under the same lock.
     pub fn update_version(&self, protocols: &mut Protocols, now: Now) {
         let active = protocols.policy.state().active;
         if protocols.quota_version == active {
@@ -132,8 +132,8 @@
         }
         protocols.quota_version = active;
         let text = protocols.policy.state().document.clone();
-        // This node checked the document before it accepted it; if the check failed, the node serves no requests under
-        // this version (`document_error`).
+        // This node checked the document before it accepted it; if the check failed, the node serves no
+        // requests under this version (`document_error`).
         let Ok(Document { settings, mut quotas }) = fleet_policy::parse(&text, &self.base_settings) else {
             return;
         };
@@ -170,7 +170,8 @@
     fn decide(&self, request: &AdmissionRequest<'_>) -> AdmissionDecision {
         let now = clock::now().boot;
         let protocols = &mut *self.protocols();
-        // The queueing time is zero, so nothing is queued here: the HTTP front end waits before it calls this.
+        // The queueing time is zero, so nothing is queued here: the HTTP front end waits before it calls
+        // this.
         let version = match protocols.policy.admit(now, Duration::ZERO) {
             Admission::Admit(epoch) => epoch.version,
             Admission::Reject(rejection) => {
--- a/src/fleet/clock.rs
+++ b/src/fleet/clock.rs
@@ -5,8 +5,9 @@
 use magpietally_transport::Now;
 use nix::time::{clock_gettime, ClockId};
 
-/// Reads both clocks. The boot clock continues while the process is stopped or the machine sleeps, so that no lease is
-/// used beyond its end. All processes of a machine share it, so the checkers' records of several nodes have one time.
+/// Reads both clocks. The boot clock continues while the process is stopped or the machine sleeps, so that no
+/// lease is used beyond its end. All processes of a machine share it, so the checkers' records of several
+/// nodes have one time.
 pub fn now() -> Now {
     // Every Linux since 2.6.39 has this clock; leases can't be timed without it.
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is readable");
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A node's membership in a fleet that agrees on policy and quotas: set-up of the store, the transports and the
-//! protocols. One additional thread moves messages and log entries; the protocols make the decisions. Off unless
-//! `node --fleet FILE` names a file like `deploy/fleet.toml`.
+//! A node's membership in a fleet that agrees on policy and quotas: set-up of the store, the transports and
+//! the protocols. One additional thread moves messages and log entries; the protocols make the decisions. Off
+//! unless `node --fleet FILE` names a file like `deploy/fleet.toml`.
 
 mod admission;
 mod clock;
--- a/src/fleet/session.rs
+++ b/src/fleet/session.rs
@@ -10,9 +10,9 @@
 
 const SESSION_FILE: &str = "session";
 
-/// Determines the session number of this start and persists it before use. Where the file is missing it is the wall
-/// clock in seconds, so that a node that lost its directory most likely gets a later session than the one its peers
-/// remember.
+/// Determines the session number of this start and persists it before use. Where the file is missing it is
+/// the wall clock in seconds, so that a node that lost its directory most likely gets a later session than
+/// the one its peers remember.
 ///
 /// # Errors
 /// The file can't be read or replaced, or holds no number.
--- a/src/fleet/thread.rs
+++ b/src/fleet/thread.rs
@@ -1,5 +1,5 @@
-//! The fleet thread: passes messages between the transports and the log, writes to the store, applies decided entries
-//! to the protocols and proposes what the protocols request. It makes no decisions itself.
+//! The fleet thread: passes messages between the transports and the log, writes to the store, applies decided
+//! entries to the protocols and proposes what the protocols request. It makes no decisions itself.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,14 +19,16 @@
 use super::clock;
 use crate::shutdown::request_shutdown;
 
-/// Pause of the thread when it has nothing to do. A message waits at most that long, an entry needs several such
-/// pauses, and polling 500 times a second costs 0.5% of a core.
+/// Pause of the thread when it has nothing to do. A message waits at most that long, an entry needs several
+/// such pauses, and polling 500 times a second costs 0.5% of a core.
 const IDLE_PAUSE: Duration = Duration::from_millis(2);
 /// How often the document's file is checked.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Delay before a document is proposed again that some node did not acknowledge: a few heartbeats of the others.
+/// Delay before a document is proposed again that some node did not acknowledge: a few heartbeats of the
+/// others.
 const REPROPOSE_DELAY: Duration = Duration::from_secs(1);
-/// How long shutdown waits until the log has recorded the return of the leases; the platform sends SIGKILL soon after.
+/// How long shutdown waits until the log has recorded the return of the leases; the platform sends SIGKILL
+/// soon after.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The most events taken from a transport before the protocols run.
 const EVENTS_PER_TURN_MAX: usize = 256;
@@ -90,8 +92,8 @@
         let mut leaving_since = None;
         loop {
             if let Some(error) = self.fatal_error.take() {
-                // The state of the disk is unknown, and only a restart can read it again. The node still answers the
-                // requests it has accepted, but sends nothing more to the fleet.
+                // The state of the disk is unknown, and only a restart can read it again. The node still
+                // answers the requests it has accepted, but sends nothing more to the fleet.
                 request_shutdown("fleet", &error);
                 return Err(format!("fleet: {error}"));
             }
@@ -269,8 +271,8 @@
                         status,
                         ProposalStatus::Ended(ProposalOutcome::Aborted(_, AbortReason::Silent { .. }))
                     ) {
-                        // No node rejected the document. It is proposed again, since the silent nodes may answer by
-                        // then or no longer be counted.
+                        // No node rejected the document. It is proposed again, since the silent nodes may
+                        // answer by then or no longer be counted.
                         document.last = None;
                         document.next_check = now.boot + REPROPOSE_DELAY;
                         return;
@@ -288,8 +290,8 @@
         if document.last.as_ref() == Some(&text) || state.document == text {
             return;
         }
-        // A starting node does not know the fleet's state yet: only when it is ready does it know which version its
-        // file would change.
+        // A starting node does not know the fleet's state yet: only when it is ready does it know which
+        // version its file would change.
         if !protocols.policy.is_ready(now.boot) {
             return;
         }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
-//! Logging to standard error by a dedicated thread. Callers never block on a full pipe: lines beyond the queue's
-//! capacity are dropped and counted, and so are lines that can't be written.
+//! Logging to standard error by a dedicated thread. Callers never block on a full pipe: lines beyond the
+//! queue's capacity are dropped and counted, and so are lines that can't be written.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -80,16 +80,16 @@
 
 fn write_lines(queued: &mpsc::Receiver<QueueItem>, mut to: impl Write, dropped: &AtomicU64) {
     while let Ok(QueueItem::Line(line)) = queued.recv() {
-        // A temporarily full disk must not stop logging. The line is dropped: an old line is worth no more than
-        // a new one.
+        // A temporarily full disk must not stop logging. The line is dropped: an old line is worth no more
+        // than a new one.
         if write_line(&mut to, &line).is_err() {
             dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Writes a whole line. If the write fails part way, a line feed is attempted, so that the next line starts on
-/// its own.
+/// Writes a whole line. If the write fails part way, a line feed is attempted, so that the next line starts
+/// on its own.
 fn write_line(to: &mut impl Write, line: &[u8]) -> io::Result<()> {
     let mut rest = line;
     while !rest.is_empty() {
@@ -134,8 +134,8 @@
 
     /// Writes the queued lines, for at most [`FLUSH_TIMEOUT`].
     pub fn close(self) {
-        // A write may block for as long as nobody reads, and the queue may be full: the process does not wait for
-        // either.
+        // A write may block for as long as nobody reads, and the queue may be full: the process does not wait
+        // for either.
         if self.queue.items.try_send(QueueItem::Close).is_ok() {
             let _ = self.finished.recv_timeout(FLUSH_TIMEOUT);
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -73,10 +73,12 @@
     /// The operators' settings file: deploy/operators.toml shows them all. Without it these features are off
     #[arg(long, value_name = "FILE")]
     operators: Option<String>,
-    /// Membership with other nodes over UDP: deploy/membership.toml is an example. Without it the node knows no peers
+    /// Membership with other nodes over UDP: deploy/membership.toml is an example. Without it the node knows
+    /// no peers
     #[arg(long, value_name = "FILE")]
     membership: Option<String>,
-    /// A fleet that agrees on policy and quotas: deploy/fleet.toml is an example. Without it the node works alone
+    /// A fleet that agrees on policy and quotas: deploy/fleet.toml is an example. Without it the node works
+    /// alone
     #[arg(long, value_name = "FILE")]
     fleet: Option<String>,
 }
@@ -113,9 +115,9 @@
     let fleet_options = args.fleet.as_deref().map(fleet::read).transpose()?;
     let config = magpietally_http::config::load()?;
     let log = logging::open(args.log)?;
-    // A task that panics leaves its requests unanswered and perhaps the policy's state inconsistent. A node that
-    // exits is restarted; one that is only partly working is not. With several workers only the one that panicked
-    // ends.
+    // A task that panics leaves its requests unanswered and perhaps the policy's state inconsistent. A node
+    // that exits is restarted; one that is only partly working is not. With several workers only the one that
+    // panicked ends.
     std::panic::set_hook(Box::new(|panic| {
         tracing::error!(target: "panic", "{panic}");
         if magpietally_http::note_panic() {
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,5 +1,5 @@
-//! Membership over UDP: the thread that runs a node's [`Membership`] on its own socket, and `magpietally members`,
-//! which queries a node for its view. Off unless `node --membership FILE` names a file like
+//! Membership over UDP: the thread that runs a node's [`Membership`] on its own socket, and `magpietally
+//! members`, which queries a node for its view. Off unless `node --membership FILE` names a file like
 //! `deploy/membership.toml`.
 
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -22,8 +22,8 @@
 const FILE_MAX_BYTES: usize = 1 << 16;
 /// The most seeds a file may name.
 const SEEDS_MAX: usize = 1024;
-/// The most parts of a view that `members` requests. Each holds hundreds of nodes, so the limit only ends an exchange
-/// with a program that is not a node.
+/// The most parts of a view that `members` requests. Each holds hundreds of nodes, so the limit only ends an
+/// exchange with a program that is not a node.
 const VIEW_PARTS_MAX: usize = 1024;
 /// The longest wait on the socket before the stop flag and the timers are checked again.
 const SOCKET_WAIT_MAX: Duration = Duration::from_millis(50);
@@ -139,8 +139,8 @@
     }
 }
 
-/// The generation of this start of the node: tenths of a second since the start of 2026, so that a restart has a
-/// later identity.
+/// The generation of this start of the node: tenths of a second since the start of 2026, so that a restart
+/// has a later identity.
 fn generation() -> u32 {
     const BASE_UNIX_S: u64 = 1_767_225_600;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -195,8 +195,8 @@
             tracing::info!(target: "membership", "view {}: {} alive, {} suspect, {} dead, {} left", view.version(), c.alive, c.suspect, c.dead, c.left);
         }
         if let Some(first) = view.name_conflict(&me) {
-            // Two nodes may not share a name; the one that started first keeps it. This node still answers the
-            // requests it has accepted.
+            // Two nodes may not share a name; the one that started first keeps it. This node still answers
+            // the requests it has accepted.
             let (name, at) = (&me.name, first.addr);
             let message =
                 format!("membership: the name {name} is taken by the node at {at}, which started first");
@@ -209,8 +209,8 @@
 /// Handles a failed read: nothing to do after a time-out, a pause where the next read may fail at once.
 fn pause_after(error: &std::io::Error) {
     match classify(Call::Datagram, error) {
-        // The kernel reports an earlier datagram to a dead peer as a refused connection; SWIM detects the loss
-        // itself.
+        // The kernel reports an earlier datagram to a dead peer as a refused connection; SWIM detects the
+        // loss itself.
         Class::WaitForReadiness | Class::TryAgain | Class::ConnectionOver => {}
         Class::OutOfResources | Class::Permanent => {
             tracing::warn!(target: "membership", "a read failed: {error}");
@@ -226,7 +226,8 @@
     }
 }
 
-/// `magpietally members --at ADDR`: queries the node whose membership listens there for its view and prints it.
+/// `magpietally members --at ADDR`: queries the node whose membership listens there for its view and prints
+/// it.
 ///
 /// # Errors
 /// No response within [`RESPONSE_TIMEOUT`], or a view of more than [`VIEW_PARTS_MAX`] parts.
@@ -252,7 +253,8 @@
     Err(CommandError::Failed(format!("members: {at} does not come to an end")))
 }
 
-/// Prints the part of the view after `after`. Returns the identity after which the next part starts, if there is one.
+/// Prints the part of the view after `after`. Returns the identity after which the next part starts, if there
+/// is one.
 fn print_part(
     socket: &UdpSocket,
     at: SocketAddr,
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -46,7 +46,8 @@
 /// Opens the ledger and logs the unfinished records of earlier runs.
 ///
 /// # Errors
-/// The directory belongs to another node or can't be read: requests that must not run twice would not be safe.
+/// The directory belongs to another node or can't be read: requests that must not run twice would not be
+/// safe.
 pub fn start_ledger(
     node: &str,
     options: Options,
