--- a/src/commands/boxes.rs
+++ b/src/commands/boxes.rs
@@ -1,60 +1,61 @@
-//! `magpietally boxes`: a box list's file, checked as a node would.
+//! `magpietally boxes`: checks a server list file as a node would.
 
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand};
-use magpietally_config::boxes::{read, right_sum, FILE_MOST};
 use magpietally_config::file::read as read_file;
-use magpietally_config::{Problem, State};
+use magpietally_config::server_list::{expected_sum, parse, FILE_MAX_BYTES};
+use magpietally_config::{Problem, ServerState};
 use serde_json::json;
 
-use super::{wrong, Failure};
+use super::{invalid_input, CommandError};
 
-/// What to do with a list.
+/// The operations on a list.
 #[derive(Subcommand)]
 pub enum BoxesCommand {
-    /// Name everything that is wrong with a list, each with its line; exit code 2 where anything is
+    /// Report every problem of a list with its line; exit code 2 if there are any
     Check(CheckArgs),
-    /// Print what the list's `sum` should be
+    /// Print the correct value of the list's `sum`
     Sum {
-        /// The list
+        /// The list file
         file: PathBuf,
     },
 }
 
 #[derive(Args)]
 pub struct CheckArgs {
-    /// The list
+    /// The list file
     file: PathBuf,
-    /// One object, for programs
+    /// Print one JSON object, for programs
     #[arg(long)]
     json: bool,
 }
 
-/// Carries it out.
-pub fn run(command: &BoxesCommand) -> Result<(), Failure> {
+/// Runs the subcommand.
+pub fn run(command: &BoxesCommand) -> Result<(), CommandError> {
     let file = match command {
         BoxesCommand::Check(args) => &args.file,
         BoxesCommand::Sum { file } => file,
     };
     let name = file.display().to_string();
-    let bytes = read_file(file, FILE_MOST).map_err(|e| Failure::Wrong(format!("{name}: {e}")))?;
+    let bytes =
+        read_file(file, FILE_MAX_BYTES).map_err(|e| CommandError::InvalidInput(format!("{name}: {e}")))?;
     let args = match command {
         BoxesCommand::Check(args) => args,
         BoxesCommand::Sum { .. } => {
-            let sum = right_sum(&bytes)
-                .ok_or_else(|| Failure::Wrong(format!("{name}: it has no sum = \"...\"")))?;
+            let sum = expected_sum(&bytes)
+                .ok_or_else(|| CommandError::InvalidInput(format!("{name}: it has no sum = \"...\"")))?;
             println!("{sum}");
             return Ok(());
         }
     };
-    match read(&bytes) {
+    match parse(&bytes) {
         Ok(list) => {
-            let draining = list.boxes.iter().filter(|b| b.state == State::Draining).count();
+            let draining = list.servers.iter().filter(|b| b.state == ServerState::Draining).count();
             if args.json {
-                println!("{}", json!({"boxes": list.boxes.len(), "draining": draining, "problems": []}));
+                println!("{}", json!({"boxes": list.servers.len(), "draining": draining, "problems": []}));
             } else {
-                println!("{name}: {} boxes, {draining} of them draining", list.boxes.len());
+                println!("{name}: {} boxes, {draining} of them draining", list.servers.len());
             }
             Ok(())
         }
@@ -62,7 +63,7 @@
             if args.json {
                 println!("{}", json!({ "problems": problems }));
             }
-            Err(wrong(&name, &problems.iter().map(Problem::to_string).collect::<Vec<_>>()))
+            Err(invalid_input(&name, &problems.iter().map(Problem::to_string).collect::<Vec<_>>()))
         }
     }
 }
