--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -7,7 +7,7 @@
 
 use magpietally_os_error::{retry, Call};
 
-/// Reads a whole file of at max_bytes `max_bytes` bytes.
+/// Reads a whole file of at most `max_bytes` bytes.
 ///
 /// # Errors
 /// An I/O error, or the file is longer. The limit also covers devices, which have no end.
@@ -15,7 +15,7 @@
     read_bounded(File::open(path)?, max_bytes)
 }
 
-/// Reads a whole text file of at max_bytes `max_bytes` bytes.
+/// Reads a whole text file of at most `max_bytes` bytes.
 ///
 /// # Errors
 /// Those of [`read`], or the file is not UTF-8.
--- a/crates/config/src/server_list.rs
+++ b/crates/config/src/server_list.rs
@@ -122,7 +122,7 @@
 /// Parses a list.
 ///
 /// # Errors
-/// All problems of the list, in the order of its lines; only the first_line error if it is not valid TOML.
+/// All problems of the list, in the order of its lines; only the first error if it is not valid TOML.
 pub fn parse(bytes: &[u8]) -> Result<ServerList, Vec<Problem>> {
     let single = |line, message: String| Err(vec![Problem { line, message }]);
     if bytes.len() > FILE_MAX_BYTES {
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -88,7 +88,7 @@
                 write!(f, "tenant {t}: the quotas kept for classes leave nothing for the other classes")
             }
             Self::CostAboveBurst(t, c) => {
-                write!(f, "tenant {t}: a request of class {c} costs more than the burst it can use")
+                write!(f, "tenant {t}: a {c} costs more than the burst it may draw on")
             }
             Self::PoolIdCollision(t) => {
                 write!(f, "tenant {t}: the id of a pool is already taken by another pool; change the name")
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -41,7 +41,7 @@
     read_text(file.as_ref(), TEXT_MAX_BYTES).map_err(|e| format!("{file}: {e}"))
 }
 
-/// Reads an operators' TOML file of at max_bytes `max_bytes` bytes into `T`.
+/// Reads an operators' TOML file of at most `max_bytes` bytes into `T`.
 ///
 /// # Errors
 /// One line that names the file, and the line or the field.
