--- a/crates/site/src/examples.rs
+++ b/crates/site/src/examples.rs
@@ -1,6 +1,6 @@
 //! Sites that come with the program, so that it can show its work without any file.
 
-use crate::model::faults::{Fault, Kind};
+use crate::model::faults::{Fault, FaultKind};
 use crate::model::spec::Site;
 
 /// The embedded site files, by name.
@@ -22,36 +22,36 @@
     if name == "calm" {
         return Some(club);
     }
-    let kind = Kind::ALL.into_iter().find(|k| k.name() == name)?;
+    let kind = FaultKind::ALL.into_iter().find(|k| k.name() == name)?;
     club.name = name.to_string();
     club.faults = vec![single(kind)];
     Some(club)
 }
 
 /// One fault of a kind, as bad as the worst days on record have it.
-pub fn single(kind: Kind) -> Fault {
+pub fn single(kind: FaultKind) -> Fault {
     let mut fault = Fault::new(kind, 10.0, 12.0);
     match kind {
-        Kind::Hang | Kind::Silent => fault.part = Some(0.15),
-        Kind::FastErrors => (fault.part, fault.share) = (Some(0.2), Some(0.7)),
-        Kind::Burst => (fault.for_s, fault.factor) = (6.0, Some(2.2)),
-        Kind::ZoneCut => fault.zone = Some("johar".into()),
-        Kind::NodeCrash | Kind::NodeRestart => (fault.for_s, fault.part) = (6.0, Some(0.34)),
-        Kind::Release => (fault.part, fault.step_ms) = (Some(0.5), Some(1500.0)),
-        Kind::LostAnswers => fault.share = Some(0.2),
-        Kind::BreakBefore => fault.share = Some(0.05),
-        Kind::BreakAfter => fault.share = Some(0.05),
-        Kind::TurnAway => (fault.part, fault.class) = (Some(0.35), Some("lookup".into())),
-        Kind::Slow => (fault.part, fault.factor) = (Some(0.25), Some(0.3)),
-        Kind::BoxCrash => (fault.for_s, fault.part) = (4.0, Some(0.3)),
-        Kind::ListDown | Kind::ListMoved => {}
-        Kind::ListClock => (fault.part, fault.ms) = (Some(0.3), Some(5000.0)),
-        Kind::Hurry => fault.share = Some(0.25),
+        FaultKind::Hang | FaultKind::Silent => fault.part = Some(0.15),
+        FaultKind::FastErrors => (fault.part, fault.share) = (Some(0.2), Some(0.7)),
+        FaultKind::Burst => (fault.for_s, fault.factor) = (6.0, Some(2.2)),
+        FaultKind::ZoneCut => fault.zone = Some("johar".into()),
+        FaultKind::NodeCrash | FaultKind::NodeRestart => (fault.for_s, fault.part) = (6.0, Some(0.34)),
+        FaultKind::Release => (fault.part, fault.step_ms) = (Some(0.5), Some(1500.0)),
+        FaultKind::LostAnswers => fault.share = Some(0.2),
+        FaultKind::BreakBefore => fault.share = Some(0.05),
+        FaultKind::BreakAfter => fault.share = Some(0.05),
+        FaultKind::TurnAway => (fault.part, fault.class) = (Some(0.35), Some("lookup".into())),
+        FaultKind::Slow => (fault.part, fault.factor) = (Some(0.25), Some(0.3)),
+        FaultKind::BoxCrash => (fault.for_s, fault.part) = (4.0, Some(0.3)),
+        FaultKind::ListDown | FaultKind::ListMoved => {}
+        FaultKind::ListClock => (fault.part, fault.ms) = (Some(0.3), Some(5000.0)),
+        FaultKind::Hurry => fault.share = Some(0.25),
     }
     fault
 }
 
 /// All names that [`site`] knows.
 pub fn names() -> Vec<&'static str> {
-    ["calm", "club", "demo"].into_iter().chain(Kind::ALL.iter().map(|k| k.name())).collect()
+    ["calm", "club", "demo"].into_iter().chain(FaultKind::ALL.iter().map(|k| k.name())).collect()
 }
--- a/crates/site/src/experiment.rs
+++ b/crates/site/src/experiment.rs
@@ -81,9 +81,9 @@
 
 /// Sets one field by its path; all but the last part must be there.
 fn set(value: &mut toml::Value, path: &str, to: toml::Value) -> Result<(), String> {
-    let (way, last) = path.rsplit_once('.').unwrap_or(("", path));
+    let (parent, last) = path.rsplit_once('.').unwrap_or(("", path));
     let mut at = value;
-    for part in way.split('.').filter(|p| !p.is_empty()) {
+    for part in parent.split('.').filter(|p| !p.is_empty()) {
         let inner = match at {
             toml::Value::Array(all) => part.parse::<usize>().ok().and_then(|n| all.get_mut(n)),
             other => other.get_mut(part),
@@ -166,7 +166,7 @@
     pub fn read(text: &str, read: impl Fn(&str) -> Result<String, String>) -> Result<Self, Vec<String>> {
         let experiment: Experiment =
             toml::from_str(text).map_err(|e| vec![e.to_string().trim_end().to_string()])?;
-        let mut wrong = Vec::new();
+        let mut errors = Vec::new();
         let mut sites = Vec::new();
         for (n, case) in experiment.sites.iter().enumerate() {
             let name = case.site();
@@ -176,24 +176,24 @@
             };
             match site.and_then(|site| case.apply(site)) {
                 Ok(site) => sites.push(site),
-                Err(words) => wrong.extend(words.iter().map(|w| format!("sites[{n}] {name}: {w}"))),
+                Err(words) => errors.extend(words.iter().map(|w| format!("sites[{n}] {name}: {w}"))),
             }
         }
         if experiment.variants.is_empty() {
-            wrong.push("variants: one is needed at least".into());
+            errors.push("variants: one is needed at least".into());
         }
         if experiment.sites.is_empty() {
-            wrong.push("sites: one is needed at least".into());
+            errors.push("sites: one is needed at least".into());
         }
         if experiment.seeds == 0 {
-            wrong.push("seeds: one is needed at least".into());
+            errors.push("seeds: one is needed at least".into());
         }
         let names = experiment.variants.iter().map(|v| &v.name);
         if names.clone().count() != names.collect::<std::collections::BTreeSet<_>>().len() {
-            wrong.push("variants: a name is there twice".into());
+            errors.push("variants: a name is there twice".into());
         }
-        if !wrong.is_empty() {
-            return Err(wrong);
+        if !errors.is_empty() {
+            return Err(errors);
         }
         let mut jobs = Vec::new();
         for (s, site) in sites.iter().enumerate() {
--- a/crates/site/src/model/boxes.rs
+++ b/crates/site/src/model/app_box.rs
@@ -14,11 +14,11 @@
 /// In how many steps a cold box grows warm.
 const WARM_STEPS: u64 = 64;
 /// What is left of a crowded box at the least.
-const CROWDED_LEAST: f64 = 0.34;
+const CONTENTION_EFFICIENCY_MIN: f64 = 0.34;
 /// Requests, for each core, after which a box that warms by requests is warm.
-const WARM_REQUESTS: f64 = 2000.0;
+const WARM_REQUESTS_PER_CORE: f64 = 2000.0;
 /// Work below this, in microseconds, is done: the rounding of times must not leave a request with a hair of it.
-const DONE: f64 = 1e-6;
+const WORK_EPSILON_US: f64 = 1e-6;
 
 /// An attempt, as the driver numbers them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -41,22 +41,22 @@
 
 /// What a box answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ServerResponse {
     /// Served: it ran.
     Served,
     /// An error; it may have run.
     Error,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
 }
 
 /// A request that a box is done with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Finished {
+pub struct FinishedJob {
     /// Which.
     pub id: JobId,
     /// The answer.
-    pub word: Word,
+    pub response: ServerResponse,
     /// Has it run?
     pub ran: bool,
     /// The work that it took, in microseconds of a standard core.
@@ -67,7 +67,7 @@
 struct Running {
     job: Job,
     /// Where on the axis its work is done.
-    place: f64,
+    finish_progress: f64,
     work: f64,
 }
 
@@ -77,11 +77,11 @@
     cores: f64,
     speed: f64,
     slots: usize,
-    waiting_most: usize,
+    queue_max: usize,
     cold_share: f64,
     warm: Micros,
     warm_by: WarmBy,
-    crowded: (f64, f64),
+    contention: (f64, f64),
     keys_kept: usize,
     known_key_work: f64,
     cancel_stops: CancelStops,
@@ -90,17 +90,17 @@
     random: Stream,
     up: bool,
     /// Its lives so far: attempts of an earlier one are none of this one's.
-    life: u32,
+    incarnation: u32,
     /// When it last started cold.
     started: Option<Micros>,
     served_since: u64,
     hung: bool,
     errors: f64,
     slow: f64,
-    away: Vec<usize>,
+    rejected_classes: Vec<usize>,
     running: Vec<Running>,
-    waiting: VecDeque<Job>,
-    axis: f64,
+    queue: VecDeque<Job>,
+    progress: f64,
     at: Micros,
     rate: f64,
     keys: HashMap<u32, u64>,
@@ -118,11 +118,11 @@
             cores: f64::from(kind.cores),
             speed: kind.speed * (1.0 + spread).max(0.05),
             slots: kind.slots.unwrap_or(kind.cores as usize),
-            waiting_most: kind.waiting,
+            queue_max: kind.waiting,
             cold_share: kind.cold_share,
             warm: seconds(kind.warm_s),
             warm_by: kind.warm_by,
-            crowded: (kind.crowded_from, kind.crowded_loss),
+            contention: (kind.crowded_from, kind.crowded_loss),
             keys_kept: kind.keys_kept,
             known_key_work: kind.known_key_work,
             cancel_stops: kind.cancel_stops,
@@ -130,16 +130,16 @@
             own_errors: kind.errors,
             random,
             up: true,
-            life: 0,
+            incarnation: 0,
             started: None,
             served_since: 0,
             hung: false,
             errors: 0.0,
             slow: 1.0,
-            away: Vec::new(),
+            rejected_classes: Vec::new(),
             running: Vec::new(),
-            waiting: VecDeque::new(),
-            axis: 0.0,
+            queue: VecDeque::new(),
+            progress: 0.0,
             at: 0,
             rate: 0.0,
             keys: HashMap::new(),
@@ -155,8 +155,8 @@
     }
 
     /// Which of its lives this is.
-    pub fn life(&self) -> u32 {
-        self.life
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation
     }
 
     /// When it last started cold.
@@ -166,7 +166,7 @@
 
     /// Requests in work and waiting.
     pub fn held(&self) -> usize {
-        self.running.len() + self.waiting.len()
+        self.running.len() + self.queue.len()
     }
 
     /// Work done for nothing, in microseconds of a standard core.
@@ -186,7 +186,7 @@
         let by_time = ((now.saturating_sub(started)) / step * step) as f64 / self.warm.max(1) as f64;
         let by_requests = match self.warm_by {
             WarmBy::Time => 0.0,
-            WarmBy::Requests => self.served_since as f64 / (WARM_REQUESTS * self.cores),
+            WarmBy::Requests => self.served_since as f64 / (WARM_REQUESTS_PER_CORE * self.cores),
         };
         (self.cold_share + (1.0 - self.cold_share) * by_time.max(by_requests)).min(1.0)
     }
@@ -196,27 +196,27 @@
     }
 
     /// Sets what faults make of it; what ended up to now, and what is turned away, is in `out`.
-    pub fn set_faults(&mut self, now: Micros, faults: BoxFaults, out: &mut Vec<Finished>) {
+    pub fn set_faults(&mut self, now: Micros, faults: BoxFaults, out: &mut Vec<FinishedJob>) {
         self.advance(now, out);
-        (self.hung, self.errors, self.slow, self.away) =
-            (faults.hung, faults.errors, faults.slow, faults.away);
+        (self.hung, self.errors, self.slow, self.rejected_classes) =
+            (faults.hung, faults.errors, faults.slow, faults.rejected_classes);
         // What came while it hung and fits begins now.
         self.fill(now, out);
     }
 
     /// Does it turn this class away?
-    pub fn turns_away(&self, class: usize) -> bool {
-        self.away.contains(&class)
+    pub fn rejects_class(&self, class: usize) -> bool {
+        self.rejected_classes.contains(&class)
     }
 
     /// Its process ends, and with it all that it held.
     pub fn stop(&mut self, now: Micros) {
-        self.advance_axis(now);
+        self.advance_progress(now);
         for r in &self.running {
-            self.wasted += r.work - (r.place - self.axis).max(0.0);
+            self.wasted += r.work - (r.finish_progress - self.progress).max(0.0);
         }
         self.running.clear();
-        self.waiting.clear();
+        self.queue.clear();
         self.keys.clear();
         self.key_order.clear();
         self.up = false;
@@ -224,62 +224,62 @@
 
     /// Its process starts, cold, under its old name.
     pub fn start(&mut self, now: Micros) {
-        self.advance_axis(now);
+        self.advance_progress(now);
         (self.up, self.started, self.served_since) = (true, Some(now), 0);
-        self.life += 1;
+        self.incarnation += 1;
         self.set_rate(now);
     }
 
     /// A request arrives. What it is done with at once, or by the time that passed, is in `out`.
-    pub fn offer(&mut self, now: Micros, job: Job, out: &mut Vec<Finished>) {
+    pub fn offer(&mut self, now: Micros, job: Job, out: &mut Vec<FinishedJob>) {
         self.advance(now, out);
-        let done = |word, ran| Finished { id: job.id, word, ran, work: 0.0 };
+        let done = |response, ran| FinishedJob { id: job.id, response, ran, work: 0.0 };
         if !self.up {
             return;
         }
         if self.hung {
             // Taken, and never looked at.
-            if self.waiting.len() < self.waiting_most {
-                self.waiting.push_back(job);
+            if self.queue.len() < self.queue_max {
+                self.queue.push_back(job);
             }
             return;
         }
-        if self.turns_away(job.class) {
-            out.push(done(Word::TurnedAway, false));
+        if self.rejects_class(job.class) {
+            out.push(done(ServerResponse::Rejected, false));
             return;
         }
         if self.random.chance(self.errors) {
             // The bad release fails before it does anything as often as after.
             let ran = self.random.chance(0.5);
-            out.push(done(Word::Error, ran));
+            out.push(done(ServerResponse::Error, ran));
             return;
         }
         if self.running.len() < self.slots {
             self.begin(job);
             self.set_rate(now);
-        } else if self.waiting.len() < self.waiting_most {
-            self.waiting.push_back(job);
+        } else if self.queue.len() < self.queue_max {
+            self.queue.push_back(job);
             self.set_rate(now);
         } else {
-            out.push(done(Word::TurnedAway, false));
+            out.push(done(ServerResponse::Rejected, false));
         }
     }
 
     /// An attempt is called off; true where its work will never be done.
-    pub fn cancel(&mut self, now: Micros, id: JobId, out: &mut Vec<Finished>) -> bool {
+    pub fn cancel(&mut self, now: Micros, id: JobId, out: &mut Vec<FinishedJob>) -> bool {
         self.advance(now, out);
         if self.cancel_stops == CancelStops::Nothing {
             return false;
         }
-        if let Some(at) = self.waiting.iter().position(|job| job.id == id) {
-            self.waiting.remove(at);
+        if let Some(at) = self.queue.iter().position(|job| job.id == id) {
+            self.queue.remove(at);
             self.set_rate(now);
             return true;
         }
         if self.cancel_stops == CancelStops::All {
             if let Some(at) = self.running.iter().position(|r| r.job.id == id) {
                 let r = self.running.remove(at);
-                self.wasted += r.work - (r.place - self.axis).max(0.0);
+                self.wasted += r.work - (r.finish_progress - self.progress).max(0.0);
                 self.fill(now, out);
                 return true;
             }
@@ -292,11 +292,11 @@
         if !self.up || self.rate <= 0.0 {
             return None;
         }
-        let least = self.running.iter().map(|r| r.place).fold(f64::INFINITY, f64::min);
+        let least = self.running.iter().map(|r| r.finish_progress).fold(f64::INFINITY, f64::min);
         if !least.is_finite() {
             return None;
         }
-        let ends = self.at + ((least - self.axis).max(0.0) / self.rate).ceil() as Micros;
+        let ends = self.at + ((least - self.progress).max(0.0) / self.rate).ceil() as Micros;
         let warms = match self.started {
             Some(started) if !self.is_warm(now) => {
                 let step = (self.warm / WARM_STEPS).max(1);
@@ -308,16 +308,16 @@
     }
 
     /// Time passes up to now; what ended is in `out`, in the order in which it did.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<Finished>) {
-        self.advance_axis(now);
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<FinishedJob>) {
+        self.advance_progress(now);
         let before = out.len();
         while let Some(at) = self.ended() {
             let Running { job, work, .. } = self.running.remove(at);
             let error = self.own_errors > 0.0 && self.random.chance(self.own_errors);
             // Of what ends by an error, half has done its work.
             let ran = !error || self.random.chance(0.5);
-            let word = if error { Word::Error } else { Word::Served };
-            out.push(Finished { id: job.id, word, ran, work });
+            let response = if error { ServerResponse::Error } else { ServerResponse::Served };
+            out.push(FinishedJob { id: job.id, response, ran, work });
             self.served_since += 1;
             self.remember(job.key);
             self.fill(now, out);
@@ -329,24 +329,35 @@
 
     /// The one that ended first, of those that have; of equal ones the oldest.
     fn ended(&self) -> Option<usize> {
-        let ended = self.running.iter().enumerate().filter(|(_, r)| r.place <= self.axis + DONE);
+        let ended = self
+            .running
+            .iter()
+            .enumerate()
+            .filter(|(_, r)| r.finish_progress <= self.progress + WORK_EPSILON_US);
         ended
-            .min_by(|(_, a), (_, b)| a.place.total_cmp(&b.place).then(a.job.id.cmp(&b.job.id)))
+            .min_by(|(_, a), (_, b)| {
+                a.finish_progress.total_cmp(&b.finish_progress).then(a.job.id.cmp(&b.job.id))
+            })
             .map(|(at, _)| at)
     }
 
-    fn advance_axis(&mut self, now: Micros) {
+    fn advance_progress(&mut self, now: Micros) {
         if !self.hung {
-            self.axis += self.rate * now.saturating_sub(self.at) as f64;
+            self.progress += self.rate * now.saturating_sub(self.at) as f64;
         }
         self.at = now.max(self.at);
     }
 
-    fn fill(&mut self, now: Micros, out: &mut Vec<Finished>) {
+    fn fill(&mut self, now: Micros, out: &mut Vec<FinishedJob>) {
         while !self.hung && self.running.len() < self.slots {
-            let Some(job) = self.waiting.pop_front() else { break };
+            let Some(job) = self.queue.pop_front() else { break };
             if self.drops_expired && job.deadline <= now {
-                out.push(Finished { id: job.id, word: Word::TurnedAway, ran: false, work: 0.0 });
+                out.push(FinishedJob {
+                    id: job.id,
+                    response: ServerResponse::Rejected,
+                    ran: false,
+                    work: 0.0,
+                });
             } else {
                 self.begin(job);
             }
@@ -357,7 +368,7 @@
     fn begin(&mut self, job: Job) {
         let known = self.keys_kept > 0 && self.keys.contains_key(&job.key);
         let work = job.work * if known { self.known_key_work } else { 1.0 };
-        self.running.push(Running { job, place: self.axis + work, work });
+        self.running.push(Running { job, finish_progress: self.progress + work, work });
     }
 
     fn remember(&mut self, key: u32) {
@@ -387,9 +398,9 @@
             self.rate = 0.0;
             return;
         }
-        let (from, loss) = self.crowded;
+        let (from, loss) = self.contention;
         let beyond = (self.held() as f64 / self.cores - from).max(0.0);
-        let efficiency = (1.0 - loss * beyond).max(CROWDED_LEAST);
+        let efficiency = (1.0 - loss * beyond).max(CONTENTION_EFFICIENCY_MIN);
         let each = (self.cores / running).min(1.0);
         self.rate = self.speed * self.slow * self.warmth(now) * efficiency * each;
     }
--- a/crates/site/src/model/clients.rs
+++ b/crates/site/src/model/clients.rs
@@ -41,7 +41,7 @@
     deadlines: Vec<Micros>,
     quotas: Vec<f64>,
     /// What is left of each tenant's quota, and since when.
-    left: Vec<(f64, Micros)>,
+    quota_left: Vec<(f64, Micros)>,
     hurried: f64,
     hurried_span: (f64, f64),
     at: f64,
@@ -63,7 +63,7 @@
             work: w.classes.iter().map(|c| (micros(c.work_ms) as f64, c.work_cv)).collect(),
             deadlines: w.classes.iter().map(|c| micros(c.deadline_ms)).collect(),
             quotas: w.tenants.iter().map(|t| t.quota_per_s).collect(),
-            left: w.tenants.iter().map(|t| (t.quota_per_s, 0)).collect(),
+            quota_left: w.tenants.iter().map(|t| (t.quota_per_s, 0)).collect(),
             hurried: w.hurried,
             hurried_span: (w.hurried_from_ms, w.hurried_to_ms),
             at: 0.0,
@@ -72,7 +72,7 @@
 
     /// The next one, as often and as hurried as the schedule has it.
     pub fn next(&mut self, rates: &Rates) -> Arrival {
-        let peak = self.rate_per_s * (1.0 + self.swing) * rates.most();
+        let peak = self.rate_per_s * (1.0 + self.swing) * rates.burst_max();
         // Thinning: candidates come at the peak's rate, and are kept by the rate of their time.
         let at = loop {
             self.at += self.random.exponential() / peak * SECOND as f64;
@@ -91,18 +91,18 @@
         let (mean, cv) = self.work[class];
         let work = mean * self.random.varied(cv);
         let hurried = self.random.chance(1.0 - (1.0 - self.hurried) * (1.0 - rates.hurry(at)));
-        let little = micros(self.random.between(self.hurried_span.0, self.hurried_span.1));
-        let span = if hurried { little.min(self.deadlines[class]) } else { self.deadlines[class] };
+        let short_span = micros(self.random.between(self.hurried_span.0, self.hurried_span.1));
+        let span = if hurried { short_span.min(self.deadlines[class]) } else { self.deadlines[class] };
         let in_quota = tenant.is_none_or(|t| self.take_quota(t, at));
         Arrival { at, class, tenant, in_quota, zone, key, work: work.max(1.0), deadline: at + span }
     }
 
     fn take_quota(&mut self, tenant: usize, at: Micros) -> bool {
         let quota = self.quotas[tenant];
-        let (left, since) = self.left[tenant];
+        let (left, since) = self.quota_left[tenant];
         let left = (left + quota * (at - since) as f64 / SECOND as f64).min(quota.max(1.0));
         let within = left >= 1.0;
-        self.left[tenant] = (if within { left - 1.0 } else { left }, at);
+        self.quota_left[tenant] = (if within { left - 1.0 } else { left }, at);
         within
     }
 }
@@ -121,25 +121,25 @@
 }
 
 /// What clients do with an answer that is not what they wanted.
-pub struct Retries {
+pub struct RetryPolicy {
     random: Stream,
-    most: u32,
+    retries_max: u32,
     backoff: Micros,
-    heed: f64,
-    most_away: Micros,
+    heed_share: f64,
+    retry_after_max: Micros,
     effects: Vec<(Effect, KeyGroup, Micros)>,
 }
 
-impl Retries {
+impl RetryPolicy {
     /// The habits of a site's clients under a seed.
     pub fn new(site: &Site, seed: u64) -> Self {
         let w = &site.clients;
         Self {
             random: Stream::new(seed, Purpose::Clients),
-            most: w.retries,
+            retries_max: w.retries,
             backoff: micros(w.backoff_ms),
-            heed: w.heed_retry_after,
-            most_away: micros(site.nodes.max_retry_after_ms),
+            heed_share: w.heed_retry_after,
+            retry_after_max: micros(site.nodes.max_retry_after_ms),
             effects: w.classes.iter().map(|c| (c.effect, c.key_group, micros(c.key_span_ms))).collect(),
         }
     }
@@ -161,21 +161,22 @@
             Effect::Keyed => group == KeyGroup::All && now < arrival.at + span,
             Effect::Unsafe => false,
         };
-        let (roll, heeds) = (self.random.part(), self.random.chance(self.heed));
-        let away = match answer {
+        let (roll, heeds) = (self.random.part(), self.random.chance(self.heed_share));
+        let retry_after = match answer {
             Answer::Served => return None,
-            Answer::Refused(away) => away,
+            Answer::Refused(retry_after) => retry_after,
             Answer::Failed | Answer::Unreachable if harmless => 0,
             Answer::Unreachable if unsent => 0,
             Answer::Failed | Answer::Unreachable => return None,
         };
         // A client whose node can't be reached turns to another at once, which is no try of its budget.
-        if tries > self.most + if unsent { 2 } else { 0 } {
+        if tries > self.retries_max + if unsent { 2 } else { 0 } {
             return None;
         }
         let backoff = (self.backoff << (tries.saturating_sub(1)).min(6)) as f64 * (0.5 + roll);
         let wait = if unsent { 0.1 * backoff } else { backoff };
-        let wait = if heeds { wait.max(away.min(self.most_away) as f64) } else { wait } as Micros;
+        let wait =
+            if heeds { wait.max(retry_after.min(self.retry_after_max) as f64) } else { wait } as Micros;
         let again = now + wait.max(1);
         // A try that can't be answered any more is not made.
         (again + micros(1.0) < arrival.deadline).then_some(again)
--- a/crates/site/src/model/faults.rs
+++ b/crates/site/src/model/faults.rs
@@ -10,7 +10,7 @@
 /// A kind of trouble.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Boxes take requests and answer nothing.
     Hang,
     /// Boxes answer a share of the requests by an error, at once.
@@ -49,7 +49,7 @@
     Hurry,
 }
 
-impl Kind {
+impl FaultKind {
     /// All of them.
     pub const ALL: [Self; 18] = [
         Self::Hang,
@@ -119,7 +119,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What it is.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When it begins.
     pub at_s: f64,
     /// How long it lasts; a release takes as long as its steps do.
@@ -156,7 +156,7 @@
 
 impl Fault {
     /// A fault of a kind with nothing else said.
-    pub fn new(kind: Kind, at_s: f64, for_s: f64) -> Self {
+    pub fn new(kind: FaultKind, at_s: f64, for_s: f64) -> Self {
         Self {
             kind,
             at_s,
@@ -176,7 +176,7 @@
         let field = |name: &str| format!("{at}.{name}");
         let kind = self.kind.name();
         c.amount(field("at_s"), self.at_s, 0.0);
-        if self.kind != Kind::Release {
+        if self.kind != FaultKind::Release {
             c.above(field("for_s"), self.for_s);
         }
         let given = [
@@ -192,30 +192,30 @@
         let takes = self.kind.takes();
         for (name, there) in given {
             let wanted = takes.contains(&name);
-            c.not(there && !wanted, field(name), &format!("{kind} takes none"));
+            c.reject_if(there && !wanted, field(name), &format!("{kind} takes none"));
             let either = name == "part" || name == "boxes";
-            c.not(!there && wanted && !either, field(name), &format!("{kind} needs one"));
+            c.reject_if(!there && wanted && !either, field(name), &format!("{kind} needs one"));
         }
         if takes.contains(&"boxes") {
             let both = self.part.is_some() != self.boxes.is_empty();
-            c.not(both, at, &format!("{kind} needs one of part and boxes, and not both"));
+            c.reject_if(both, at, &format!("{kind} needs one of part and boxes, and not both"));
         } else if takes.contains(&"part") {
-            c.not(self.part.is_none(), field("part"), &format!("{kind} needs one"));
+            c.reject_if(self.part.is_none(), field("part"), &format!("{kind} needs one"));
         }
-        c.part(field("part"), self.part.unwrap_or(0.0));
-        c.part(field("share"), self.share.unwrap_or(0.0));
+        c.fraction(field("part"), self.part.unwrap_or(0.0));
+        c.fraction(field("share"), self.share.unwrap_or(0.0));
         c.above(field("factor"), self.factor.unwrap_or(1.0));
         c.above(field("step_ms"), self.step_ms.unwrap_or(1.0));
         let names = site.box_names();
         for name in &self.boxes {
-            c.not(!names.contains(name), field("boxes"), &format!("there is no box {name:?}"));
+            c.reject_if(!names.contains(name), field("boxes"), &format!("there is no box {name:?}"));
         }
         if let Some(class) = &self.class {
             let known = site.clients.classes.iter().any(|k| k.name == *class);
-            c.not(!known, field("class"), &format!("there is no class {class:?}"));
+            c.reject_if(!known, field("class"), &format!("there is no class {class:?}"));
         }
         if let Some(zone) = &self.zone {
-            c.not(!site.zones.contains(zone), field("zone"), &format!("there is no zone {zone:?}"));
+            c.reject_if(!site.zones.contains(zone), field("zone"), &format!("there is no zone {zone:?}"));
         }
     }
 }
@@ -279,7 +279,7 @@
     let names = site.box_names();
     let mut all = Vec::new();
     for fault in &site.faults {
-        let of_nodes = matches!(fault.kind, Kind::NodeCrash | Kind::NodeRestart);
+        let of_nodes = matches!(fault.kind, FaultKind::NodeCrash | FaultKind::NodeRestart);
         let bound = if of_nodes { site.nodes.count } else { names.len() };
         let count = ((fault.part.unwrap_or(0.0) * bound as f64).round() as usize).max(1);
         let drawn = random.choose(count, bound);
@@ -298,14 +298,14 @@
         let class = || site.clients.classes.iter().position(|c| Some(&c.name) == fault.class.as_ref());
         let zone = || site.zones.iter().position(|z| Some(z) == fault.zone.as_ref());
         match fault.kind {
-            Kind::Hang => whom.iter().for_each(|b| hold(from, to, Effect::Hang(*b))),
-            Kind::FastErrors => whom.iter().for_each(|b| hold(from, to, Effect::Errors(*b, share))),
-            Kind::Burst => hold(from, to, Effect::Burst(factor)),
-            Kind::ZoneCut => hold(from, to, Effect::ZoneCut(zone().unwrap_or(0))),
-            Kind::NodeRestart => whom.iter().for_each(|n| hold(from, to, Effect::NodeEnds(*n))),
-            Kind::ListMoved => hold(from, to, Effect::ListMoved),
-            Kind::NodeCrash => whom.iter().for_each(|n| hold(from, to, Effect::NodeDown(*n))),
-            Kind::Release => {
+            FaultKind::Hang => whom.iter().for_each(|b| hold(from, to, Effect::Hang(*b))),
+            FaultKind::FastErrors => whom.iter().for_each(|b| hold(from, to, Effect::Errors(*b, share))),
+            FaultKind::Burst => hold(from, to, Effect::Burst(factor)),
+            FaultKind::ZoneCut => hold(from, to, Effect::ZoneCut(zone().unwrap_or(0))),
+            FaultKind::NodeRestart => whom.iter().for_each(|n| hold(from, to, Effect::NodeEnds(*n))),
+            FaultKind::ListMoved => hold(from, to, Effect::ListMoved),
+            FaultKind::NodeCrash => whom.iter().for_each(|n| hold(from, to, Effect::NodeDown(*n))),
+            FaultKind::Release => {
                 let step = micros(fault.step_ms.unwrap_or(1.0));
                 for (n, b) in (0u64..).zip(whom) {
                     let drains = from + n * step;
@@ -314,22 +314,22 @@
                     hold(ends, back, Effect::Down(b));
                 }
             }
-            Kind::LostAnswers => hold(from, to, Effect::Lost(share)),
-            Kind::BreakBefore => hold(from, to, Effect::BreakBefore(share)),
-            Kind::BreakAfter => hold(from, to, Effect::BreakAfter(share)),
-            Kind::TurnAway => {
+            FaultKind::LostAnswers => hold(from, to, Effect::Lost(share)),
+            FaultKind::BreakBefore => hold(from, to, Effect::BreakBefore(share)),
+            FaultKind::BreakAfter => hold(from, to, Effect::BreakAfter(share)),
+            FaultKind::TurnAway => {
                 let class = class().unwrap_or(0);
                 whom.iter().for_each(|b| hold(from, to, Effect::TurnAway(*b, class)));
             }
-            Kind::Slow => whom.iter().for_each(|b| hold(from, to, Effect::Slow(*b, factor))),
-            Kind::BoxCrash => whom.iter().for_each(|b| hold(from, to, Effect::Down(*b))),
-            Kind::Silent => whom.iter().for_each(|b| hold(from, to, Effect::Silent(*b))),
-            Kind::ListDown => hold(from, to, Effect::ListDown),
-            Kind::ListClock => {
+            FaultKind::Slow => whom.iter().for_each(|b| hold(from, to, Effect::Slow(*b, factor))),
+            FaultKind::BoxCrash => whom.iter().for_each(|b| hold(from, to, Effect::Down(*b))),
+            FaultKind::Silent => whom.iter().for_each(|b| hold(from, to, Effect::Silent(*b))),
+            FaultKind::ListDown => hold(from, to, Effect::ListDown),
+            FaultKind::ListClock => {
                 let off = micros(fault.ms.unwrap_or(0.0));
                 whom.iter().for_each(|b| hold(from, to, Effect::ListClock(*b, off)));
             }
-            Kind::Hurry => hold(from, to, Effect::Hurry(share)),
+            FaultKind::Hurry => hold(from, to, Effect::Hurry(share)),
         }
     }
     all.sort_by_key(|t| (t.at, t.on));
@@ -338,26 +338,26 @@
 
 /// The effects that hold now.
 #[derive(Clone, Debug, Default)]
-pub struct Active(Vec<Effect>);
+pub struct ActiveEffects(Vec<Effect>);
 
-impl Active {
+impl ActiveEffects {
     /// Takes a toggle in; true where this effect held neither before nor is held by another now: it truly begins or
     /// ends. Two faults that overlap on the same box are one that lasts as long as both.
     pub fn toggle(&mut self, toggle: &Toggle) -> bool {
         if toggle.on {
-            let held = self.holds(toggle.effect);
+            let held = self.contains(toggle.effect);
             self.0.push(toggle.effect);
             !held
         } else {
             if let Some(at) = self.0.iter().position(|e| *e == toggle.effect) {
                 self.0.remove(at);
             }
-            !self.holds(toggle.effect)
+            !self.contains(toggle.effect)
         }
     }
 
     /// Does exactly this hold?
-    pub fn holds(&self, effect: Effect) -> bool {
+    pub fn contains(&self, effect: Effect) -> bool {
         self.0.contains(&effect)
     }
 
@@ -374,7 +374,7 @@
     /// What holds of one box.
     pub fn of_box(&self, app_box: usize) -> BoxFaults {
         BoxFaults {
-            hung: self.holds(Effect::Hang(app_box)),
+            hung: self.contains(Effect::Hang(app_box)),
             errors: self.share(|e| match e {
                 Effect::Errors(at, share) if *at == app_box => Some(*share),
                 _ => None,
@@ -383,7 +383,7 @@
                 Effect::Slow(at, factor) if *at == app_box => Some(*factor),
                 _ => None,
             }),
-            away: self
+            rejected_classes: self
                 .0
                 .iter()
                 .filter_map(|e| match e {
@@ -419,7 +419,7 @@
 
     /// Is the way between these two zones cut?
     pub fn cuts(&self, from: usize, to: usize) -> bool {
-        from != to && (self.holds(Effect::ZoneCut(from)) || self.holds(Effect::ZoneCut(to)))
+        from != to && (self.contains(Effect::ZoneCut(from)) || self.contains(Effect::ZoneCut(to)))
     }
 
     /// What holds.
@@ -438,7 +438,7 @@
     /// How many times as fast it is.
     pub slow: f64,
     /// Classes that it turns away.
-    pub away: Vec<usize>,
+    pub rejected_classes: Vec<usize>,
 }
 
 /// How often clients ask at each time of a schedule, and how many of them are hurried: what a driver needs ahead.
@@ -446,7 +446,7 @@
 pub struct Rates {
     bursts: Vec<Toggle>,
     hurries: Vec<Toggle>,
-    most: f64,
+    burst_max: f64,
 }
 
 impl Rates {
@@ -457,25 +457,25 @@
         let mut rates = Self {
             bursts: of(|e| matches!(e, Effect::Burst(_))),
             hurries: of(|e| matches!(e, Effect::Hurry(_))),
-            most: 1.0,
+            burst_max: 1.0,
         };
-        rates.most = rates.bursts.iter().map(|t| rates.burst(t.at)).fold(1.0, f64::max);
+        rates.burst_max = rates.bursts.iter().map(|t| rates.burst(t.at)).fold(1.0, f64::max);
         rates
     }
 
     /// The highest that [`Self::burst`] gets.
-    pub fn most(&self) -> f64 {
-        self.most
+    pub fn burst_max(&self) -> f64 {
+        self.burst_max
     }
 
     /// How many times as often clients ask.
     pub fn burst(&self, at: Micros) -> f64 {
-        held_at(&self.bursts, at, |e| if let Effect::Burst(factor) = e { *factor } else { 1.0 })
+        product_at(&self.bursts, at, |e| if let Effect::Burst(factor) = e { *factor } else { 1.0 })
     }
 
     /// Which share of the requests is hurried.
     pub fn hurry(&self, at: Micros) -> f64 {
-        1.0 - held_at(&self.hurries, at, |e| {
+        1.0 - product_at(&self.hurries, at, |e| {
             if let Effect::Hurry(share) = e {
                 (1.0 - share).max(1e-9)
             } else {
@@ -486,7 +486,7 @@
 }
 
 /// The product of what holds at a time, from toggles in the order of time.
-fn held_at(toggles: &[Toggle], at: Micros, of: impl Fn(&Effect) -> f64) -> f64 {
+fn product_at(toggles: &[Toggle], at: Micros, of: impl Fn(&Effect) -> f64) -> f64 {
     let passed = toggles.iter().take_while(|t| t.at <= at);
     passed.fold(1.0, |product, t| if t.on { product * of(&t.effect) } else { product / of(&t.effect) })
 }
--- a/crates/site/src/model/list.rs
+++ b/crates/site/src/model/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::boxes::AppBox;
+use super::app_box::AppBox;
 use super::random::Stream;
 use super::spec::List;
 use super::time::{micros, Micros, SECOND};
@@ -48,7 +48,7 @@
 
 /// How a call goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum CallResult {
     /// It is answered at this time.
     Answered(Micros),
     /// It fails at this time.
@@ -56,13 +56,13 @@
 }
 
 /// How many changes the list remembers; older versions get the whole list.
-const REMEMBERED: usize = 4096;
+const CHANGES_KEPT_MAX: usize = 4096;
 
 /// The service.
 #[derive(Clone, Debug)]
 pub struct BoxList {
     notice: (Micros, Micros),
-    per_call: Micros,
+    per_call_us: Micros,
     call_timeout: Micros,
     stale_for: Micros,
     random: Stream,
@@ -85,7 +85,7 @@
         let entry = |app_box| Entry { app_box, state: State::Up, started: None };
         Self {
             notice: (micros(spec.notice_from_ms), micros(spec.notice_to_ms)),
-            per_call: ((SECOND as f64 / spec.calls_per_s).round() as Micros).max(1),
+            per_call_us: ((SECOND as f64 / spec.calls_per_s).round() as Micros).max(1),
             call_timeout: micros(spec.call_timeout_ms),
             stale_for: micros(spec.stale_for_ms),
             random,
@@ -112,7 +112,7 @@
         self.entries[entry.app_box] = entry;
         self.version += 1;
         self.changes.push_back(entry);
-        if self.changes.len() > REMEMBERED {
+        if self.changes.len() > CHANGES_KEPT_MAX {
             self.changes.pop_front();
         }
         Some(self.version)
@@ -140,16 +140,16 @@
     }
 
     /// A node calls: calls are handled in turn, and fail when they would have to wait too long.
-    pub fn call(&mut self, now: Micros) -> Call {
+    pub fn call(&mut self, now: Micros) -> CallResult {
         if self.down {
-            return Call::Failed(now);
+            return CallResult::Failed(now);
         }
-        let done = self.busy_until.max(now) + self.per_call;
+        let done = self.busy_until.max(now) + self.per_call_us;
         if done - now > self.call_timeout {
-            return Call::Failed(now + self.call_timeout);
+            return CallResult::Failed(now + self.call_timeout);
         }
         self.busy_until = done;
-        Call::Answered(done)
+        CallResult::Answered(done)
     }
 
     /// The newest version that it tells of at present.
--- a/crates/site/src/model/list/tests.rs
+++ b/crates/site/src/model/list/tests.rs
@@ -13,10 +13,13 @@
 #[test]
 fn calls_wait_in_turn_and_fail_when_they_have_waited_too_long() {
     let mut list = list(20.0);
-    let ends: Vec<Call> = (0..3).map(|_| list.call(1000)).collect();
-    assert_eq!(ends, [Call::Answered(51_000), Call::Answered(101_000), Call::Failed(101_000)]);
+    let ends: Vec<CallResult> = (0..3).map(|_| list.call(1000)).collect();
+    assert_eq!(
+        ends,
+        [CallResult::Answered(51_000), CallResult::Answered(101_000), CallResult::Failed(101_000)]
+    );
     list.set_down(60_000, true);
-    assert_eq!(list.call(60_000), Call::Failed(60_000));
+    assert_eq!(list.call(60_000), CallResult::Failed(60_000));
 }
 
 #[test]
--- a/crates/site/src/model/mod.rs
+++ b/crates/site/src/model/mod.rs
@@ -1,6 +1,6 @@
 //! The site itself, pure: time, requests and toggles in, answers out. Both drivers stand on it.
 
-pub mod boxes;
+pub mod app_box;
 pub mod clients;
 pub mod faults;
 pub mod list;
--- a/crates/site/src/model/referee.rs
+++ b/crates/site/src/model/referee.rs
@@ -9,7 +9,7 @@
 
 use serde::Serialize;
 
-use super::faults::Kind;
+use super::faults::FaultKind;
 use super::spec::{Effect, KeyGroup, Site};
 use super::time::{micros, millis, Micros, SECOND};
 
@@ -59,18 +59,18 @@
 }
 
 /// Breaches that are kept in words; all are counted.
-const KEPT: usize = 50;
+const BREACHES_KEPT_MAX: usize = 50;
 /// The stretch of time whose worst is told.
-const WINDOW: Micros = 10 * SECOND;
+const WORST_WINDOW_US: Micros = 10 * SECOND;
 /// Part of its time for which a try may have had no attempt out before it is refused or failed: beyond that the
 /// answer was held back.
-const HELD: f64 = 0.6;
+const HELD_BACK_SHARE: f64 = 0.6;
 /// The least of it that is held against a node, as requests that come in a rush may be held for a moment.
-const HELD_LEAST: Micros = 200_000;
+const HELD_BACK_MIN_US: Micros = 200_000;
 /// In how many parts a cold box's window is counted.
-const COLD_PARTS: u64 = 30;
+const COLD_WINDOW_PARTS: u64 = 30;
 /// Chance in what a cold box is sent: the work that may go beyond the multiple, in work of this many mean requests.
-const COLD_CHANCE: f64 = 3.0;
+const COLD_SLACK_REQUESTS: f64 = 3.0;
 
 struct Request {
     class: usize,
@@ -88,14 +88,14 @@
     node: usize,
     taken: Option<Micros>,
     deadline: Micros,
-    over: bool,
+    finished: bool,
     /// Its node was killed: an answer may still be on its way, and is not owed.
-    void: bool,
+    node_killed: bool,
     /// Attempts that reached a box whole and were not turned away.
     may_have_run: u32,
     /// Its answer was a refusal that promised that nothing had run.
-    promised: bool,
-    out: u32,
+    refused_as_not_run: bool,
+    in_flight: u32,
     /// Since when nothing has been out, and for how long in all before.
     idle_since: Micros,
     idle: Micros,
@@ -105,7 +105,7 @@
     of: TryNo,
     app_box: usize,
     sent: Micros,
-    over: bool,
+    finished: bool,
 }
 
 #[derive(Clone, Default)]
@@ -273,7 +273,7 @@
 
     fn note(&mut self, rule: Rule, at: Micros, words: impl FnOnce() -> String) {
         *self.broken.entry(rule).or_default() += 1;
-        if self.breaches.len() < KEPT {
+        if self.breaches.len() < BREACHES_KEPT_MAX {
             self.breaches.push(Breach { rule, at_ms: millis(at), words: words() });
         }
     }
@@ -301,7 +301,7 @@
     }
 
     fn sums(&mut self, request: &Request, mut add: impl FnMut(&mut Sum)) {
-        let window = (request.asked / WINDOW) as usize;
+        let window = (request.asked / WORST_WINDOW_US) as usize;
         if self.windows.len() <= window {
             self.windows.resize(window + 1, Sum::default());
         }
@@ -320,11 +320,11 @@
             node,
             taken: None,
             deadline,
-            over: false,
-            void: false,
+            finished: false,
+            node_killed: false,
             may_have_run: 0,
-            promised: false,
-            out: 0,
+            refused_as_not_run: false,
+            in_flight: 0,
             idle_since: now,
             idle: 0,
         });
@@ -338,15 +338,15 @@
     }
 
     /// The node that a try was written to had just been killed, and its end was not through to the client yet.
-    pub fn taken_by_the_dead(&mut self, number: TryNo) {
-        self.tries[number].void = true;
+    pub fn taken_by_killed_node(&mut self, number: TryNo) {
+        self.tries[number].node_killed = true;
     }
 
     /// The client reads a final answer that left its node at `left`.
     pub fn answered(&mut self, now: Micros, left: Micros, number: TryNo, answer: Final) {
         let (over, deadline, request, may_have_run) = {
             let t = &self.tries[number];
-            (t.over, t.deadline, t.request, t.may_have_run > 0)
+            (t.finished, t.deadline, t.request, t.may_have_run > 0)
         };
         if over {
             self.note(Rule::OneAnswer, now, || format!("try {number} was answered twice"));
@@ -365,7 +365,7 @@
                 Effect::Unsafe => !may_have_run,
                 Effect::Keyed => !may_have_run || rule.group == KeyGroup::All,
             };
-            self.tries[number].promised = match rule.effect {
+            self.tries[number].refused_as_not_run = match rule.effect {
                 Effect::Safe => false,
                 Effect::Unsafe => true,
                 Effect::Keyed => rule.group != KeyGroup::All,
@@ -396,16 +396,16 @@
                 }
             });
         }
-        self.tries[number].over = true;
+        self.tries[number].finished = true;
     }
 
     /// An answer that the node had nothing to wait for is one that it held back.
     fn check_held_back(&mut self, left: Micros, number: TryNo) {
         let t = &self.tries[number];
         let Some(taken) = t.taken else { return };
-        let idle = t.idle + if t.out == 0 { left.saturating_sub(t.idle_since) } else { 0 };
+        let idle = t.idle + if t.in_flight == 0 { left.saturating_sub(t.idle_since) } else { 0 };
         let whole = t.deadline.saturating_sub(taken);
-        if idle >= HELD_LEAST && idle as f64 > HELD * whole as f64 {
+        if idle >= HELD_BACK_MIN_US && idle as f64 > HELD_BACK_SHARE * whole as f64 {
             self.note(Rule::HeldBack, left, || {
                 format!("try {number} had nothing out for {:.0} of its {:.0} ms", millis(idle), millis(whole))
             });
@@ -415,13 +415,13 @@
     /// The client gave up, closed, or saw its connection to the node break. `lost`: the node itself ended the
     /// connection of a try that it had taken, without dying.
     pub fn left(&mut self, now: Micros, number: TryNo, lost: bool) {
-        if self.tries[number].over {
+        if self.tries[number].finished {
             return;
         }
-        if lost && self.tries[number].taken.is_some() && !self.tries[number].void {
+        if lost && self.tries[number].taken.is_some() && !self.tries[number].node_killed {
             self.note(Rule::OneAnswer, now, || format!("try {number} was lost"));
         }
-        self.tries[number].over = true;
+        self.tries[number].finished = true;
     }
 
     /// A client has done with its request.
@@ -438,8 +438,8 @@
 
     /// A node was killed: what it held is its clients' to repeat, and no blame of the next node.
     pub fn node_killed(&mut self, node: usize) {
-        for t in self.tries.iter_mut().filter(|t| t.node == node && !t.over && t.taken.is_some()) {
-            t.void = true;
+        for t in self.tries.iter_mut().filter(|t| t.node == node && !t.finished && t.taken.is_some()) {
+            t.node_killed = true;
         }
         for watch in &mut self.boxes {
             watch.told.remove(&node);
@@ -449,11 +449,11 @@
     /// A node begins an attempt at a box.
     pub fn sent(&mut self, now: Micros, of: TryNo, app_box: usize) -> AttemptNo {
         let t = &mut self.tries[of];
-        if t.out == 0 {
+        if t.in_flight == 0 {
             t.idle += now.saturating_sub(t.idle_since);
         }
-        t.out += 1;
-        self.attempts.push(Attempt { of, app_box, sent: now, over: false });
+        t.in_flight += 1;
+        self.attempts.push(Attempt { of, app_box, sent: now, finished: false });
         self.attempts.len() - 1
     }
 
@@ -476,12 +476,12 @@
     /// The attempt is over as far as its node can tell, and nothing of it is out any more.
     pub fn ended(&mut self, now: Micros, number: AttemptNo) {
         let attempt = &mut self.attempts[number];
-        if std::mem::replace(&mut attempt.over, true) {
+        if std::mem::replace(&mut attempt.finished, true) {
             return;
         }
         let t = &mut self.tries[attempt.of];
-        t.out -= 1;
-        if t.out == 0 {
+        t.in_flight -= 1;
+        if t.in_flight == 0 {
             t.idle_since = now;
         }
     }
@@ -517,7 +517,7 @@
         let Attempt { of, app_box, .. } = self.attempts[number];
         let t = &mut self.tries[of];
         t.may_have_run += 1;
-        if t.promised {
+        if t.refused_as_not_run {
             self.note(Rule::Repeats, now, || {
                 format!("try {of} was refused, and reached box {app_box} all the same")
             });
@@ -530,7 +530,7 @@
 
     fn check_cold(&mut self, now: Micros, app_box: usize, work: f64, capacity: f64) -> bool {
         let (multiple, window) = self.fall;
-        let part = (window / COLD_PARTS).max(1);
+        let part = (window / COLD_WINDOW_PARTS).max(1);
         let watch = &mut self.boxes[app_box];
         if watch.cold.is_none() || watch.pushed {
             return false;
@@ -541,11 +541,13 @@
             _ => watch.sent.push_back((slot, work)),
         }
         watch.sum += work;
-        while let Some((_, sum)) = watch.sent.front().copied().filter(|(at, _)| at + COLD_PARTS <= slot) {
+        while let Some((_, sum)) =
+            watch.sent.front().copied().filter(|(at, _)| at + COLD_WINDOW_PARTS <= slot)
+        {
             watch.sum -= sum;
             watch.sent.pop_front();
         }
-        let most = multiple * capacity * window as f64 + COLD_CHANCE * self.mean_work;
+        let most = multiple * capacity * window as f64 + COLD_SLACK_REQUESTS * self.mean_work;
         if watch.sum <= most {
             return false;
         }
@@ -562,7 +564,7 @@
     }
 
     /// An attempt that reached its box was turned away unseen.
-    pub fn turned_away(&mut self, number: AttemptNo) {
+    pub fn rejected(&mut self, number: AttemptNo) {
         let of = self.attempts[number].of;
         self.tries[of].may_have_run = self.tries[of].may_have_run.saturating_sub(1);
     }
@@ -621,7 +623,7 @@
 
     /// All deadlines have passed: what has no answer is lost.
     pub fn finish(mut self, now: Micros) -> Verdict {
-        let owed = |t: &Try| !t.over && !t.void && t.taken.is_some() && t.deadline < now;
+        let owed = |t: &Try| !t.finished && !t.node_killed && t.taken.is_some() && t.deadline < now;
         let open: Vec<TryNo> = (0..self.tries.len()).filter(|n| owed(&self.tries[*n])).collect();
         for number in open {
             self.note(Rule::OneAnswer, now, || format!("try {number} never had an answer"));
@@ -639,7 +641,7 @@
             whole: self.whole,
             worth: self.whole.part(),
             worst_10_s,
-            worst_10_s_at: (at as u64 * WINDOW) as f64 / SECOND as f64,
+            worst_10_s_at: (at as u64 * WORST_WINDOW_US) as f64 / SECOND as f64,
             classes: named(self.classes.iter().map(|c| c.name.clone()).collect(), &self.class_sums),
             tenants: named(self.tenants.clone(), &self.tenant_sums),
             worst_class: part(&self.class_sums),
@@ -655,7 +657,7 @@
 
 /// A word on which faults a run had, for reports.
 pub fn faults_in_words(site: &Site) -> String {
-    let mut kinds: Vec<&str> = Kind::ALL.iter().map(|k| k.name()).collect();
+    let mut kinds: Vec<&str> = FaultKind::ALL.iter().map(|k| k.name()).collect();
     kinds.retain(|k| site.faults.iter().any(|f| f.kind.name() == *k));
     if kinds.is_empty() {
         "calm".into()
--- a/crates/site/src/sockets/boxes.rs
+++ b/crates/site/src/sockets/boxes.rs
@@ -16,7 +16,7 @@
 use super::list;
 use super::stage::Stage;
 use super::SocketError;
-use crate::model::boxes::{AppBox, Finished, Job, JobId, Word};
+use crate::model::app_box::{AppBox, FinishedJob, Job, JobId, ServerResponse};
 use crate::model::referee::AttemptNo;
 use crate::model::time::{micros, Micros, SECOND};
 
@@ -76,14 +76,14 @@
 impl Drop for Conn {
     fn drop(&mut self) {
         let state = &mut *self.0.state.borrow_mut();
-        if state.boxes[self.1].life() == self.2 {
+        if state.boxes[self.1].incarnation() == self.2 {
             state.box_conns[self.1] = state.box_conns[self.1].saturating_sub(1);
         }
     }
 }
 
 async fn converse(stage: Rc<Stage>, b: usize, stream: TcpStream) {
-    let life = stage.state.borrow().boxes[b].life();
+    let life = stage.state.borrow().boxes[b].incarnation();
     let _conn = Conn(stage.clone(), b, life);
     // Nagle's delay would pass for the box's.
     let _ = stream.set_nodelay(true);
@@ -254,7 +254,7 @@
         let share = state.active.lost();
         let lost = state.rolls.chance(share);
         let useful = match which {
-            Which::Try(number) if word == Word::Served && !lost => {
+            Which::Try(number) if word == ServerResponse::Served && !lost => {
                 !std::mem::replace(&mut state.tries[number].served, true)
             }
             _ => false,
@@ -271,9 +271,9 @@
         tokio::time::sleep(Duration::from_micros(way)).await;
     }
     Ok(match word {
-        Word::Served => plain(StatusCode::OK, Bytes::from(format!("{number:x}"))),
-        Word::Error => plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
-        Word::TurnedAway => {
+        ServerResponse::Served => plain(StatusCode::OK, Bytes::from(format!("{number:x}"))),
+        ServerResponse::Error => plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+        ServerResponse::Rejected => {
             let mut away = plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
             away.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
             away
@@ -307,7 +307,7 @@
 }
 
 /// Hands on what a box is done with.
-fn settle(stage: &Stage, done: Vec<Finished>) {
+fn settle(stage: &Stage, done: Vec<FinishedJob>) {
     let now = stage.now();
     for f in done {
         let state = &mut *stage.state.borrow_mut();
@@ -315,11 +315,11 @@
         if let Some(ran) = noted.and_then(|noted| stage.record_of(state, noted)) {
             state.ran.push(ran);
         }
-        let heard = state.waiting.remove(&f.id).is_some_and(|to| to.send((f.word, f.work)).is_ok());
+        let heard = state.waiting.remove(&f.id).is_some_and(|to| to.send((f.response, f.work)).is_ok());
         if f.id.0 < STRAIGHT {
             let attempt = f.id.0 as AttemptNo;
-            match f.word {
-                Word::TurnedAway => state.referee.turned_away(attempt),
+            match f.response {
+                ServerResponse::Rejected => state.referee.rejected(attempt),
                 _ if f.ran => state.referee.ran(now, attempt),
                 _ => {}
             }
@@ -375,7 +375,7 @@
     spawn_local(async move {
         let at = {
             let state = stage.state.borrow();
-            let down = state.active.holds(crate::model::faults::Effect::Down(b));
+            let down = state.active.contains(crate::model::faults::Effect::Down(b));
             if state.boxes[b].up() || state.fallen[b] || down {
                 return;
             }
--- a/crates/site/src/sockets/clients.rs
+++ b/crates/site/src/sockets/clients.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout_at;
 
 use super::stage::{Stage, TryState};
-use crate::model::clients::{length, remaining_ms, Answer, Arrival, Arrivals, Retries};
+use crate::model::clients::{length, remaining_ms, Answer, Arrival, Arrivals, RetryPolicy};
 use crate::model::faults::{schedule, Rates};
 use crate::model::random::{Purpose, Stream};
 use crate::model::referee::{Final, RequestNo, TryNo};
@@ -57,7 +57,7 @@
 struct Clients {
     stage: Rc<Stage>,
     pool: Pool,
-    retries: RefCell<Retries>,
+    retries: RefCell<RetryPolicy>,
     front: RefCell<Stream>,
     next_box: std::cell::Cell<usize>,
 }
@@ -70,7 +70,7 @@
     let mut straight = Stream::new(stage.seed ^ 0xD1, Purpose::Front);
     let clients = Rc::new(Clients {
         pool: Pool::default(),
-        retries: RefCell::new(Retries::new(site, stage.seed)),
+        retries: RefCell::new(RetryPolicy::new(site, stage.seed)),
         front: RefCell::new(Stream::new(stage.seed, Purpose::Front)),
         next_box: std::cell::Cell::new(0),
         stage: stage.clone(),
@@ -211,7 +211,7 @@
             let Some(b) = (0..count).map(|n| (from + n) % count).find(up) else { return };
             self.next_box.set(b + 1);
             state.straight_requests.push(arrival);
-            (state.straight_requests.len() - 1, state.box_at[b], state.boxes[b].life())
+            (state.straight_requests.len() - 1, state.box_at[b], state.boxes[b].incarnation())
         };
         let Some(at) = at else { return };
         let heard = self.exchange((at, life), &arrival, number, &format!("s{number:x}"), None).await;
@@ -251,7 +251,7 @@
                 let state = &mut *self.stage.state.borrow_mut();
                 state.referee.taken(now, number);
                 if !state.nodes[state.tries[number].node].up {
-                    state.referee.taken_by_the_dead(number);
+                    state.referee.taken_by_killed_node(number);
                 }
             }
             let talk = async {
--- a/crates/site/src/sockets/list.rs
+++ b/crates/site/src/sockets/list.rs
@@ -12,7 +12,7 @@
 use super::stage::Stage;
 use super::{nodes, SocketError};
 use crate::model::faults::Effect;
-use crate::model::list::{Call, Entry, State as BoxState};
+use crate::model::list::{CallResult, Entry, State as BoxState};
 
 /// An empty line comes this often while nothing changes.
 const ALIVE: Duration = Duration::from_secs(2);
@@ -87,7 +87,7 @@
         tokio::time::sleep(span).await;
         let changed = {
             let state = &mut *stage.state.borrow_mut();
-            let draining = state.active.holds(Effect::Draining(b));
+            let draining = state.active.contains(Effect::Draining(b));
             let truth = Entry::of(b, &state.boxes[b], draining, state.active.clock_off(b));
             state.list.notice(truth).is_some()
         };
@@ -117,8 +117,8 @@
         let now = stage.now();
         let call = stage.state.borrow_mut().list.call(now);
         let (at, ok) = match call {
-            Call::Answered(at) => (at, true),
-            Call::Failed(at) => (at, false),
+            CallResult::Answered(at) => (at, true),
+            CallResult::Failed(at) => (at, false),
         };
         stage.until(at).await;
         if !ok || stage.state.borrow().list.down() {
--- a/crates/site/src/sockets/stage.rs
+++ b/crates/site/src/sockets/stage.rs
@@ -12,9 +12,9 @@
 use tokio::task::AbortHandle;
 
 use super::{Latency, NodeCost, Options, Progress, Ran, Report};
-use crate::model::boxes::{AppBox, JobId, Word};
+use crate::model::app_box::{AppBox, JobId, ServerResponse};
 use crate::model::clients::Arrival;
-use crate::model::faults::{Active, Effect};
+use crate::model::faults::{ActiveEffects, Effect};
 use crate::model::list::BoxList;
 use crate::model::random::{Purpose, Stream};
 use crate::model::referee::{Referee, RequestNo};
@@ -60,9 +60,9 @@
     pub(super) box_conns: Vec<usize>,
     pub(super) fallen: Vec<bool>,
     pub(super) falls: u64,
-    pub(super) waiting: HashMap<JobId, oneshot::Sender<(Word, f64)>>,
+    pub(super) waiting: HashMap<JobId, oneshot::Sender<(ServerResponse, f64)>>,
     pub(super) list: BoxList,
-    pub(super) active: Active,
+    pub(super) active: ActiveEffects,
     pub(super) rolls: Stream,
     pub(super) requests: Vec<Arrival>,
     /// Requests that go past the nodes.
@@ -124,7 +124,7 @@
             falls: 0,
             waiting: HashMap::new(),
             list: BoxList::new(&site.list, count, Stream::new(seed, Purpose::List)),
-            active: Active::default(),
+            active: ActiveEffects::default(),
             rolls: Stream::new(seed ^ 0x5EED, Purpose::Faults),
             requests: Vec::new(),
             straight_requests: Vec::new(),
@@ -191,7 +191,7 @@
     /// Is the way between a node and a box dead, as far as requests go?
     pub(super) fn is_dead(&self, n: usize, b: usize) -> bool {
         let active = &self.state.borrow().active;
-        active.holds(Effect::Silent(b)) || active.cuts(self.node_zone(n), self.box_zone(b))
+        active.contains(Effect::Silent(b)) || active.cuts(self.node_zone(n), self.box_zone(b))
     }
 
     /// What a box has on record of an attempt that ran, where it may not run at will.
@@ -217,11 +217,11 @@
         let of_box = |(b, model): (usize, &AppBox)| {
             let word = if !model.up() {
                 "down"
-            } else if state.active.holds(Effect::Hang(b)) {
+            } else if state.active.contains(Effect::Hang(b)) {
                 "hangs"
-            } else if state.active.holds(Effect::Silent(b)) {
+            } else if state.active.contains(Effect::Silent(b)) {
                 "silent"
-            } else if state.active.holds(Effect::Draining(b)) {
+            } else if state.active.contains(Effect::Draining(b)) {
                 "drains"
             } else if model.warmth(now) < 1.0 {
                 "cold"
--- a/crates/site/src/virt/attempts.rs
+++ b/crates/site/src/virt/attempts.rs
@@ -1,71 +1,76 @@
-//! An attempt's way in virtual time: its connection, its box, and its one outcome.
+//! The course of an attempt in virtual time: its connection, its box and its single outcome.
 
 use magpietally_policy::{Event, Outcome, RequestId, ServerId};
 
-use super::faulty::Misdeed;
-use super::shell::{unfinished, Attempt, Stage};
-use super::world::{Ev, World};
-use crate::model::boxes::{AppBox, Finished, Job, JobId, Word};
+use super::faulty::InjectedFault;
+use super::node::{unfinished_connect, Attempt, Stage};
+use super::simulation::{SimEvent, Simulation};
+use crate::model::app_box::{AppBox, FinishedJob, Job, JobId, ServerResponse};
 use crate::model::faults::Effect;
 use crate::model::referee::{AttemptNo, Final, TryNo};
 use crate::model::time::{millis, Micros};
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn send(&mut self, of: TryNo, b: usize, span: Micros) {
         let n = self.tries[of].node;
         let (number, index) = (self.referee.sent(self.now, of, b), self.tries[of].attempts.len());
-        let way = self.way(n, b);
+        let delay = self.delay(n, b);
         let end = self.now.saturating_add(span);
         self.attempts.push(Attempt {
             of,
             index,
             app_box: b,
-            box_life: self.boxes[b].life(),
+            box_incarnation: self.boxes[b].incarnation(),
             sent: self.now,
             stage: Stage::Connecting,
             work: self.requests[self.tries[of].request].arrival.work,
-            way,
-            holds: false,
+            delay,
+            holds_connection: false,
         });
         self.tries[of].attempts.push(number);
-        self.tries[of].out += 1;
+        self.tries[of].in_flight += 1;
         self.sent_to[b] += 1;
         if !self.takes_work(n, b) {
-            self.after(0, Ev::ConnectEnds(number, Outcome::NotSent));
+            self.schedule_after(0, SimEvent::ConnectEnds(number, Outcome::NotSent));
             return;
         }
-        if end < self.ends + self.rest() {
-            self.at(end, Ev::End(number));
+        if end < self.arrivals_end + self.run_out() {
+            self.schedule_at(end, SimEvent::TimeOut(number));
         }
         let mut closed = 0;
-        let kept = self.nodes[n].take(self.now, b, &self.boxes[b], self.idle_most, &mut closed);
-        self.box_conns[b] -= closed.min(self.box_conns[b]);
-        // The rolls are drawn in any case, so that a share of 0 moves no other draw.
+        let reused = self.nodes[n].take(self.now, b, &self.boxes[b], self.idle_max_us, &mut closed);
+        self.box_connections[b] -= closed.min(self.box_connections[b]);
+        // Both random numbers are drawn in any case, so that a share of 0 shifts no other draw.
         let share = self.active.breaks_before();
-        let (kept_broke, breaks) = (self.rolls.chance(share), self.rolls.chance(share));
-        if kept && !kept_broke {
-            self.attempts[number].holds = true;
+        let (idle_broke, breaks) = (self.fault_rolls.chance(share), self.fault_rolls.chance(share));
+        if reused && !idle_broke {
+            self.attempts[number].holds_connection = true;
             self.write(number);
             return;
         }
-        if kept {
-            // It broke while it was idle: nothing was sent, so a new one is still the same attempt.
-            self.box_conns[b] = self.box_conns[b].saturating_sub(1);
+        if reused {
+            // The idle connection had broken and nothing was sent, so the new connection belongs to the same
+            // attempt.
+            self.box_connections[b] = self.box_connections[b].saturating_sub(1);
         }
         self.connections += 1;
-        if self.active.holds(Effect::Silent(b)) || self.is_cut(n, b) {
-            self.after(self.connect, Ev::ConnectEnds(number, Outcome::ConnectFailed));
-        } else if !self.boxes[b].up() || self.box_conns[b] >= self.kind(b).connections {
-            self.after(2 * way, Ev::ConnectEnds(number, Outcome::ConnectFailed));
+        if self.active.contains(Effect::Silent(b)) || self.is_cut(n, b) {
+            self.schedule_after(
+                self.connect_timeout_us,
+                SimEvent::ConnectEnds(number, Outcome::ConnectFailed),
+            );
+        } else if !self.boxes[b].up() || self.box_connections[b] >= self.kind(b).connections {
+            self.schedule_after(2 * delay, SimEvent::ConnectEnds(number, Outcome::ConnectFailed));
         } else if breaks {
-            let told = self.variant.mends.unwritten;
-            let outcome = if told { Outcome::Unwritten } else { Outcome::ConnectFailed };
-            self.after(2 * way, Ev::ConnectEnds(number, outcome));
+            let reports_unwritten = self.variant.fixes.unwritten;
+            let outcome = if reports_unwritten { Outcome::Unwritten } else { Outcome::ConnectFailed };
+            self.schedule_after(2 * delay, SimEvent::ConnectEnds(number, outcome));
         } else {
-            self.box_conns[b] += 1;
+            self.box_connections[b] += 1;
             let a = &mut self.attempts[number];
-            (a.holds, a.work) = (true, a.work + AppBox::handshake_work(&self.site.boxes[self.box_kind[b]]));
-            self.after(2 * way, Ev::Connected(number));
+            (a.holds_connection, a.work) =
+                (true, a.work + AppBox::handshake_work(&self.site.boxes[self.box_kind[b]]));
+            self.schedule_after(2 * delay, SimEvent::Connected(number));
         }
     }
 
@@ -73,21 +78,23 @@
         &self.site.boxes[self.box_kind[b]]
     }
 
-    /// As the node's own list has it; a faulty one looks away.
+    /// Returns whether the node may send new work to the box according to its own list. Nodes with certain
+    /// injected faults ignore the list.
     pub(super) fn takes_work(&self, n: usize, b: usize) -> bool {
-        let blind = [Some(Misdeed::IgnoresDrains), Some(Misdeed::PushesCold)].contains(&self.variant.misdeed);
+        let blind = [Some(InjectedFault::IgnoresDrains), Some(InjectedFault::PushesCold)]
+            .contains(&self.variant.injected);
         blind || self.nodes[n].takes_work(b)
     }
 
     pub(super) fn connected(&mut self, number: AttemptNo) {
-        let Attempt { of, app_box, stage, box_life, .. } = self.attempts[number];
+        let Attempt { of, app_box, stage, box_incarnation, .. } = self.attempts[number];
         if stage != Stage::Connecting {
             return;
         }
         if !self.takes_work(self.tries[of].node, app_box) {
-            self.end(number, Outcome::NotSent);
-        } else if self.boxes[app_box].life() != box_life || !self.boxes[app_box].up() {
-            self.end(number, Outcome::ConnectFailed);
+            self.end_attempt(number, Outcome::NotSent);
+        } else if self.boxes[app_box].incarnation() != box_incarnation || !self.boxes[app_box].up() {
+            self.end_attempt(number, Outcome::ConnectFailed);
         } else {
             self.write(number);
         }
@@ -97,44 +104,44 @@
         self.referee.written(self.now, number);
         let a = &mut self.attempts[number];
         a.stage = Stage::Written;
-        let way = a.way;
-        self.after(way, Ev::AtBox(number));
+        let delay = a.delay;
+        self.schedule_after(delay, SimEvent::AtBox(number));
     }
 
     pub(super) fn connect_ends(&mut self, number: AttemptNo, outcome: Outcome) {
         if self.attempts[number].stage == Stage::Connecting {
-            self.end(number, outcome);
+            self.end_attempt(number, outcome);
         }
     }
 
     pub(super) fn at_box(&mut self, number: AttemptNo) {
-        let Attempt { of, app_box: b, box_life, way, work, .. } = self.attempts[number];
+        let Attempt { of, app_box: b, box_incarnation, delay, work, .. } = self.attempts[number];
         let n = self.tries[of].node;
-        if self.active.holds(Effect::Silent(b)) || self.is_cut(n, b) {
+        if self.active.contains(Effect::Silent(b)) || self.is_cut(n, b) {
             return;
         }
-        if !self.boxes[b].up() || self.boxes[b].life() != box_life {
-            self.after(way, Ev::Reset(number));
+        if !self.boxes[b].up() || self.boxes[b].incarnation() != box_incarnation {
+            self.schedule_after(delay, SimEvent::Reset(number));
             return;
         }
         let now = self.now;
         let (warmth, capacity) = (self.boxes[b].warmth(now), self.boxes[b].capacity());
-        let falls = self.referee.reached(now, number, work, capacity * warmth, warmth >= 1.0);
-        if falls {
-            self.fall(b);
-            self.after(way, Ev::Reset(number));
+        let falls_over = self.referee.reached(now, number, work, capacity * warmth, warmth >= 1.0);
+        if falls_over {
+            self.fall_over(b);
+            self.schedule_after(delay, SimEvent::Reset(number));
             return;
         }
         let share = self.active.breaks_after();
-        if self.rolls.chance(share) {
-            self.after(way, Ev::Reset(number));
+        if self.fault_rolls.chance(share) {
+            self.schedule_after(delay, SimEvent::Reset(number));
         }
         let arrival = &self.requests[self.tries[of].request].arrival;
         let (key, class, deadline) = (arrival.key, arrival.class, arrival.deadline);
         let job = Job { id: JobId(number as u64), key, class, work, deadline };
         let mut done = std::mem::take(&mut self.done);
         self.boxes[b].offer(now, job, &mut done);
-        self.settle(b, done);
+        self.handle_finished(b, done);
     }
 
     pub(super) fn box_due(&mut self, b: usize, number: u32) {
@@ -144,72 +151,72 @@
         self.box_due[b].0 = None;
         let mut done = std::mem::take(&mut self.done);
         self.boxes[b].advance(self.now, &mut done);
-        self.settle(b, done);
+        self.handle_finished(b, done);
     }
 
-    /// Sends on what a box is done with, and sees to its next event.
-    pub(super) fn settle(&mut self, b: usize, mut done: Vec<Finished>) {
+    /// Sends back the responses of a box's finished jobs and schedules its next event.
+    pub(super) fn handle_finished(&mut self, b: usize, mut done: Vec<FinishedJob>) {
         let share = self.active.lost();
         for f in done.drain(..) {
             let number = f.id.0 as usize;
-            if f.word == Word::TurnedAway {
-                self.referee.turned_away(number);
+            if f.response == ServerResponse::Rejected {
+                self.referee.rejected(number);
             } else if f.ran {
                 self.referee.ran(self.now, number);
             }
-            let lost = self.rolls.chance(share);
-            let Attempt { of, stage, way, .. } = self.attempts[number];
-            let cut = self.active.holds(Effect::Silent(b)) || self.is_cut(self.tries[of].node, b);
+            let lost = self.fault_rolls.chance(share);
+            let Attempt { of, stage, delay, .. } = self.attempts[number];
+            let cut = self.active.contains(Effect::Silent(b)) || self.is_cut(self.tries[of].node, b);
             if lost || cut || stage == Stage::Ended {
                 self.referee.work(f.work, false);
                 continue;
             }
             self.attempts[number].work = f.work;
-            self.after(way, Ev::Back(number, f.word));
+            self.schedule_after(delay, SimEvent::ResponseBack(number, f.response));
         }
         self.done = done;
-        self.look_at(b);
+        self.reschedule_box(b);
     }
 
-    pub(super) fn look_at(&mut self, b: usize) {
+    pub(super) fn reschedule_box(&mut self, b: usize) {
         let next = self.boxes[b].next(self.now);
         if next != self.box_due[b].0 {
             self.box_due[b] = (next, self.box_due[b].1.wrapping_add(1));
             if let Some(at) = next {
-                self.at(at, Ev::BoxDue(b, self.box_due[b].1));
+                self.schedule_at(at, SimEvent::BoxDue(b, self.box_due[b].1));
             }
         }
     }
 
-    pub(super) fn back(&mut self, number: AttemptNo, word: Word) {
-        let Attempt { of, app_box: b, stage, sent, work, box_life, .. } = self.attempts[number];
-        let first = !self.tries[of].over && word == Word::Served;
+    pub(super) fn response_back(&mut self, number: AttemptNo, response: ServerResponse) {
+        let Attempt { of, app_box: b, stage, sent, work, box_incarnation, .. } = self.attempts[number];
+        let first = !self.tries[of].finished && response == ServerResponse::Served;
         self.referee.work(work, first && stage != Stage::Ended);
         if stage == Stage::Ended {
             return;
         }
         let n = self.tries[of].node;
-        let answered = &mut self.nodes[n].answered[b];
+        let answered = &mut self.nodes[n].last_answered_sent[b];
         *answered = Some(answered.map_or(sent, |at| at.max(sent)));
-        // The connection is kept.
-        if self.boxes[b].life() == box_life && self.attempts[number].holds {
-            self.attempts[number].holds = false;
-            self.nodes[n].put(self.now, b, box_life);
+        // The connection is kept for reuse.
+        if self.boxes[b].incarnation() == box_incarnation && self.attempts[number].holds_connection {
+            self.attempts[number].holds_connection = false;
+            self.nodes[n].put(self.now, b, box_incarnation);
         }
         if first {
-            self.give(of, Final::Served, 0);
+            self.answer(of, Final::Served, 0);
         }
-        let outcome = match word {
-            Word::Served => Outcome::Done,
-            Word::Error => Outcome::Error,
-            Word::TurnedAway => Outcome::Full,
+        let outcome = match response {
+            ServerResponse::Served => Outcome::Done,
+            ServerResponse::Error => Outcome::Error,
+            ServerResponse::Rejected => Outcome::Full,
         };
-        self.end(number, outcome);
+        self.end_attempt(number, outcome);
     }
 
     pub(super) fn reset(&mut self, number: AttemptNo) {
         if self.attempts[number].stage == Stage::Written {
-            self.end(number, Outcome::Reset);
+            self.end_attempt(number, Outcome::Reset);
         }
     }
 
@@ -217,10 +224,13 @@
         let Attempt { of, app_box: b, stage, sent, .. } = self.attempts[number];
         let outcome = match stage {
             Stage::Ended => return,
-            Stage::Connecting => unfinished(self.now - sent, self.connect, self.variant.mends.silent),
+            Stage::Connecting => {
+                unfinished_connect(self.now - sent, self.connect_timeout_us, self.variant.fixes.silent)
+            }
             Stage::Written => {
-                let overtaken = self.nodes[self.tries[of].node].answered[b].is_some_and(|at| at > sent);
-                if overtaken && self.variant.mends.unheard {
+                let overtaken =
+                    self.nodes[self.tries[of].node].last_answered_sent[b].is_some_and(|at| at > sent);
+                if overtaken && self.variant.fixes.unheard {
                     Outcome::Unheard
                 } else {
                     Outcome::TimedOut
@@ -230,48 +240,50 @@
         self.call_off(number, outcome);
     }
 
-    /// The node closes the attempt's connection, and its box hears of it.
+    /// Cancels an attempt: the node closes its connection, and the box is notified after the network delay.
     pub(super) fn call_off(&mut self, number: AttemptNo, outcome: Outcome) {
-        let Attempt { stage, way, .. } = self.attempts[number];
+        let Attempt { stage, delay, .. } = self.attempts[number];
         if stage == Stage::Written {
-            self.after(way, Ev::CancelAtBox(number));
+            self.schedule_after(delay, SimEvent::CancelAtBox(number));
         }
         if stage != Stage::Ended {
-            self.end(number, outcome);
+            self.end_attempt(number, outcome);
         }
     }
 
     pub(super) fn cancel_at_box(&mut self, number: AttemptNo) {
-        let Attempt { app_box: b, box_life, .. } = self.attempts[number];
-        if !self.boxes[b].up() || self.boxes[b].life() != box_life {
+        let Attempt { app_box: b, box_incarnation, .. } = self.attempts[number];
+        if !self.boxes[b].up() || self.boxes[b].incarnation() != box_incarnation {
             return;
         }
         let mut done = std::mem::take(&mut self.done);
         self.boxes[b].cancel(self.now, JobId(number as u64), &mut done);
-        self.settle(b, done);
+        self.handle_finished(b, done);
     }
 
-    /// An attempt's one outcome.
-    pub(super) fn end(&mut self, number: AttemptNo, outcome: Outcome) {
+    /// Records an attempt's single outcome and reports it to the node's policy.
+    pub(super) fn end_attempt(&mut self, number: AttemptNo, outcome: Outcome) {
         let a = &mut self.attempts[number];
         if a.stage == Stage::Ended {
             return;
         }
         a.stage = Stage::Ended;
-        let (of, index, b, holds) = (a.of, a.index, a.app_box, std::mem::take(&mut a.holds));
-        let (took, lives) = (millis(self.now - a.sent), a.box_life == self.boxes[b].life());
-        if holds && lives {
-            self.box_conns[b] = self.box_conns[b].saturating_sub(1);
+        let (of, index, b, holds_connection) =
+            (a.of, a.index, a.app_box, std::mem::take(&mut a.holds_connection));
+        let (took, box_still_runs) =
+            (millis(self.now - a.sent), a.box_incarnation == self.boxes[b].incarnation());
+        if holds_connection && box_still_runs {
+            self.box_connections[b] = self.box_connections[b].saturating_sub(1);
         }
         self.referee.ended(self.now, number);
         let t = &mut self.tries[of];
-        t.out -= 1;
-        let (n, finished, life) = (t.node, t.over, t.life);
-        if self.nodes[n].life == life {
+        t.in_flight -= 1;
+        let (n, finished, incarnation) = (t.node, t.finished, t.incarnation);
+        if self.nodes[n].incarnation == incarnation {
             let server = ServerId(self.server_of[b]);
             let id = RequestId(of as u64);
-            self.feed(n, Event::Ended { id, attempt: index, server, outcome, took, finished });
+            self.deliver(n, Event::Ended { id, attempt: index, server, outcome, took, finished });
         }
-        self.drop_if_over(of);
+        self.drop_if_finished(of);
     }
 }
--- a/crates/site/src/virt/plain.rs
+++ b/crates/site/src/virt/baseline.rs
@@ -1,5 +1,5 @@
-//! Baselines: what people would pick instead. They see what a node may see, keep the rules on repeats and drains, and
-//! have no limits, no ejection and no care for cold servers.
+//! Baselines: the common load-balancing methods. They see what a node may see and keep the rules on repeats
+//! and drains, but have no limits, no ejection and no special treatment of cold servers.
 
 use std::collections::BTreeMap;
 
@@ -16,21 +16,21 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Pick {
-    /// Any, each as likely.
+    /// At random with equal probability.
     Random,
-    /// In turn, from the node's own offset.
+    /// Round robin, starting at the node's own offset.
     RoundRobin,
-    /// Where the node itself has least out.
+    /// The server with the fewest attempts in flight from this node.
     LeastInFlight,
-    /// The one with less out of two drawn ones.
+    /// The one with fewer attempts in flight of two servers drawn at random.
     TwoChoices,
 }
 
 impl Pick {
-    /// All of them.
+    /// All methods.
     pub const ALL: [Self; 4] = [Self::Random, Self::RoundRobin, Self::LeastInFlight, Self::TwoChoices];
 
-    /// Its name.
+    /// Name on the command line and in files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -41,48 +41,48 @@
     }
 }
 
-struct Held {
+struct OpenRequest {
     class: usize,
     deadline: Millis,
     attempts: Vec<(ServerId, u64, Millis, Option<Outcome>)>,
 }
 
-/// How long a baseline waits before it asks for the list again.
-const ASK_AGAIN: Millis = 500.0;
+/// How long a baseline waits before it requests the list again.
+const LIST_RETRY_MS: Millis = 500.0;
 
-/// A baseline node.
-pub(super) struct Plain {
+/// Decision maker of a baseline node.
+pub(super) struct BaselineNode {
     settings: Settings,
     pick: Option<Pick>,
     random: Stream,
     servers: BTreeMap<ServerId, ServerEntry>,
-    /// Those in service, sorted.
+    /// Servers in service, sorted.
     up: Vec<ServerId>,
-    out: BTreeMap<ServerId, usize>,
-    cursor: usize,
-    requests: BTreeMap<RequestId, Held>,
-    /// When the list is to be asked for.
-    ask_at: Option<Millis>,
+    in_flight: BTreeMap<ServerId, usize>,
+    next_turn: usize,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    /// When to subscribe to the list.
+    subscribe_at: Option<Millis>,
 }
 
-impl Plain {
+impl BaselineNode {
     pub(super) fn new(settings: Settings, pick: Pick, seed: u64) -> Self {
         Self { pick: Some(pick), random: Stream::new(seed, Purpose::Nodes), ..Self::refusing(settings) }
     }
 
-    /// A node that sends nothing.
+    /// A node that refuses every request.
     pub(super) fn refusing(settings: Settings) -> Self {
-        let ask_at = (settings.discovery == Discovery::Polled).then_some(f64::NEG_INFINITY);
+        let subscribe_at = (settings.discovery == Discovery::Polled).then_some(f64::NEG_INFINITY);
         Self {
-            cursor: settings.number,
+            next_turn: settings.number,
             settings,
             pick: None,
             random: Stream::new(0, Purpose::Nodes),
             servers: BTreeMap::new(),
             up: Vec::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             requests: BTreeMap::new(),
-            ask_at,
+            subscribe_at,
         }
     }
 
@@ -98,10 +98,10 @@
     }
 
     fn load(&self, server: ServerId) -> usize {
-        self.out.get(&server).copied().unwrap_or(0)
+        self.in_flight.get(&server).copied().unwrap_or(0)
     }
 
-    /// A first attempt may go to any server that is up.
+    /// Picks the server of a first attempt, which may go to any server that is up.
     fn choose_first(&mut self) -> Option<ServerId> {
         let count = self.up.len();
         if count == 0 {
@@ -110,8 +110,8 @@
         match self.pick? {
             Pick::Random => Some(self.up[self.random.below(count)]),
             Pick::RoundRobin => {
-                let turn = self.up[self.cursor % count];
-                self.cursor = self.cursor % count + 1;
+                let turn = self.up[self.next_turn % count];
+                self.next_turn = self.next_turn % count + 1;
                 Some(turn)
             }
             Pick::TwoChoices => {
@@ -135,36 +135,39 @@
         }
     }
 
-    fn choose(&mut self, may: &[ServerId]) -> Option<ServerId> {
-        if may.is_empty() {
+    fn choose(&mut self, candidates: &[ServerId]) -> Option<ServerId> {
+        if candidates.is_empty() {
             return None;
         }
         Some(match self.pick? {
-            Pick::Random => may[self.random.below(may.len())],
+            Pick::Random => candidates[self.random.below(candidates.len())],
             Pick::RoundRobin => {
-                // The next in turn that may have it.
+                // The next candidate in round-robin order.
                 let count = self.up.len();
-                let turn =
-                    (0..count).map(|n| self.up[(self.cursor + n) % count]).find(|s| may.contains(s))?;
-                self.cursor = self.up.iter().position(|s| *s == turn).unwrap_or(0) + 1;
+                let turn = (0..count)
+                    .map(|n| self.up[(self.next_turn + n) % count])
+                    .find(|s| candidates.contains(s))?;
+                self.next_turn = self.up.iter().position(|s| *s == turn).unwrap_or(0) + 1;
                 turn
             }
             Pick::LeastInFlight => {
-                let least = may.iter().map(|s| self.load(*s)).min()?;
-                let least: Vec<ServerId> = may.iter().copied().filter(|s| self.load(*s) == least).collect();
+                let least = candidates.iter().map(|s| self.load(*s)).min()?;
+                let least: Vec<ServerId> =
+                    candidates.iter().copied().filter(|s| self.load(*s) == least).collect();
                 least[self.random.below(least.len())]
             }
             Pick::TwoChoices => {
-                let (a, b) = (self.random.below(may.len()), self.random.below(may.len()));
-                self.less_loaded(may[a], may[b])
+                let (a, b) = (self.random.below(candidates.len()), self.random.below(candidates.len()));
+                self.less_loaded(candidates[a], candidates[b])
             }
         })
     }
 
-    /// May the request go out, again or for the first time, to this server (`None`: be refused)?
-    fn harmless(&self, held: &Held, now: Millis, to: Option<&ServerEntry>) -> bool {
-        let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
-        match self.settings.classes[held.class].effect {
+    /// Returns whether the rules on repeats allow the request to be sent to this server, again or for the
+    /// first time (`None`: whether it may be refused).
+    fn may_send(&self, request: &OpenRequest, now: Millis, to: Option<&ServerEntry>) -> bool {
+        let mut ran = request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
+        match self.settings.classes[request.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => ran.next().is_none(),
             Effect::Keyed { scope, memory } => ran.all(|a| match to {
@@ -175,56 +178,57 @@
     }
 
     fn serve(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(held) = self.requests.get(&id) else { return };
-        let server = if held.attempts.is_empty() && now < held.deadline {
+        let Some(request) = self.requests.get(&id) else { return };
+        let server = if request.attempts.is_empty() && now < request.deadline {
             self.choose_first()
         } else {
-            let last = held.attempts.last().map(|a| a.0);
-            let more = held.attempts.len() < self.settings.limits.attempts && now < held.deadline;
-            let may = |s: &&ServerId| self.servers.get(s).is_some_and(|e| self.harmless(held, now, Some(e)));
+            let last = request.attempts.last().map(|a| a.0);
+            let may_retry = request.attempts.len() < self.settings.limits.attempts && now < request.deadline;
+            let allowed =
+                |s: &&ServerId| self.servers.get(s).is_some_and(|e| self.may_send(request, now, Some(e)));
             let mut to: Vec<ServerId> =
-                if more { self.up.iter().filter(may).copied().collect() } else { Vec::new() };
+                if may_retry { self.up.iter().filter(allowed).copied().collect() } else { Vec::new() };
             if to.len() > 1 {
                 to.retain(|s| Some(*s) != last);
             }
             self.choose(&to)
         };
         let Some(server) = server else {
-            let refuse = self.requests.remove(&id).is_some_and(|held| self.harmless(&held, now, None));
+            let refuse = self.requests.remove(&id).is_some_and(|request| self.may_send(&request, now, None));
             actions.push(if refuse { Action::Refuse { id, stay_away: 0.0 } } else { Action::Fail(id) });
             return;
         };
         let zone = self.servers.get(&server).map_or(0, |e| e.zone);
-        *self.out.entry(server).or_default() += 1;
-        if let Some(held) = self.requests.get_mut(&id) {
-            held.attempts.push((server, zone, now, None));
-            let timeout = Some((held.deadline - now).max(0.001));
+        *self.in_flight.entry(server).or_default() += 1;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts.push((server, zone, now, None));
+            let timeout = Some((request.deadline - now).max(0.001));
             actions.push(Action::Send { id, server, timeout });
         }
     }
 }
 
-impl Decider for Plain {
+impl Decider for BaselineNode {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { entries, .. } => self.list(entries, true),
             Event::ListChange(entries) => self.list(entries, false),
             Event::ListFailed(_) | Event::DiscoveryMoved => {
-                self.ask_at = Some(now + ASK_AGAIN);
-                actions.push(Action::SetTimer(ASK_AGAIN));
+                self.subscribe_at = Some(now + LIST_RETRY_MS);
+                actions.push(Action::SetTimer(LIST_RETRY_MS));
             }
             Event::Request { id, class, deadline, .. } => {
-                self.requests.insert(id, Held { class, deadline, attempts: Vec::new() });
+                self.requests.insert(id, OpenRequest { class, deadline, attempts: Vec::new() });
                 self.serve(now, id, actions);
             }
             Event::Ended { id, attempt, server, outcome, finished, .. } => {
-                if let Some(out) = self.out.get_mut(&server) {
+                if let Some(out) = self.in_flight.get_mut(&server) {
                     *out = out.saturating_sub(1);
                 }
                 if finished {
                     self.requests.remove(&id);
-                } else if let Some(held) = self.requests.get_mut(&id) {
-                    if let Some(a) = held.attempts.get_mut(attempt) {
+                } else if let Some(request) = self.requests.get_mut(&id) {
+                    if let Some(a) = request.attempts.get_mut(attempt) {
                         a.3 = Some(outcome);
                     }
                     self.serve(now, id, actions);
@@ -235,8 +239,8 @@
             }
             Event::Streaming { .. } | Event::Probed { .. } | Event::Timer => {}
         }
-        if self.ask_at.is_some_and(|at| now >= at) {
-            self.ask_at = None;
+        if self.subscribe_at.is_some_and(|at| now >= at) {
+            self.subscribe_at = None;
             actions.push(Action::Subscribe);
         }
     }
--- a/crates/site/src/virt/decider.rs
+++ b/crates/site/src/virt/decider.rs
@@ -1,16 +1,16 @@
-//! What decides at a node: the policy, or something to hold it against.
+//! The decision maker of a node: the policy, or a variant to compare it with.
 
 use std::collections::HashMap;
 
 use magpietally_policy::{Action, Balancer, Effect, Event, Millis, Outcome, RequestId, Settings};
 use serde::{Deserialize, Serialize};
 
-use super::faulty::{Faulty, Misdeed};
-use super::plain::{Pick, Plain};
+use super::baseline::{BaselineNode, Pick};
+use super::faulty::{FaultyNode, InjectedFault};
 
-/// Takes events and answers with actions, as the policy does.
+/// Handles events and returns actions, as the policy does.
 pub trait Decider: Send {
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions, in order.
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -20,32 +20,40 @@
     }
 }
 
-/// What `docs/findings/` mended, each as a switch, to show what it guards against. Those of the network are the
-/// node's; those of decisions are taken out by what the policy is told, as its own text has no switches.
+/// The fixes described in `docs/findings/`, each with a switch that shows which failure it prevents. Fixes of
+/// network handling are switched off in the node. Fixes of decisions are switched off by changing the events
+/// and actions of the policy, as the policy itself has no switches.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Mends {
-    /// A connection that broke before the request was out is no refused one (`page4688`). Out: it is told as one.
+pub struct Fixes {
+    /// A connection that broke before the request was written is not reported as refused (`page4688`). Off:
+    /// it is reported as refused.
     pub unwritten: bool,
-    /// An attempt without a byte, at a server that answered later ones, is no slow one (`page5425`). Out: it is told
-    /// as a time-out.
+    /// An attempt without any response byte, at a server that answered later attempts, is not reported as
+    /// slow (`page5425`). Off: it is reported as a time-out.
     pub unheard: bool,
-    /// What is turned away does not pass for a late answer (`page5425`). Out: it is told as a time-out at its aim.
+    /// A rejection by the server does not count as a late response (`page5425`). Off: it is reported as a
+    /// time-out that took at least the aim.
     pub turned_away: bool,
-    /// A missed answer has a second copy (`page5425`). Out: the settings allow none.
+    /// A request without a response in time gets a hedged second attempt (`page5425`). Off: the settings
+    /// allow none.
     pub second_copies: bool,
-    /// Little time is not spent on the way back (`hurried-clients`). Out: 20 ms are kept back whatever is left.
+    /// The margin kept back for the response's way to the client shrinks with the time left
+    /// (`hurried-clients`). Off: 20 ms are kept back whatever time is left.
     pub margin: bool,
-    /// Time-outs of clients in a hurry eject nobody (`hurried-clients`). Out: they are told as if half the aim had passed.
+    /// Time-outs of requests that arrived with little time cause no ejection (`hurried-clients`). Off: they
+    /// are reported as if at least half the aim had passed.
     pub hurried: bool,
-    /// Little time alone makes no repeat (`hurried-clients`). Out: what may never run twice and comes with less time
-    /// than the most seen is sent with the time-out that it had as a repeat whose aim was long over, 0.001 ms.
+    /// A request is not taken for a repeat only because it has little time left (`hurried-clients`). Off: a
+    /// request of an unsafe class whose time left is below the largest seen for its class by more than the
+    /// aim is sent with the time-out of a repeat whose aim has passed, 0.001 ms.
     pub repeats: bool,
-    /// A connect that had its time tells of its server. Out: it is told as never sent.
+    /// A connection attempt that had enough time to succeed is attributed to its server. Off: it is reported
+    /// as never sent.
     pub silent: bool,
 }
 
-impl Default for Mends {
+impl Default for Fixes {
     fn default() -> Self {
         Self {
             unwritten: true,
@@ -60,111 +68,113 @@
     }
 }
 
-/// What runs at the nodes of a run.
+/// The decision maker that the nodes of a run use.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// What it is called in reports.
+    /// Name in reports.
     pub name: String,
-    /// A baseline's way to pick; the policy where it is absent.
+    /// The baseline's method of picking a server; absent for the policy.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pick: Option<Pick>,
-    /// Which mends are in.
-    #[serde(default)]
-    pub mends: Mends,
-    /// What a deliberately faulty node does; for the referee's own tests.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub misdeed: Option<Misdeed>,
+    /// The fixes that are switched on.
+    #[serde(rename = "mends", default)]
+    pub fixes: Fixes,
+    /// The fault injected into the nodes, for the referee's own tests.
+    #[serde(rename = "misdeed", default, skip_serializing_if = "Option::is_none")]
+    pub injected: Option<InjectedFault>,
 }
 
 impl Variant {
-    /// The policy with all mends.
+    /// The policy with all fixes.
     pub fn policy() -> Self {
-        Self { name: "policy".into(), pick: None, mends: Mends::default(), misdeed: None }
+        Self { name: "policy".into(), pick: None, fixes: Fixes::default(), injected: None }
     }
 
-    /// A baseline.
+    /// A baseline that picks servers with `pick`.
     pub fn baseline(pick: Pick) -> Self {
         Self { name: pick.name().into(), pick: Some(pick), ..Self::policy() }
     }
 
-    /// The policy in a node that does something that it must not.
-    pub fn faulty(misdeed: Misdeed) -> Self {
-        Self { name: misdeed.name().into(), misdeed: Some(misdeed), ..Self::policy() }
+    /// The policy in a node with an injected fault.
+    pub fn faulty(injected: InjectedFault) -> Self {
+        Self { name: injected.name().into(), injected: Some(injected), ..Self::policy() }
     }
 
-    /// The policy with some mends taken out.
-    pub fn without(name: &str, mends: Mends) -> Self {
-        Self { name: name.into(), mends, ..Self::policy() }
+    /// The policy with only the given fixes.
+    pub fn without(name: &str, fixes: Fixes) -> Self {
+        Self { name: name.into(), fixes, ..Self::policy() }
     }
 
-    /// What decides at one node.
+    /// Creates the decision maker of one node.
     pub(super) fn decider(&self, mut settings: Settings, seed: u64) -> Box<dyn Decider> {
-        settings.limits.second_copies &= self.mends.second_copies;
+        settings.limits.second_copies &= self.fixes.second_copies;
         let inner: Box<dyn Decider> = match self.pick {
-            Some(pick) => Box::new(Plain::new(settings.clone(), pick, seed)),
+            Some(pick) => Box::new(BaselineNode::new(settings.clone(), pick, seed)),
             None => match Balancer::new(settings.clone(), seed) {
                 Ok(balancer) => Box::new(balancer),
-                // A checked site gives good settings; should it not, its nodes refuse everything, which shows.
-                Err(_) => Box::new(Plain::refusing(settings.clone())),
+                // A checked site gives valid settings. If it did not, its nodes would refuse every request,
+                // which shows in the results.
+                Err(_) => Box::new(BaselineNode::refusing(settings.clone())),
             },
         };
-        let Mends { turned_away, hurried, repeats, .. } = self.mends;
+        let Fixes { turned_away, hurried, repeats, .. } = self.fixes;
         let inner: Box<dyn Decider> = if turned_away && hurried && repeats {
             inner
         } else {
-            Box::new(Unmended::new(inner, self.mends, &settings))
+            Box::new(WithoutFixes::new(inner, self.fixes, &settings))
         };
-        match self.misdeed {
-            Some(misdeed) => Box::new(Faulty::new(inner, misdeed, &settings)),
+        match self.injected {
+            Some(injected) => Box::new(FaultyNode::new(inner, injected, &settings)),
             None => inner,
         }
     }
 }
 
-/// Tells a policy what it was told before a mend, and does what it did.
-struct Unmended {
+/// Wraps a policy and restores the behaviour from before fixes of decisions: it changes the events that the
+/// policy receives and the time-outs that it sets.
+struct WithoutFixes {
     inner: Box<dyn Decider>,
-    mends: Mends,
+    fixes: Fixes,
     aims: Vec<Millis>,
-    once: Vec<bool>,
-    /// The most time that a request of each class ever had left.
+    is_unsafe: Vec<bool>,
+    /// Largest time left that a request of each class has arrived with.
     most_left: Vec<Millis>,
-    /// The class of each open request, and whether it is taken for a repeat.
+    /// Class of each open request, and whether it is treated as a repeat.
     open: HashMap<RequestId, (usize, bool)>,
 }
 
-/// The time-out of what was taken for a repeat whose aim was over.
-const NO_TIME: Millis = 0.001;
+/// Time-out of a request that is treated as a repeat whose aim has passed.
+const EXPIRED_TIMEOUT_MS: Millis = 0.001;
 
-impl Unmended {
-    fn new(inner: Box<dyn Decider>, mends: Mends, settings: &Settings) -> Self {
+impl WithoutFixes {
+    fn new(inner: Box<dyn Decider>, fixes: Fixes, settings: &Settings) -> Self {
         let classes = &settings.classes;
         Self {
             inner,
-            mends,
+            fixes,
             aims: classes.iter().map(|c| c.aim).collect(),
-            once: classes.iter().map(|c| c.effect == Effect::Unsafe).collect(),
+            is_unsafe: classes.iter().map(|c| c.effect == Effect::Unsafe).collect(),
             most_left: vec![0.0; classes.len()],
             open: HashMap::new(),
         }
     }
 
-    fn told(&mut self, now: Millis, event: Event) -> Event {
+    fn event_without_fixes(&mut self, now: Millis, event: Event) -> Event {
         match event {
             Event::Request { id, class, deadline, .. } => {
                 let left = deadline - now;
                 self.most_left[class] = self.most_left[class].max(left);
-                let over = self.most_left[class] - left > self.aims[class];
-                self.open.insert(id, (class, over && self.once[class] && !self.mends.repeats));
+                let past_aim = self.most_left[class] - left > self.aims[class];
+                self.open.insert(id, (class, past_aim && self.is_unsafe[class] && !self.fixes.repeats));
                 event
             }
             Event::Ended { id, attempt, server, outcome, took, finished } => {
                 let class = self.open.get(&id).map(|(class, _)| *class);
                 let aim = class.map_or(took, |c| self.aims[c]);
                 let (outcome, took) = match outcome {
-                    Outcome::Full if !self.mends.turned_away => (Outcome::TimedOut, took.max(aim)),
-                    Outcome::TimedOut if !self.mends.hurried => (outcome, took.max(0.5 * aim)),
+                    Outcome::Full if !self.fixes.turned_away => (Outcome::TimedOut, took.max(aim)),
+                    Outcome::TimedOut if !self.fixes.hurried => (outcome, took.max(0.5 * aim)),
                     _ => (outcome, took),
                 };
                 if finished {
@@ -181,15 +191,15 @@
     }
 }
 
-impl Decider for Unmended {
+impl Decider for WithoutFixes {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        let event = self.told(now, event);
+        let event = self.event_without_fixes(now, event);
         let from = actions.len();
         self.inner.handle(now, event, actions);
         for action in &mut actions[from..] {
             if let Action::Send { id, timeout, .. } = action {
-                if self.open.get(id).is_some_and(|(_, over)| *over) {
-                    *timeout = Some(NO_TIME);
+                if self.open.get(id).is_some_and(|(_, past_aim)| *past_aim) {
+                    *timeout = Some(EXPIRED_TIMEOUT_MS);
                 }
             }
             if let Action::Refuse { id, .. } | Action::Fail(id) = action {
--- a/crates/site/src/virt/faulty.rs
+++ b/crates/site/src/virt/faulty.rs
@@ -1,4 +1,4 @@
-//! Deliberately faulty nodes: each breaks one rule, so that the referee's eyes can be tested.
+//! Nodes with an injected fault: each breaks one rule, to test that the referee detects it.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 
 use super::decider::Decider;
 
-/// What a faulty node does.
+/// The fault of a faulty node.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Misdeed {
-    /// Sends a class that may never run twice again after a time-out or a reset.
+pub enum InjectedFault {
+    /// Sends a request of an unsafe class a second time after a time-out or a reset.
     SecondRun,
-    /// Goes on sending to boxes that drain.
+    /// Keeps sending to draining boxes.
     IgnoresDrains,
-    /// Calls refused what may have run.
+    /// Reports requests as refused that may have run.
     RefusesWhatRan,
-    /// Never answers some of its requests.
+    /// Never answers some requests.
     LosesRequests,
-    /// Sends all it has to boxes that have just started.
+    /// Sends all requests to boxes that have just started.
     PushesCold,
-    /// Holds back refusals and failures until the client's time is nearly over.
+    /// Delays refusals and failures until the client's deadline is near.
     HoldsBack,
 }
 
-impl Misdeed {
-    /// All of them.
+impl InjectedFault {
+    /// All faults.
     pub const ALL: [Self; 6] = [
         Self::SecondRun,
         Self::IgnoresDrains,
@@ -38,7 +38,7 @@
         Self::HoldsBack,
     ];
 
-    /// Its name.
+    /// Name on the command line and in files.
     pub fn name(self) -> &'static str {
         match self {
             Self::SecondRun => "second_run",
@@ -51,27 +51,28 @@
     }
 }
 
-/// How long after a start a box counts as just started.
-const JUST_STARTED: Millis = 4000.0;
+/// Time after its start during which a box counts as just started.
+const JUST_STARTED_MS: Millis = 4000.0;
 
-/// A node that misbehaves.
-pub(super) struct Faulty {
+/// A node that wraps another decision maker and breaks one rule.
+pub(super) struct FaultyNode {
     inner: Box<dyn Decider>,
-    misdeed: Misdeed,
+    injected: InjectedFault,
     unsafe_classes: Vec<bool>,
     requests: BTreeMap<RequestId, (usize, usize)>,
     started: BTreeMap<ServerId, Millis>,
     up: Vec<ServerId>,
-    /// Where the policy wanted to send what went to a cold box: it is told of its end there, or it would wait for it for ever.
-    meant: BTreeMap<RequestId, ServerId>,
+    /// Server that the policy had picked for each request that went to a cold box. The policy receives the
+    /// outcome under that server; otherwise it would wait for it forever.
+    intended: BTreeMap<RequestId, ServerId>,
 }
 
-impl Faulty {
-    pub(super) fn new(inner: Box<dyn Decider>, misdeed: Misdeed, settings: &Settings) -> Self {
+impl FaultyNode {
+    pub(super) fn new(inner: Box<dyn Decider>, injected: InjectedFault, settings: &Settings) -> Self {
         let unsafe_classes = settings.classes.iter().map(|c| c.effect == Effect::Unsafe).collect();
         let (requests, started) = (BTreeMap::new(), BTreeMap::new());
-        let (up, meant) = (Vec::new(), BTreeMap::new());
-        Self { inner, misdeed, unsafe_classes, requests, started, up, meant }
+        let (up, intended) = (Vec::new(), BTreeMap::new());
+        Self { inner, injected, unsafe_classes, requests, started, up, intended }
     }
 
     fn listed(&mut self, entries: &mut Vec<ServerEntry>) {
@@ -85,13 +86,13 @@
                 }
             }
         }
-        if self.misdeed == Misdeed::IgnoresDrains {
+        if self.injected == InjectedFault::IgnoresDrains {
             entries.retain(|e| e.state == ListedState::Up);
         }
     }
 }
 
-impl Decider for Faulty {
+impl Decider for FaultyNode {
     fn handle(&mut self, now: Millis, mut event: Event, actions: &mut Vec<Action>) {
         match &mut event {
             Event::List { entries, .. } | Event::ListChange(entries) => self.listed(entries),
@@ -99,9 +100,9 @@
                 self.requests.insert(*id, (*class, 0));
             }
             Event::Ended { id, outcome, finished, server, .. } => {
-                *server = self.meant.remove(id).unwrap_or(*server);
+                *server = self.intended.remove(id).unwrap_or(*server);
                 let may_have_run = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Unheard);
-                if let (Misdeed::SecondRun, true, false) = (self.misdeed, may_have_run, *finished) {
+                if let (InjectedFault::SecondRun, true, false) = (self.injected, may_have_run, *finished) {
                     if let Some((class, again)) = self.requests.get_mut(id) {
                         if self.unsafe_classes[*class] && *again == 0 && !self.up.is_empty() {
                             *again = 1;
@@ -117,15 +118,15 @@
         let from = actions.len();
         self.inner.handle(now, event, actions);
         for action in &mut actions[from..] {
-            match (self.misdeed, &*action) {
-                (Misdeed::RefusesWhatRan, Action::Fail(id)) => {
+            match (self.injected, &*action) {
+                (InjectedFault::RefusesWhatRan, Action::Fail(id)) => {
                     *action = Action::Refuse { id: *id, stay_away: 0.0 };
                 }
-                (Misdeed::PushesCold, Action::Send { id, timeout, server: meant }) => {
+                (InjectedFault::PushesCold, Action::Send { id, timeout, server: intended }) => {
                     let cold =
-                        self.started.iter().find(|(_, at)| (0.0..JUST_STARTED).contains(&(now - **at)));
+                        self.started.iter().find(|(_, at)| (0.0..JUST_STARTED_MS).contains(&(now - **at)));
                     if let Some((server, _)) = cold {
-                        self.meant.insert(*id, *meant);
+                        self.intended.insert(*id, *intended);
                         *action = Action::Send { id: *id, server: *server, timeout: *timeout };
                     }
                 }
--- a/crates/site/src/virt/listing.rs
+++ b/crates/site/src/virt/listing.rs
@@ -1,14 +1,14 @@
-//! News of the boxes on their way to the nodes.
+//! Delivery of the list service's updates to the nodes.
 
 use magpietally_policy::{Event, ListFailure, ListedState, ServerEntry, ServerId};
 
-use super::shell::Node;
-use super::world::{Ev, World};
+use super::node::Node;
+use super::simulation::{SimEvent, Simulation};
 use crate::model::faults::Effect;
-use crate::model::list::{self, Call, State};
+use crate::model::list::{self, CallResult, State};
 use crate::model::time::millis;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn entry(&self, e: list::Entry) -> ServerEntry {
         let kind = self.kind(e.app_box);
         let zone = self.box_zone[e.app_box] as u64;
@@ -27,26 +27,26 @@
         }
     }
 
-    pub(super) fn tell_later(&mut self, b: usize) {
+    pub(super) fn schedule_notice(&mut self, b: usize) {
         let span = self.list.notice_after();
-        self.after(span, Ev::Noticed(b));
+        self.schedule_after(span, SimEvent::Noticed(b));
     }
 
-    pub(super) fn noticed(&mut self, b: usize) {
-        let draining = self.active.holds(Effect::Draining(b));
-        let truth = list::Entry::of(b, &self.boxes[b], draining, self.active.clock_off(b));
-        if self.list.notice(truth).is_some() && !self.list.down() {
-            self.tell_watchers();
+    pub(super) fn apply_notice(&mut self, b: usize) {
+        let draining = self.active.contains(Effect::Draining(b));
+        let entry = list::Entry::of(b, &self.boxes[b], draining, self.active.clock_off(b));
+        if self.list.notice(entry).is_some() && !self.list.down() {
+            self.notify_watchers();
         }
     }
 
-    /// All that watch get what is new, each by its own way.
-    pub(super) fn tell_watchers(&mut self) {
+    /// Sends new updates to every watching node, each after its own network delay.
+    pub(super) fn notify_watchers(&mut self) {
         for n in 0..self.nodes.len() {
-            let Node { watching, life, call, .. } = self.nodes[n];
+            let Node { watching, incarnation, call, .. } = self.nodes[n];
             if watching || !self.site.list.watched {
-                let way = self.jittered(self.site.network.same_zone_ms);
-                self.after(way, Ev::Push(n, life, call));
+                let delay = self.jittered(self.site.network.same_zone_ms);
+                self.schedule_after(delay, SimEvent::Push(n, incarnation, call));
             }
         }
     }
@@ -55,65 +55,70 @@
         self.list.set_down(self.now, down);
         if down {
             for n in 0..self.nodes.len() {
-                let Node { watching, life, call, .. } = self.nodes[n];
+                let Node { watching, incarnation, call, .. } = self.nodes[n];
                 if watching {
-                    let way = self.jittered(self.site.network.same_zone_ms);
-                    self.after(way, Ev::WatchEnds(n, life, call));
+                    let delay = self.jittered(self.site.network.same_zone_ms);
+                    self.schedule_after(delay, SimEvent::WatchEnds(n, incarnation, call));
                 }
             }
         }
     }
 
-    /// Another service with the same knowledge: its versions mean nothing there, so nodes ask for the whole.
+    /// The list moves to another service with the same contents. Version numbers of the old service are not
+    /// valid there, so nodes request the full list.
     pub(super) fn move_list(&mut self) {
         for n in 0..self.nodes.len() {
             let node = &mut self.nodes[n];
             (node.version, node.watching, node.call) = (None, false, node.call + 1);
-            self.feed(n, Event::DiscoveryMoved);
+            self.deliver(n, Event::DiscoveryMoved);
         }
     }
 
-    pub(super) fn watch_ends(&mut self, n: usize, life: u32, call: u64) {
-        if self.nodes[n].life == life && self.nodes[n].call == call && self.nodes[n].watching {
+    pub(super) fn watch_ends(&mut self, n: usize, incarnation: u32, call: u64) {
+        if self.nodes[n].incarnation == incarnation && self.nodes[n].call == call && self.nodes[n].watching {
             self.nodes[n].watching = false;
-            self.feed(n, Event::ListFailed(ListFailure::Broken));
+            self.deliver(n, Event::ListFailed(ListFailure::Broken));
         }
     }
 
-    pub(super) fn call(&mut self, n: usize) {
+    pub(super) fn call_list(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.call += 1;
         node.watching = false;
-        let (life, call) = (node.life, node.call);
-        let way = self.jittered(2.0 * self.site.network.same_zone_ms);
+        let (incarnation, call) = (node.incarnation, node.call);
+        let delay = self.jittered(2.0 * self.site.network.same_zone_ms);
         match self.list.call(self.now) {
-            Call::Answered(at) => self.at(at + way, Ev::CallDone(n, life, call, true)),
-            Call::Failed(at) => self.at(at + way, Ev::CallDone(n, life, call, false)),
+            CallResult::Answered(at) => {
+                self.schedule_at(at + delay, SimEvent::ListCallDone(n, incarnation, call, true))
+            }
+            CallResult::Failed(at) => {
+                self.schedule_at(at + delay, SimEvent::ListCallDone(n, incarnation, call, false))
+            }
         }
     }
 
-    pub(super) fn call_done(&mut self, n: usize, life: u32, call: u64, ok: bool) {
-        if self.nodes[n].life != life || self.nodes[n].call != call {
+    pub(super) fn list_call_done(&mut self, n: usize, incarnation: u32, call: u64, ok: bool) {
+        if self.nodes[n].incarnation != incarnation || self.nodes[n].call != call {
             return;
         }
         if !ok || self.list.down() {
-            self.feed(n, Event::ListFailed(ListFailure::Broken));
+            self.deliver(n, Event::ListFailed(ListFailure::Broken));
             return;
         }
-        (self.nodes[n].watching, self.nodes[n].dealt) = (true, true);
+        (self.nodes[n].watching, self.nodes[n].in_rotation) = (true, true);
         if let Some(until) = self.list.stale_until(self.now) {
-            self.at(until, Ev::Push(n, life, call));
+            self.schedule_at(until, SimEvent::Push(n, incarnation, call));
         }
-        self.push_list(n, life, call);
+        self.push_list(n, incarnation, call);
     }
 
-    pub(super) fn push_list(&mut self, n: usize, life: u32, call: u64) {
+    pub(super) fn push_list(&mut self, n: usize, incarnation: u32, call: u64) {
         let node = &self.nodes[n];
-        if node.life != life || node.call != call || !node.up || self.list.down() {
+        if node.incarnation != incarnation || node.call != call || !node.up || self.list.down() {
             return;
         }
-        let news = node.version.and_then(|version| self.list.since(self.now, version));
-        let (entries, version, whole) = match news {
+        let changes = node.version.and_then(|version| self.list.since(self.now, version));
+        let (entries, version, whole) = match changes {
             Some((entries, version)) => (entries, version, false),
             None => {
                 let (entries, version) = self.list.whole(self.now);
@@ -128,28 +133,28 @@
                 listed
             };
             for b in (0..self.boxes.len()).filter(|b| !listed[*b]) {
-                self.learn(n, list::Entry { app_box: b, state: State::Gone, started: None });
+                self.update_known_box(n, list::Entry { app_box: b, state: State::Gone, started: None });
             }
         }
         for e in &entries {
-            self.learn(n, *e);
+            self.update_known_box(n, *e);
         }
         let entries: Vec<ServerEntry> = entries.into_iter().map(|e| self.entry(e)).collect();
         let event = if whole { Event::List { entries, saved: false } } else { Event::ListChange(entries) };
-        self.feed(n, event);
+        self.deliver(n, event);
     }
 
-    /// A node takes in what it is told of a box.
-    pub(super) fn learn(&mut self, n: usize, e: list::Entry) {
+    /// Updates what a node knows of a box.
+    pub(super) fn update_known_box(&mut self, n: usize, e: list::Entry) {
         let b = e.app_box;
-        let before = self.nodes[n].known[b];
+        let before = self.nodes[n].known_boxes[b];
         if before.is_some_and(|(_, started)| started != e.started) || e.state == State::Gone {
-            // Its connections ended with the old process.
-            let life = self.boxes[b].life();
-            let closed = self.nodes[n].forget(b, life);
-            self.box_conns[b] = self.box_conns[b].saturating_sub(closed);
+            // Its connections ended with the previous process.
+            let incarnation = self.boxes[b].incarnation();
+            let closed = self.nodes[n].forget(b, incarnation);
+            self.box_connections[b] = self.box_connections[b].saturating_sub(closed);
         }
-        self.nodes[n].known[b] = Some((e.state, e.started));
+        self.nodes[n].known_boxes[b] = Some((e.state, e.started));
         self.referee.told(self.now, n, b, e.state == State::Up);
     }
 }
--- a/crates/site/src/virt/mod.rs
+++ b/crates/site/src/virt/mod.rs
@@ -1,18 +1,18 @@
-//! The driver in virtual time: many nodes' policies in one process, no sockets and no sleeping.
+//! The virtual-time driver: the policies of many nodes in one process, without sockets and without sleeping.
 //!
-//! A run is a function of the site, the seed and the variant: the same ones give the same [`Run`], to the last byte,
-//! in every build and whatever else runs beside it.
+//! A run is a function of the site, the seed and the variant: equal inputs give the same [`Run`], byte for
+//! byte, in every build and whatever else runs at the same time.
 
 mod attempts;
+mod baseline;
 mod decider;
+mod failures;
 mod faulty;
-mod fleet;
 mod listing;
-mod plain;
-mod shell;
-mod world;
+mod node;
+mod simulation;
 
-pub use decider::{Decider, Mends, Variant};
-pub use faulty::Misdeed;
-pub use plain::Pick;
-pub use world::{run, run_timed, Run};
+pub use baseline::Pick;
+pub use decider::{Decider, Fixes, Variant};
+pub use faulty::InjectedFault;
+pub use simulation::{run, run_timed, Run};
--- a/crates/site/tests/boxes.rs
+++ b/crates/site/tests/boxes.rs
@@ -1,7 +1,7 @@
 //! What an app box does with what it is sent.
 
 use magpietally_site::examples;
-use magpietally_site::model::boxes::{AppBox, Finished, Job, JobId, Word};
+use magpietally_site::model::app_box::{AppBox, FinishedJob, Job, JobId, ServerResponse};
 use magpietally_site::model::faults::BoxFaults;
 use magpietally_site::model::random::{Purpose, Stream};
 use magpietally_site::model::spec::{BoxKind, CancelStops};
@@ -24,20 +24,20 @@
 }
 
 /// Plays a box up to a time: what ended, and when.
-fn play(app_box: &mut AppBox, from: u64, to: u64) -> Vec<(u64, u64, Word)> {
+fn play(app_box: &mut AppBox, from: u64, to: u64) -> Vec<(u64, u64, ServerResponse)> {
     let (mut now, mut all, mut done) = (from, Vec::new(), Vec::new());
     while let Some(next) = app_box.next(now).filter(|next| *next <= to) {
         now = next;
         app_box.advance(now, &mut done);
-        all.extend(done.drain(..).map(|f: Finished| (f.id.0, now, f.word)));
+        all.extend(done.drain(..).map(|f: FinishedJob| (f.id.0, now, f.response)));
     }
     all
 }
 
-fn offer(app_box: &mut AppBox, now: u64, job: Job) -> Vec<Word> {
+fn offer(app_box: &mut AppBox, now: u64, job: Job) -> Vec<ServerResponse> {
     let mut done = Vec::new();
     app_box.offer(now, job, &mut done);
-    done.into_iter().filter(|f| f.id == job.id).map(|f| f.word).collect()
+    done.into_iter().filter(|f| f.id == job.id).map(|f| f.response).collect()
 }
 
 #[test]
@@ -46,8 +46,12 @@
     for id in 0..3 {
         assert!(offer(&mut one, 0, job(id, 10)).is_empty());
     }
-    assert_eq!(offer(&mut one, 0, job(3, 10)), [Word::TurnedAway]);
-    let served = [(0, 10 * MS, Word::Served), (1, 20 * MS, Word::Served), (2, 30 * MS, Word::Served)];
+    assert_eq!(offer(&mut one, 0, job(3, 10)), [ServerResponse::Rejected]);
+    let served = [
+        (0, 10 * MS, ServerResponse::Served),
+        (1, 20 * MS, ServerResponse::Served),
+        (2, 30 * MS, ServerResponse::Served),
+    ];
     assert_eq!(play(&mut one, 0, 1000 * MS), served);
 }
 
@@ -57,7 +61,7 @@
     offer(&mut shared, 0, job(0, 10));
     offer(&mut shared, 5 * MS, job(1, 10));
     // Alone for 5 ms, then half as fast: the first has 5 ms of work left for 10 ms, the second goes on alone.
-    let ended = [(0, 15 * MS, Word::Served), (1, 20 * MS, Word::Served)];
+    let ended = [(0, 15 * MS, ServerResponse::Served), (1, 20 * MS, ServerResponse::Served)];
     assert_eq!(play(&mut shared, 5 * MS, 1000 * MS), ended);
 }
 
@@ -88,8 +92,8 @@
     offer(&mut one, 0, job(0, 10));
     let mut done = Vec::new();
     one.offer(10 * MS, job(1, 10), &mut done);
-    assert_eq!(done.iter().map(|f| (f.id.0, f.word)).collect::<Vec<_>>(), [(0, Word::Served)]);
-    assert_eq!(play(&mut one, 10 * MS, 1000 * MS), [(1, 20 * MS, Word::Served)]);
+    assert_eq!(done.iter().map(|f| (f.id.0, f.response)).collect::<Vec<_>>(), [(0, ServerResponse::Served)]);
+    assert_eq!(play(&mut one, 10 * MS, 1000 * MS), [(1, 20 * MS, ServerResponse::Served)]);
 }
 
 #[test]
@@ -98,9 +102,9 @@
     offer(&mut one, 0, job(0, 10));
     one.stop(4 * MS);
     assert!(offer(&mut one, 5 * MS, job(1, 10)).is_empty(), "nobody is there to answer");
-    let life = one.life();
+    let life = one.incarnation();
     one.start(6 * MS);
-    assert_ne!(one.life(), life);
+    assert_ne!(one.incarnation(), life);
     assert_eq!(one.held(), 0);
     offer(&mut one, 6 * MS, job(2, 10));
     let ended = play(&mut one, 6 * MS, 1000 * MS);
@@ -119,8 +123,11 @@
     assert_eq!(one.next(0), None);
     one.set_faults(100 * MS, BoxFaults { slow: 1.0, ..BoxFaults::default() }, &mut done);
     // The first one's time is over; it is dropped unseen.
-    assert_eq!(done.iter().map(|f| (f.id.0, f.word)).collect::<Vec<_>>(), [(0, Word::TurnedAway)]);
-    assert_eq!(play(&mut one, 100 * MS, 1000 * MS), [(1, 110 * MS, Word::Served)]);
+    assert_eq!(
+        done.iter().map(|f| (f.id.0, f.response)).collect::<Vec<_>>(),
+        [(0, ServerResponse::Rejected)]
+    );
+    assert_eq!(play(&mut one, 100 * MS, 1000 * MS), [(1, 110 * MS, ServerResponse::Served)]);
 }
 
 #[test]
@@ -137,6 +144,10 @@
     for (id, key, took) in [(0, 7, 10), (1, 7, 5), (2, 8, 10), (3, 7, 10)] {
         let now = 100 * MS * id;
         offer(&mut one, now, Job { key, ..job(id, 10) });
-        assert_eq!(play(&mut one, now, now + 99 * MS), [(id, now + took * MS, Word::Served)], "{id}");
+        assert_eq!(
+            play(&mut one, now, now + 99 * MS),
+            [(id, now + took * MS, ServerResponse::Served)],
+            "{id}"
+        );
     }
 }
--- a/crates/site/tests/referee.rs
+++ b/crates/site/tests/referee.rs
@@ -1,11 +1,11 @@
 //! The referee catches each rule that a deliberately faulty node breaks, and blames no good one.
 
 use magpietally_site::examples;
-use magpietally_site::model::faults::Kind;
+use magpietally_site::model::faults::FaultKind;
 use magpietally_site::model::referee::{Final, Referee, Rule};
 use magpietally_site::model::spec::Site;
 use magpietally_site::model::time::SECOND;
-use magpietally_site::virt::{run, Misdeed, Variant};
+use magpietally_site::virt::{run, InjectedFault, Variant};
 
 fn short(name: &str) -> Site {
     let mut site = examples::site(name).expect("it is embedded");
@@ -17,17 +17,17 @@
 /// Which schedule brings each misdeed out, and which rule it breaks.
 #[test]
 fn each_misdeed_is_caught_and_the_good_node_is_not() {
-    for (misdeed, fault, rule) in [
-        (Misdeed::SecondRun, "lost_answers", Rule::Repeats),
-        (Misdeed::IgnoresDrains, "release", Rule::Drain),
-        (Misdeed::RefusesWhatRan, "lost_answers", Rule::Repeats),
-        (Misdeed::LosesRequests, "lost_answers", Rule::OneAnswer),
-        (Misdeed::PushesCold, "release", Rule::ColdBox),
-        (Misdeed::HoldsBack, "lost_answers", Rule::HeldBack),
+    for (injected, fault, rule) in [
+        (InjectedFault::SecondRun, "lost_answers", Rule::Repeats),
+        (InjectedFault::IgnoresDrains, "release", Rule::Drain),
+        (InjectedFault::RefusesWhatRan, "lost_answers", Rule::Repeats),
+        (InjectedFault::LosesRequests, "lost_answers", Rule::OneAnswer),
+        (InjectedFault::PushesCold, "release", Rule::ColdBox),
+        (InjectedFault::HoldsBack, "lost_answers", Rule::HeldBack),
     ] {
         let site = short(fault);
-        let caught = run(&site, 3, &Variant::faulty(misdeed)).verdict;
-        assert!(caught.broken.contains_key(&rule), "{misdeed:?} went unseen: {:?}", caught.broken);
+        let caught = run(&site, 3, &Variant::faulty(injected)).verdict;
+        assert!(caught.broken.contains_key(&rule), "{injected:?} went unseen: {:?}", caught.broken);
         let good = run(&site, 3, &Variant::policy()).verdict;
         assert_eq!(good.rules_broken(), 0, "{fault}: {:?}", good.breaches);
     }
@@ -35,7 +35,7 @@
 
 #[test]
 fn no_single_fault_makes_the_policy_break_a_rule() {
-    for kind in Kind::ALL {
+    for kind in FaultKind::ALL {
         let run = run(&short(kind.name()), 11, &Variant::policy());
         assert_eq!(run.verdict.rules_broken(), 0, "{}: {:?}", kind.name(), run.verdict.breaches);
         assert!(run.verdict.worth > 0.5, "{}: {}", kind.name(), run.verdict.worth);
--- a/crates/site/tests/same.rs
+++ b/crates/site/tests/same.rs
@@ -4,7 +4,7 @@
 
 use magpietally_site::examples;
 use magpietally_site::experiment::{table, Kept, Line, Plan};
-use magpietally_site::model::faults::{Fault, Kind};
+use magpietally_site::model::faults::{Fault, FaultKind};
 use magpietally_site::virt::{run, Variant};
 
 const FILE: &str = r#"
@@ -94,14 +94,14 @@
         ..Fault::new(kind, at_s, for_s)
     };
     site.faults = vec![
-        fault(Kind::BoxCrash, 3.0, 2.0, &["std-1", "std-2"]),
-        fault(Kind::BoxCrash, 4.0, 2.0, &["std-2", "slow-0"]),
-        fault(Kind::Hang, 3.5, 4.0, &["std-2", "std-3"]),
-        fault(Kind::Hang, 5.0, 1.0, &["std-3"]),
-        Fault { part: Some(0.3), step_ms: Some(700.0), ..Fault::new(Kind::Release, 6.0, 0.0) },
-        Fault { part: Some(0.3), ..Fault::new(Kind::NodeCrash, 5.0, 2.0) },
-        Fault { share: Some(0.1), ..Fault::new(Kind::LostAnswers, 4.0, 5.0) },
-        Fault { share: Some(0.1), ..Fault::new(Kind::BreakAfter, 4.0, 5.0) },
+        fault(FaultKind::BoxCrash, 3.0, 2.0, &["std-1", "std-2"]),
+        fault(FaultKind::BoxCrash, 4.0, 2.0, &["std-2", "slow-0"]),
+        fault(FaultKind::Hang, 3.5, 4.0, &["std-2", "std-3"]),
+        fault(FaultKind::Hang, 5.0, 1.0, &["std-3"]),
+        Fault { part: Some(0.3), step_ms: Some(700.0), ..Fault::new(FaultKind::Release, 6.0, 0.0) },
+        Fault { part: Some(0.3), ..Fault::new(FaultKind::NodeCrash, 5.0, 2.0) },
+        Fault { share: Some(0.1), ..Fault::new(FaultKind::LostAnswers, 4.0, 5.0) },
+        Fault { share: Some(0.1), ..Fault::new(FaultKind::BreakAfter, 4.0, 5.0) },
     ];
     site.check().expect("it makes sense");
     for seed in 1..=4 {
--- a/crates/site/tests/theory.rs
+++ b/crates/site/tests/theory.rs
@@ -1,7 +1,7 @@
 //! The model is right where theory knows the answer.
 
 use magpietally_site::experiment::mean;
-use magpietally_site::model::boxes::{AppBox, Finished, Job, JobId};
+use magpietally_site::model::app_box::{AppBox, FinishedJob, Job, JobId};
 use magpietally_site::model::random::{Purpose, Stream};
 use magpietally_site::model::spec::Site;
 use magpietally_site::virt::{run, Pick, Variant};
@@ -16,9 +16,9 @@
     let mut random = Stream::new(seed, Purpose::Arrivals);
     let gap = SERVICE / (load * f64::from(servers));
     let (mut now, mut exact) = (0, 0.0);
-    let (mut came, mut done): (Vec<(u64, f64)>, Vec<Finished>) = (Vec::new(), Vec::new());
+    let (mut came, mut done): (Vec<(u64, f64)>, Vec<FinishedJob>) = (Vec::new(), Vec::new());
     let (mut waited, mut ended) = (0.0, 0);
-    let mut count_in = |now: u64, done: &mut Vec<Finished>, came: &[(u64, f64)]| {
+    let mut count_in = |now: u64, done: &mut Vec<FinishedJob>, came: &[(u64, f64)]| {
         for f in done.drain(..) {
             let (at, work) = came[f.id.0 as usize];
             waited += (now - at) as f64 - work;
--- a/src/commands/site.rs
+++ b/src/commands/site.rs
@@ -4,7 +4,7 @@
 use magpietally_site::examples;
 use magpietally_site::model::referee::{faults_in_words, Verdict};
 use magpietally_site::model::spec::Site;
-use magpietally_site::virt::{self, Misdeed, Pick, Variant};
+use magpietally_site::virt::{self, InjectedFault, Pick, Variant};
 
 use super::{text_of, wrong, Failure};
 
@@ -72,7 +72,7 @@
         return Ok(Variant::policy());
     }
     let pick = Pick::ALL.into_iter().find(|p| p.name() == name).map(Variant::baseline);
-    let misdeed = || Misdeed::ALL.into_iter().find(|m| m.name() == name).map(Variant::faulty);
+    let misdeed = || InjectedFault::ALL.into_iter().find(|m| m.name() == name).map(Variant::faulty);
     pick.or_else(misdeed).ok_or_else(|| Failure::Wrong(format!("--variant: {name:?} is unknown")))
 }
 
