--- a/crates/site/src/virt/simulation.rs
+++ b/crates/site/src/virt/simulation.rs
@@ -20,7 +20,7 @@
 use crate::model::time::{micros, millis, Micros, SECOND};
 
 /// How long a run continues after the last arrival, beyond the longest deadline.
-const DRAIN_OUT_US: Micros = SECOND;
+const RUN_OUT_US: Micros = SECOND;
 
 /// Result of one run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
@@ -249,7 +249,7 @@
     /// How long a run continues after the last arrival.
     pub(super) fn run_out(&self) -> Micros {
         let longest = self.site.longest_deadline_ms();
-        micros(longest) + micros(self.site.rules.answer_slack_ms) + DRAIN_OUT_US
+        micros(longest) + micros(self.site.rules.answer_slack_ms) + RUN_OUT_US
     }
 
     fn finish(mut self) -> Run {
