--- a/src/commands/experiment.rs
+++ b/src/commands/experiment.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use magpietally_site::experiment::{table, worst_first, Kept, Line, Plan};
+use magpietally_site::experiment::{table, worst_first, Line, Plan, StoredResult};
 
 use super::{invalid_input, read_text_file, CommandError};
 
@@ -32,12 +32,12 @@
 /// Runs the subcommand.
 pub fn run(args: &ExperimentArgs) -> Result<(), CommandError> {
     let text = read_text_file(&args.file).map_err(CommandError::InvalidInput)?;
-    let plan = Plan::read(&text, read_text_file).map_err(|lines| invalid_input(&args.file, &lines))?;
+    let plan = Plan::parse(&text, read_text_file).map_err(|lines| invalid_input(&args.file, &lines))?;
     let earlier_results = match &args.results {
         Some(file) if std::path::Path::new(file).exists() => read_text_file(file)?,
         _ => String::new(),
     };
-    let mut results: BTreeMap<String, Kept> = plan.resume(&earlier_results);
+    let mut results: BTreeMap<String, StoredResult> = plan.resume(&earlier_results);
     let mut results_file = match &args.results {
         Some(file) => {
             let opened = std::fs::OpenOptions::new().create(true).append(true).open(file);
@@ -62,8 +62,8 @@
     let threads = args.threads.or_else(|| std::thread::available_parallelism().ok().map(Into::into));
     let done = results.clone();
     let mut write_error = None;
-    plan.play(&done, threads.unwrap_or(1), |job, run| {
-        results.insert(job.digest.clone(), Kept::from(run));
+    plan.run_jobs(&done, threads.unwrap_or(1), |job, run| {
+        results.insert(job.digest.clone(), StoredResult::from(run));
         bar.inc(1);
         if let Some((file, to)) = &mut results_file {
             let line = serde_json::to_string(&Line { digest: &job.digest, run }).unwrap_or_default();
--- a/src/commands/site.rs
+++ b/src/commands/site.rs
@@ -4,7 +4,7 @@
 use magpietally_site::examples;
 use magpietally_site::model::referee::{faults_in_words, Verdict};
 use magpietally_site::model::spec::Site;
-use magpietally_site::virt::{self, Misdeed, Pick, Variant};
+use magpietally_site::virt::{self, InjectedFault, Pick, Variant};
 
 use super::{invalid_input, read_text_file, CommandError};
 
@@ -62,7 +62,7 @@
         None => {
             let describe = |e| format!("{e}; the embedded sites are {}", examples::names().join(", "));
             let text = read_text_file(name).map_err(|e| CommandError::InvalidInput(describe(e)))?;
-            Site::read(&text).map_err(|lines| invalid_input(name, &lines))
+            Site::parse(&text).map_err(|lines| invalid_input(name, &lines))
         }
     }
 }
@@ -73,7 +73,7 @@
         return Ok(Variant::policy());
     }
     let baseline = Pick::ALL.into_iter().find(|p| p.name() == name).map(Variant::baseline);
-    let misdeed = || Misdeed::ALL.into_iter().find(|m| m.name() == name).map(Variant::faulty);
+    let misdeed = || InjectedFault::ALL.into_iter().find(|m| m.name() == name).map(Variant::faulty);
     baseline
         .or_else(misdeed)
         .ok_or_else(|| CommandError::InvalidInput(format!("--variant: {name:?} is unknown")))
@@ -83,7 +83,7 @@
 pub fn run(command: &SiteCommand) -> Result<(), CommandError> {
     match command {
         SiteCommand::Check { file } => {
-            let site = Site::read(&read_text_file(file).map_err(CommandError::InvalidInput)?)
+            let site = Site::parse(&read_text_file(file).map_err(CommandError::InvalidInput)?)
                 .map_err(|l| invalid_input(file, &l))?;
             println!(
                 "{file}: {} boxes, {} nodes, {:.0} requests a second for {} s; {}",
