--- a/crates/config/src/watch.rs
+++ b/crates/config/src/watch.rs
@@ -16,7 +16,7 @@
 use crate::reload::{FileCheck, ReloadAction, ReloadRules, ReloadTracker};
 use crate::server_list::{ServerList, FILE_MAX_BYTES};
 
-/// How often the file is checked. Twice this and [`QUIET_PERIOD`] together are within the time allowed for a
+/// How often the file is checked. Twice this and `QUIET_PERIOD` together are within the time allowed for a
 /// drain.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pauses before the first rechecks of a file with a problem. They are irregular: a writer in step with
