--- a/crates/site/src/sockets/clients.rs
+++ b/crates/site/src/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Open-loop clients: each request goes out when it is meant to, whatever became of those before it.
+//! Open-loop clients: each request is sent at its scheduled time, whatever the state of earlier requests.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout_at;
 
-use super::stage::{Stage, TryState};
+use super::stage::{Harness, TryState};
 use crate::model::clients::{length, remaining_ms, Answer, Arrival, Arrivals, RetryPolicy};
 use crate::model::faults::{schedule, Rates};
 use crate::model::random::{Purpose, Stream};
@@ -23,22 +23,22 @@
 use crate::model::spec::Effect;
 use crate::model::time::{micros, Micros};
 
-/// The body of a request that has one.
-const BODY: &[u8] = &[b'.'; 200];
-/// The largest answer that is read.
-const ANSWER_MOST: usize = 256 * 1024;
+/// Body of a POST request.
+const REQUEST_BODY: &[u8] = &[b'.'; 200];
+/// Limit on the size of a response body.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Kept connections, by where they lead and which life of it.
+/// Idle connections, by address and incarnation of the peer.
 #[derive(Default)]
 struct Pool(RefCell<HashMap<(SocketAddr, u32), Vec<Sender>>>);
 
 impl Pool {
     fn take(&self, to: (SocketAddr, u32)) -> Option<Sender> {
         let mut pool = self.0.borrow_mut();
-        let kept = pool.get_mut(&to)?;
-        while let Some(sender) = kept.pop() {
+        let idle = pool.get_mut(&to)?;
+        while let Some(sender) = idle.pop() {
             if !sender.is_closed() {
                 return Some(sender);
             }
@@ -55,140 +55,145 @@
 
 /// All clients of a run.
 struct Clients {
-    stage: Rc<Stage>,
+    harness: Rc<Harness>,
     pool: Pool,
     retries: RefCell<RetryPolicy>,
-    front: RefCell<Stream>,
+    front_random: RefCell<Stream>,
     next_box: std::cell::Cell<usize>,
 }
 
-/// Asks all that the site's clients ask; ends with the last request sent.
-pub(super) async fn ask_all(stage: Rc<Stage>, direct: f64) {
-    let site = &stage.site;
-    let rates = Rates::of(&schedule(site, stage.seed));
-    let mut arrivals = Arrivals::new(site, stage.seed);
-    let mut straight = Stream::new(stage.seed ^ 0xD1, Purpose::Front);
+/// Sends all requests of the site's clients; returns after the last one has been started.
+pub(super) async fn send_all(harness: Rc<Harness>, direct: f64) {
+    let site = &harness.site;
+    let rates = Rates::of(&schedule(site, harness.seed));
+    let mut arrivals = Arrivals::new(site, harness.seed);
+    let mut direct_random = Stream::new(harness.seed ^ 0xD1, Purpose::Front);
     let clients = Rc::new(Clients {
         pool: Pool::default(),
-        retries: RefCell::new(RetryPolicy::new(site, stage.seed)),
-        front: RefCell::new(Stream::new(stage.seed, Purpose::Front)),
+        retries: RefCell::new(RetryPolicy::new(site, harness.seed)),
+        front_random: RefCell::new(Stream::new(harness.seed, Purpose::Front)),
         next_box: std::cell::Cell::new(0),
-        stage: stage.clone(),
+        harness: harness.clone(),
     });
     loop {
         let arrival = arrivals.next(&rates);
         if arrival.at > length(site) {
             return;
         }
-        if arrival.at > stage.now() {
-            stage.until(arrival.at).await;
+        if arrival.at > harness.now() {
+            harness.sleep_until(arrival.at).await;
         }
-        let late = stage.now().saturating_sub(arrival.at);
-        record(&mut stage.state.borrow_mut().lateness, late);
+        let lateness = harness.now().saturating_sub(arrival.at);
+        record(&mut harness.state.borrow_mut().lateness, lateness);
         let clients = clients.clone();
-        if straight.chance(direct) {
-            spawn_local(async move { clients.ask_straight(arrival).await });
+        if direct_random.chance(direct) {
+            spawn_local(async move { clients.run_direct_request(arrival).await });
         } else {
-            spawn_local(async move { clients.ask(arrival).await });
+            spawn_local(async move { clients.run_request(arrival).await });
         }
     }
 }
 
-fn record(h: &mut hdrhistogram::Histogram<u64>, span: Micros) {
-    // What is longer than the longest counts as that.
-    h.saturating_record(span.max(1));
+fn record(histogram: &mut hdrhistogram::Histogram<u64>, latency: Micros) {
+    // Values above the histogram's bound are recorded as the bound.
+    histogram.saturating_record(latency.max(1));
 }
 
-/// How one exchange went.
-enum Heard {
-    Answer(StatusCode, Option<Micros>, Bytes),
-    /// No connection: it never reached anyone.
+/// Result of one HTTP exchange.
+enum ExchangeOutcome {
+    Response(StatusCode, Option<Micros>, Bytes),
+    /// The request was not sent: no connection could be opened or the request could not be built.
     Unsent,
-    /// The connection ended after the request was out.
+    /// The connection ended after the request was sent.
     Broken,
-    /// The client's time was up.
-    TimeUp,
+    /// The client's deadline passed.
+    TimedOut,
 }
 
 impl Clients {
-    /// The front deals a try to a node that it takes for alive, of the client's zone where there is one.
-    fn deal(&self, zone: usize) -> Option<usize> {
-        let state = self.stage.state.borrow();
-        let dealt = |own: bool| {
-            let of = |n: &usize| state.nodes[*n].dealt && (!own || self.stage.node_zone(*n) == zone);
-            (0..state.nodes.len()).filter(of).collect::<Vec<_>>()
+    /// Chooses, like the front load balancer, a random node that is believed to be alive, in the client's
+    /// zone if possible.
+    fn pick_node(&self, zone: usize) -> Option<usize> {
+        let state = self.harness.state.borrow();
+        let candidates = |same_zone: bool| {
+            let is_candidate = |node_index: &usize| {
+                state.nodes[*node_index].in_rotation
+                    && (!same_zone || self.harness.node_zone(*node_index) == zone)
+            };
+            (0..state.nodes.len()).filter(is_candidate).collect::<Vec<_>>()
         };
-        let own = dealt(true);
-        let all = if own.is_empty() { dealt(false) } else { own };
-        let roll = self.front.borrow_mut().number() as usize;
+        let same_zone = candidates(true);
+        let all = if same_zone.is_empty() { candidates(false) } else { same_zone };
+        let roll = self.front_random.borrow_mut().number() as usize;
         (!all.is_empty()).then(|| all[roll % all.len()])
     }
 
-    async fn ask(&self, arrival: Arrival) {
-        let (stage, mut tries) = (&self.stage, 0);
+    async fn run_request(&self, arrival: Arrival) {
+        let (harness, mut tries) = (&self.harness, 0);
         let request = {
-            let state = &mut *stage.state.borrow_mut();
-            // Numbered as the referee does, which sees all of them.
+            let state = &mut *harness.state.borrow_mut();
+            // The index equals the referee's request number, as every request is reported to it.
             state.requests.push(arrival);
-            // In time counts from when the client meant to ask.
+            // The deadline counts from the intended send time.
             state.referee.request_started(arrival.at, arrival.class, arrival.tenant, arrival.in_quota)
         };
         loop {
             tries += 1;
-            let (answer, unsent) = self.one_try(request, &arrival).await;
-            let now = stage.now();
+            let (answer, unsent) = self.send_try(request, &arrival).await;
+            let now = harness.now();
             if answer == Answer::Served {
-                record(&mut stage.state.borrow_mut().latency, now.saturating_sub(arrival.at));
+                record(&mut harness.state.borrow_mut().latency, now.saturating_sub(arrival.at));
                 return;
             }
-            let again = self.retries.borrow_mut().after(now, &arrival, tries, answer, unsent);
-            let Some(at) = again else {
+            let retry_at = self.retries.borrow_mut().after(now, &arrival, tries, answer, unsent);
+            let Some(at) = retry_at else {
                 let refused = matches!(answer, Answer::Refused(_)) || unsent;
-                return stage.state.borrow_mut().referee.request_finished(request, refused);
+                return harness.state.borrow_mut().referee.request_finished(request, refused);
             };
-            stage.until(at).await;
+            harness.sleep_until(at).await;
         }
     }
 
-    async fn one_try(&self, request: RequestNo, arrival: &Arrival) -> (Answer, bool) {
-        let stage = &self.stage;
-        let Some(n) = self.deal(arrival.zone) else { return (Answer::Unreachable, true) };
-        let now = stage.now();
-        let (number, at, life) = {
-            let state = &mut *stage.state.borrow_mut();
-            let number = state.referee.try_started(now, request, n, arrival.deadline);
-            state.tries.push(TryState { request, node: n, served: false });
-            state.nodes[n].cost.tries += 1;
-            (number, state.nodes[n].at, state.nodes[n].life)
+    async fn send_try(&self, request: RequestNo, arrival: &Arrival) -> (Answer, bool) {
+        let harness = &self.harness;
+        let Some(node_index) = self.pick_node(arrival.zone) else { return (Answer::Unreachable, true) };
+        let now = harness.now();
+        let (number, at, incarnation) = {
+            let state = &mut *harness.state.borrow_mut();
+            let number = state.referee.try_started(now, request, node_index, arrival.deadline);
+            state.tries.push(TryState { request, node: node_index, served: false });
+            state.nodes[node_index].cost.tries += 1;
+            (number, state.nodes[node_index].address, state.nodes[node_index].incarnation)
         };
         let Some(at) = at else {
-            stage.state.borrow_mut().referee.client_left(now, number, false);
+            harness.state.borrow_mut().referee.client_left(now, number, false);
             return (Answer::Unreachable, true);
         };
         let txn = format!("{number:x}");
-        let heard = self.exchange((at, life), arrival, request, &txn, Some(number)).await;
-        let now = stage.now();
-        let state = &mut *stage.state.borrow_mut();
-        let (answer, of_client, unsent) = match heard {
-            Heard::Answer(status, away, body) => match status {
+        let outcome = self.exchange((at, incarnation), arrival, request, &txn, Some(number)).await;
+        let now = harness.now();
+        let state = &mut *harness.state.borrow_mut();
+        let (answer, client_answer, unsent) = match outcome {
+            ExchangeOutcome::Response(status, retry_after, body) => match status {
                 StatusCode::OK if body == format!("{request:x}").as_bytes() => {
                     (Some(Final::Served), Answer::Served, false)
                 }
-                // Served with what no box made for it: as good as lost.
+                // A body that no server produced for this request counts as a lost response.
                 StatusCode::OK => {
                     state.referee.client_left(now, number, true);
                     return (Answer::Failed, false);
                 }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                    (Some(Final::Refused), Answer::Refused(away.unwrap_or(0)), false)
+                    (Some(Final::Refused), Answer::Refused(retry_after.unwrap_or(0)), false)
                 }
                 _ => (Some(Final::Failed), Answer::Failed, false),
             },
-            Heard::Unsent => (None, Answer::Unreachable, true),
-            Heard::TimeUp => (None, Answer::Failed, false),
-            Heard::Broken => {
-                // A node that was killed has lost nothing that counts; the referee knows which.
-                let killed = state.nodes[n].life != life;
+            ExchangeOutcome::Unsent => (None, Answer::Unreachable, true),
+            ExchangeOutcome::TimedOut => (None, Answer::Failed, false),
+            ExchangeOutcome::Broken => {
+                // A request lost by a node that was killed is no violation; the referee knows which nodes
+                // were.
+                let killed = state.nodes[node_index].incarnation != incarnation;
                 state.referee.client_left(now, number, !killed);
                 return (Answer::Unreachable, false);
             }
@@ -197,114 +202,123 @@
             Some(answer) => state.referee.answer_received(now, now, number, answer),
             None => state.referee.client_left(now, number, false),
         }
-        (of_client, unsent)
+        (client_answer, unsent)
     }
 
-    /// Straight to the next box, as someone would without a node.
-    async fn ask_straight(&self, arrival: Arrival) {
-        let stage = &self.stage;
-        let (number, at, life) = {
-            let state = &mut *stage.state.borrow_mut();
+    /// Sends a request directly to the next server that is up, round-robin, as a client without a load
+    /// balancer would.
+    async fn run_direct_request(&self, arrival: Arrival) {
+        let harness = &self.harness;
+        let (number, at, incarnation) = {
+            let state = &mut *harness.state.borrow_mut();
             let count = state.boxes.len();
-            let up = |b: &usize| state.boxes[*b].is_running();
+            let up = |box_index: &usize| state.boxes[*box_index].is_running();
             let from = self.next_box.get();
-            let Some(b) = (0..count).map(|n| (from + n) % count).find(up) else { return };
-            self.next_box.set(b + 1);
-            state.straight_requests.push(arrival);
-            (state.straight_requests.len() - 1, state.box_at[b], state.boxes[b].incarnation())
+            let Some(box_index) = (0..count).map(|n| (from + n) % count).find(up) else { return };
+            self.next_box.set(box_index + 1);
+            state.direct_requests.push(arrival);
+            (
+                state.direct_requests.len() - 1,
+                state.box_addresses[box_index],
+                state.boxes[box_index].incarnation(),
+            )
         };
         let Some(at) = at else { return };
-        let heard = self.exchange((at, life), &arrival, number, &format!("s{number:x}"), None).await;
-        if let Heard::Answer(StatusCode::OK, ..) = heard {
-            record(&mut stage.state.borrow_mut().straight, stage.now().saturating_sub(arrival.at));
+        let outcome = self.exchange((at, incarnation), &arrival, number, &format!("s{number:x}"), None).await;
+        if let ExchangeOutcome::Response(StatusCode::OK, ..) = outcome {
+            record(&mut harness.state.borrow_mut().direct_latency, harness.now().saturating_sub(arrival.at));
         }
     }
 
-    /// One request on a connection that is kept or new. One that its node closed while it was idle is tried once more on a
-    /// new one where nothing was written, or where it may run again: a signup in the hands of a node that was killed may
-    /// have run.
+    /// Sends one request on an idle or a new connection. If an idle connection turns out to be closed, the
+    /// request is sent once more on a new connection, but only if nothing was written or the request is safe
+    /// to repeat: a signup sent to a node that was killed may already have been executed.
     async fn exchange(
         &self,
         to: (SocketAddr, u32),
         arrival: &Arrival,
         number: RequestNo,
         txn: &str,
-        of: Option<TryNo>,
-    ) -> Heard {
-        let end = self.stage.instant(arrival.deadline);
-        let safe = self.stage.site.clients.classes[arrival.class].effect == Effect::Safe;
-        let mut kept = self.pool.take(to);
+        try_number: Option<TryNo>,
+    ) -> ExchangeOutcome {
+        let end = self.harness.instant(arrival.deadline);
+        let safe = self.harness.site.clients.classes[arrival.class].effect == Effect::Safe;
+        let mut idle = self.pool.take(to);
         loop {
-            let reused = kept.is_some();
-            let sender = match kept.take() {
+            let reused = idle.is_some();
+            let sender = match idle.take() {
                 Some(sender) => sender,
                 None => match timeout_at(end, connect(to.0)).await {
                     Ok(Some(sender)) => sender,
-                    Ok(None) => return Heard::Unsent,
-                    Err(_) => return Heard::TimeUp,
+                    Ok(None) => return ExchangeOutcome::Unsent,
+                    Err(_) => return ExchangeOutcome::TimedOut,
                 },
             };
             let mut sender = sender;
-            let Some(request) = self.request(arrival, number, txn) else { return Heard::Unsent };
-            if let Some(number) = of {
-                let now = self.stage.now();
-                let state = &mut *self.stage.state.borrow_mut();
+            let Some(request) = self.request(arrival, number, txn) else { return ExchangeOutcome::Unsent };
+            if let Some(number) = try_number {
+                let now = self.harness.now();
+                let state = &mut *self.harness.state.borrow_mut();
                 state.referee.try_accepted(now, number);
                 if !state.nodes[state.tries[number].node].up {
                     state.referee.try_sent_to_killed_node(number);
                 }
             }
-            let talk = async {
-                let answer = sender.send_request(request).await?;
-                let (parts, body) = answer.into_parts();
-                let body = Limited::new(body, ANSWER_MOST).collect().await;
+            let exchange = async {
+                let response = sender.send_request(request).await?;
+                let (parts, body) = response.into_parts();
+                let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
                 Ok::<_, hyper::Error>((parts, body.map(|b| b.to_bytes())))
             };
-            match timeout_at(end, talk).await {
-                Err(_) => return Heard::TimeUp,
+            match timeout_at(end, exchange).await {
+                Err(_) => return ExchangeOutcome::TimedOut,
                 Ok(Ok((parts, Ok(body)))) => {
-                    let away =
+                    let retry_after =
                         parts.headers.get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
                     self.pool.put(to, sender);
-                    return Heard::Answer(parts.status, away.map(|s| micros(1000.0 * s)), body);
+                    return ExchangeOutcome::Response(
+                        parts.status,
+                        retry_after.map(|s| micros(1000.0 * s)),
+                        body,
+                    );
                 }
-                Ok(Ok((_, Err(_)))) => return Heard::Broken,
+                Ok(Ok((_, Err(_)))) => return ExchangeOutcome::Broken,
                 Ok(Err(error)) if reused && (error.is_canceled() || safe) => {}
-                Ok(Err(_)) => return Heard::Broken,
+                Ok(Err(_)) => return ExchangeOutcome::Broken,
             }
         }
     }
 
     fn request(&self, arrival: &Arrival, number: RequestNo, txn: &str) -> Option<Request<Full<Bytes>>> {
-        let w = &self.stage.site.clients;
-        let class = &w.classes[arrival.class];
+        let site_clients = &self.harness.site.clients;
+        let class = &site_clients.classes[arrival.class];
         let method = if class.effect == Effect::Safe { Method::GET } else { Method::POST };
-        let body = if method == Method::POST { Bytes::from_static(BODY) } else { Bytes::new() };
+        let body = if method == Method::POST { Bytes::from_static(REQUEST_BODY) } else { Bytes::new() };
         let mut request = Request::builder()
             .method(method)
             .uri(format!("/{}/{}", class.name, arrival.key))
             .header("host", "service.internal")
             .header("x-txn", txn)
-            .header("x-remaining-ms", remaining_ms(arrival, self.stage.now()))
+            .header("x-remaining-ms", remaining_ms(arrival, self.harness.now()))
             .header("cookie", format!("user={:016x}", arrival.key));
-        if let Some(tenant) = arrival.tenant.and_then(|t| w.tenants.get(t)) {
+        if let Some(tenant) = arrival.tenant.and_then(|t| site_clients.tenants.get(t)) {
             request = request.header("x-org", &tenant.name);
         }
         if class.effect == Effect::Keyed {
             request = request.header("idempotency-key", format!("{number:032x}"));
         }
-        // The site's names have been checked for what a header takes, or the request is none.
+        // The site's names have been validated as header values; otherwise no request is built.
         request.body(Full::new(body)).ok()
     }
 }
 
 async fn connect(to: SocketAddr) -> Option<Sender> {
     let stream = TcpStream::connect(to).await.ok()?;
-    // Nagle's delay would pass for the node's.
+    // Nagle's algorithm would add delays that look like the node's.
     let _ = stream.set_nodelay(true);
     let (sender, conn) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
-        // What breaks it is seen by the request.
+        // The request sees any error of the connection.
         let _ = conn.await;
     });
     Some(sender)
--- a/crates/site/src/sockets/config.rs
+++ b/crates/site/src/sockets/config.rs
@@ -1,23 +1,25 @@
-//! What a node is told at its start, in the platform's words.
+//! The start configuration of a node, in the platform's JSON format.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-use super::list::hosts;
-use super::stage::Stage;
+use super::list::host_list;
+use super::stage::Harness;
 use crate::model::random::{Purpose, Stream};
 use crate::model::spec::{Class, Effect, KeyGroup, Tenant};
 
-/// Memory and descriptors of a node, as on the platform's larger days.
-const LIMITS: (u64, u64) = (192, 1024);
+/// Memory in MB and number of sockets available to a node, as in the platform's larger installations.
+const MEMORY_MB_AND_SOCKETS: (u64, u64) = (192, 1024);
 
-/// The configuration of a node whose list is at this address.
-pub(super) fn of_node(stage: &Stage, n: usize, list_at: SocketAddr) -> Value {
-    let site = &stage.site;
+/// Builds the configuration of a node that reaches the discovery service at `list_address`.
+pub(super) fn node_config(harness: &Harness, node_index: usize, list_address: SocketAddr) -> Value {
+    let site = &harness.site;
     let (nodes, rules) = (&site.nodes, &site.rules);
-    let life = stage.state.borrow().nodes[n].life;
-    let seed = Stream::new(stage.seed ^ ((n as u64) << 32) ^ u64::from(life), Purpose::Nodes).number();
+    let incarnation = harness.state.borrow().nodes[node_index].incarnation;
+    let seed =
+        Stream::new(harness.seed ^ ((node_index as u64) << 32) ^ u64::from(incarnation), Purpose::Nodes)
+            .number();
     let class = |c: &Class| {
         json!({
             "Name": c.name, "Slo": c.aim_ms, "Deadline": c.deadline_ms, "Value": c.worth, "LateValue": 0.0,
@@ -32,10 +34,10 @@
     };
     let tenant = |t: &Tenant| json!({"Name": t.name, "QuotaPerS": t.quota_per_s, "Share": t.share});
     json!({
-        "name": format!("node-{n}"), "listen": "127.0.0.1:0", "discovery": list_at.to_string(),
+        "name": format!("node-{node_index}"), "listen": "127.0.0.1:0", "discovery": list_address.to_string(),
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": LIMITS.0, "sockets": LIMITS.1},
-        "known": {"seq": 0, "whole": true, "hosts": hosts(stage)},
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB_AND_SOCKETS.0, "sockets": MEMORY_MB_AND_SOCKETS.1},
+        "known": {"seq": 0, "whole": true, "hosts": host_list(harness)},
         "settings": {
             "Classes": site.clients.classes.iter().map(class).collect::<Vec<_>>(),
             "Customers": site.clients.tenants.iter().map(tenant).collect::<Vec<_>>(),
@@ -53,7 +55,7 @@
                 "RetryAfter": nodes.max_retry_after_ms > 0.0, "OpenCap": 20000,
             },
             "OverShareWorth": site.clients.over_share_worth,
-            "Me": n, "PeersTotal": nodes.count, "Tick": nodes.tick_ms,
+            "Me": node_index, "PeersTotal": nodes.count, "Tick": nodes.tick_ms,
         }
     })
 }
--- a/crates/site/src/sockets/list.rs
+++ b/crates/site/src/sockets/list.rs
@@ -1,4 +1,5 @@
-//! The box list on sockets: one model behind an address for each node, so that the referee knows who was told what.
+//! The discovery service on sockets: one list model behind a separate address for each node, so that the
+//! referee knows which node received which entries.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,135 +10,140 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinSet};
 
-use super::stage::Stage;
+use super::stage::Harness;
 use super::{nodes, SocketError};
 use crate::model::faults::Effect;
 use crate::model::list::{CallResult, Entry, State as BoxState};
 
-/// An empty line comes this often while nothing changes.
-const ALIVE: Duration = Duration::from_secs(2);
-/// How long calls at an old address stay open.
-const OLD_ADDRESS: Duration = Duration::from_millis(1500);
-/// The longest head of a call.
-const HEAD_MOST: usize = 8 * 1024;
+/// Interval at which an empty line is sent to watchers while the list does not change.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// How long an old address and its connections stay open after a node was given a new one.
+const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
+/// Limit on the size of a request head.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Opens a node's address of the list.
-pub(super) async fn begin(stage: &Rc<Stage>, n: usize) -> Result<SocketAddr, SocketError> {
+/// Opens a listener for a node's calls to the discovery service and replaces an earlier one.
+pub(super) async fn open_address(
+    harness: &Rc<Harness>,
+    node_index: usize,
+) -> Result<SocketAddr, SocketError> {
     let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| SocketError::Io("list", e))?;
-    let at = listener.local_addr().map_err(|e| SocketError::Io("list", e))?;
-    let own = stage.clone();
+    let address = listener.local_addr().map_err(|e| SocketError::Io("list", e))?;
+    let shared = harness.clone();
     let task = spawn_local(async move {
-        let mut calls = JoinSet::new();
+        let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
-            let stage = own.clone();
-            calls.spawn_local(async move {
-                // A node that ends its call has no use for an error.
-                let _ = serve(&stage, n, stream).await;
+            let harness = shared.clone();
+            connections.spawn_local(async move {
+                // An error means that the node closed the connection; there is nobody to report it to.
+                let _ = serve(&harness, node_index, stream).await;
             });
-            while calls.try_join_next().is_some() {}
+            while connections.try_join_next().is_some() {}
         }
     });
-    let node = &mut stage.state.borrow_mut().nodes[n];
-    node.list_at = Some(at);
-    if let Some(old) = node.list_task.replace(task.abort_handle()) {
+    let node = &mut harness.state.borrow_mut().nodes[node_index];
+    node.list_address = Some(address);
+    if let Some(old) = node.list_listener_task.replace(task.abort_handle()) {
         spawn_local(async move {
-            tokio::time::sleep(OLD_ADDRESS).await;
+            tokio::time::sleep(OLD_ADDRESS_GRACE).await;
             old.abort();
         });
     }
-    Ok(at)
+    Ok(address)
 }
 
-/// The list is at another address for this node, which is told to reload.
-pub(super) async fn moves(stage: &Rc<Stage>, n: usize) -> Result<(), SocketError> {
-    begin(stage, n).await?;
-    nodes::reload(stage, n)
+/// Moves the discovery service to a new address for this node and reloads the node's configuration.
+pub(super) async fn move_address(harness: &Rc<Harness>, node_index: usize) -> Result<(), SocketError> {
+    open_address(harness, node_index).await?;
+    nodes::reload(harness, node_index)
 }
 
-/// All boxes as the list has them.
-pub(super) fn hosts(stage: &Stage) -> Vec<Value> {
-    let (entries, _) = stage.state.borrow().list.full_list(stage.now());
-    entries.iter().map(|e| host(stage, e)).collect()
+/// All entries of the list in the platform's JSON format.
+pub(super) fn host_list(harness: &Harness) -> Vec<Value> {
+    let (entries, _) = harness.state.borrow().list.full_list(harness.now());
+    entries.iter().map(|e| host_json(harness, e)).collect()
 }
 
-fn host(stage: &Stage, e: &Entry) -> Value {
-    let state = stage.state.borrow();
-    let kind = &stage.site.boxes[state.box_kind[e.app_box]];
+fn host_json(harness: &Harness, entry: &Entry) -> Value {
+    let state = harness.state.borrow();
+    let kind = &harness.site.boxes[state.box_kind[entry.app_box]];
     json!({
-        "host": stage.box_names[e.app_box],
-        "dial": state.box_at[e.app_box].map(|at| at.to_string()),
-        "site": stage.site.zones[stage.box_zone(e.app_box)],
+        "host": harness.box_names[entry.app_box],
+        "dial": state.box_addresses[entry.app_box].map(|at| at.to_string()),
+        "site": harness.site.zones[harness.box_zone(entry.app_box)],
         "class": kind.name,
-        "block": stage.box_zone(e.app_box),
-        "health": match e.state {
+        "block": harness.box_zone(entry.app_box),
+        "health": match entry.state {
             BoxState::Up => "active",
             BoxState::Draining => "leaving",
             BoxState::Gone => "left",
         },
         "share": kind.listed_size(),
-        "born_ms": e.started.map_or(0.0, |at| stage.unix_ms(at)),
+        "born_ms": entry.started.map_or(0.0, |at| harness.unix_ms(at)),
     })
 }
 
-/// A box has changed; the list notices in a while.
-pub(super) fn tell_later(stage: &Rc<Stage>, b: usize) {
-    let span = Duration::from_micros(stage.state.borrow_mut().list.notice_after());
-    let stage = stage.clone();
+/// Updates the list entry of a changed server after the list's notice delay.
+pub(super) fn update_later(harness: &Rc<Harness>, box_index: usize) {
+    let delay = Duration::from_micros(harness.state.borrow_mut().list.notice_after());
+    let harness = harness.clone();
     spawn_local(async move {
-        tokio::time::sleep(span).await;
+        tokio::time::sleep(delay).await;
         let changed = {
-            let state = &mut *stage.state.borrow_mut();
-            let draining = state.active.contains(Effect::Draining(b));
-            let truth = Entry::of(b, &state.boxes[b], draining, state.active.clock_off(b));
-            state.list.record_change(truth).is_some()
+            let state = &mut *harness.state.borrow_mut();
+            let draining = state.active.contains(Effect::Draining(box_index));
+            let current =
+                Entry::of(box_index, &state.boxes[box_index], draining, state.active.clock_off(box_index));
+            state.list.record_change(current).is_some()
         };
         if changed {
-            stage.news.send_modify(|n| *n += 1);
+            harness.list_updates.send_modify(|n| *n += 1);
         }
     });
 }
 
-/// The list goes down, and with it all watches; or comes back.
-pub(super) fn set_down(stage: &Rc<Stage>, down: bool) {
-    let now = stage.now();
-    stage.state.borrow_mut().list.set_down(now, down);
-    stage.news.send_modify(|n| *n += 1);
+/// Takes the list down, which ends all watches, or brings it back.
+pub(super) fn set_down(harness: &Rc<Harness>, down: bool) {
+    let now = harness.now();
+    harness.state.borrow_mut().list.set_down(now, down);
+    harness.list_updates.send_modify(|n| *n += 1);
 }
 
-async fn serve(stage: &Rc<Stage>, n: usize, mut stream: TcpStream) -> std::io::Result<()> {
+async fn serve(harness: &Rc<Harness>, node_index: usize, mut stream: TcpStream) -> std::io::Result<()> {
     loop {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            if head.len() > HEAD_MOST || stream.read_buf(&mut head).await? == 0 {
+            if head.len() > MAX_HEAD_BYTES || stream.read_buf(&mut head).await? == 0 {
                 return Ok(());
             }
         }
         let head = String::from_utf8_lossy(&head);
         let path = head.split(' ').nth(1).unwrap_or_default().to_string();
-        let now = stage.now();
-        let call = stage.state.borrow_mut().list.call(now);
+        let now = harness.now();
+        let call = harness.state.borrow_mut().list.call(now);
         let (at, ok) = match call {
             CallResult::Answered(at) => (at, true),
             CallResult::Failed(at) => (at, false),
         };
-        stage.until(at).await;
-        if !ok || stage.state.borrow().list.is_down() {
+        harness.sleep_until(at).await;
+        if !ok || harness.state.borrow().list.is_down() {
             stream.write_all(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").await?;
         } else if let Some((_, from)) = path.split_once("from=") {
-            return watch(stage, n, stream, from.parse().ok()).await;
+            return watch(harness, node_index, stream, from.parse().ok()).await;
         } else {
-            let (text, _) = line(stage, n, None);
-            let answer = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-            stream.write_all(answer.as_bytes()).await?;
+            let (text, _) = list_update(harness, node_index, None);
+            let response = format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+            stream.write_all(response.as_bytes()).await?;
         }
     }
 }
 
-/// What is new since a version, or the whole list; the node is told by it.
-fn line(stage: &Stage, n: usize, from: Option<u64>) -> (String, u64) {
-    let now = stage.now();
+/// Returns the changes since a version, or the whole list if they are not available, with the current
+/// version. Records at the referee that the node received them.
+fn list_update(harness: &Harness, node_index: usize, from: Option<u64>) -> (String, u64) {
+    let now = harness.now();
     let (entries, version, whole) = {
-        let list = &stage.state.borrow().list;
+        let list = &harness.state.borrow().list;
         match from.and_then(|from| list.changes_since(now, from)) {
             Some((entries, version)) => (entries, version, false),
             None => {
@@ -146,34 +152,41 @@
             }
         }
     };
-    let hosts: Vec<Value> = entries.iter().map(|e| host(stage, e)).collect();
-    let referee = &mut stage.state.borrow_mut().referee;
+    let hosts: Vec<Value> = entries.iter().map(|e| host_json(harness, e)).collect();
+    let referee = &mut harness.state.borrow_mut().referee;
     if whole {
-        for b in (0..stage.box_names.len()).filter(|b| !entries.iter().any(|e| e.app_box == *b)) {
-            referee.node_learned_state(now, n, b, false);
+        for box_index in
+            (0..harness.box_names.len()).filter(|box_index| !entries.iter().any(|e| e.app_box == *box_index))
+        {
+            referee.node_learned_state(now, node_index, box_index, false);
         }
     }
-    for e in &entries {
-        referee.node_learned_state(now, n, e.app_box, e.state == BoxState::Up);
+    for entry in &entries {
+        referee.node_learned_state(now, node_index, entry.app_box, entry.state == BoxState::Up);
     }
     (json!({"seq": version, "whole": whole, "hosts": hosts}).to_string(), version)
 }
 
-async fn watch(stage: &Rc<Stage>, n: usize, mut stream: TcpStream, from: Option<u64>) -> std::io::Result<()> {
+async fn watch(
+    harness: &Rc<Harness>,
+    node_index: usize,
+    mut stream: TcpStream,
+    from: Option<u64>,
+) -> std::io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-    let mut news = stage.news.subscribe();
-    let mut have = from;
+    let mut list_updates = harness.list_updates.subscribe();
+    let mut known_version = from;
     let mut first = true;
-    let mut nothing = [0; 1];
+    let mut read_buffer = [0; 1];
     loop {
-        if stage.state.borrow().list.is_down() {
+        if harness.state.borrow().list.is_down() {
             return Ok(());
         }
-        let now = stage.now();
-        let newest = stage.state.borrow().list.version(now);
-        let text = if first || have != Some(newest) {
-            let (text, version) = line(stage, n, have);
-            have = Some(version);
+        let now = harness.now();
+        let newest = harness.state.borrow().list.version(now);
+        let text = if first || known_version != Some(newest) {
+            let (text, version) = list_update(harness, node_index, known_version);
+            known_version = Some(version);
             text
         } else {
             String::new()
@@ -181,13 +194,13 @@
         first = false;
         let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
         stream.write_all(chunk.as_bytes()).await?;
-        let stale = stage.state.borrow().list.stale_until(now);
+        let stale = harness.state.borrow().list.stale_until(now);
         tokio::select! {
-            _ = news.changed() => {}
-            () = tokio::time::sleep(ALIVE) => {}
-            () = stage.until(stale.unwrap_or(u64::MAX / 4)), if stale.is_some() => {}
-            // The node has ended the call.
-            read = stream.read(&mut nothing) => if read? == 0 { return Ok(()) },
+            _ = list_updates.changed() => {}
+            () = tokio::time::sleep(KEEPALIVE_INTERVAL) => {}
+            () = harness.sleep_until(stale.unwrap_or(u64::MAX / 4)), if stale.is_some() => {}
+            // A read of 0 bytes means that the node closed the connection.
+            read = stream.read(&mut read_buffer) => if read? == 0 { return Ok(()) },
         }
     }
 }
--- a/crates/site/src/sockets/mod.rs
+++ b/crates/site/src/sockets/mod.rs
@@ -1,9 +1,11 @@
-//! The driver on sockets: stand-in app boxes, a box list and open-loop clients on loopback, with real nodes as
-//! processes that are started, killed, told to end and told to reload. All ports are the system's choice.
+//! The socket driver: emulated servers, a discovery service and open-loop clients on loopback, with real
+//! nodes as processes that are started, killed, terminated and reloaded. The operating system chooses all
+//! ports.
 //!
-//! Latency counts from when a client meant to ask, not from when it got round to it. What loopback can't show stands in
-//! as well as it can: a silent machine's connections come up, as the kernel takes them, and then say nothing; delays
-//! between zones are waited at the box; a zone is cut for requests, not for connects.
+//! Latency is measured from the intended send time of a request, not from the time the client sent it. Faults
+//! that loopback cannot produce are approximated: a silent server still accepts connections, since the kernel
+//! does, but never responds; the server waits out the delay between zones; a zone partition affects requests,
+//! not connects.
 
 mod boxes;
 mod clients;
@@ -26,57 +28,58 @@
 use crate::model::referee::{Sum, Verdict};
 use crate::model::spec::Site;
 use crate::model::time::{micros, millis};
-use stage::Stage;
+use stage::Harness;
 
-/// How to run a site on sockets.
+/// Options of a run on sockets.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program whose `node` is run.
+    /// The program whose `node` command is run for each node.
     pub program: PathBuf,
-    /// Where nodes' configurations are written.
+    /// The directory in which the nodes' configuration files are written.
     pub folder: PathBuf,
-    /// The seed.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// Part of the requests that go straight to a box, to compare with.
+    /// Share of the requests (0 to 1) that are sent directly to a server, as a baseline.
     pub direct: f64,
-    /// How many workers each node has.
+    /// Number of workers of each node.
     pub workers: u8,
-    /// The promise of the ledger that each node keeps in the folder, as `node-N-ledger`; `None` for no ledgers.
+    /// The durability promise of the ledger that each node keeps in `node-N-ledger` in the folder; `None` for
+    /// no ledgers.
     pub ledger: Option<String>,
-    /// The nodes' list comes from a file in the folder, and not from discovery.
+    /// How the server list file in the folder is written; `None` if the nodes use discovery instead.
     pub list_file: Option<ListFile>,
 }
 
-/// How the list's file is written, a hundred times a second.
+/// How the server list file is written, a hundred times a second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFile {
-    /// Replaced as a whole.
+    /// Replaced atomically by a complete file.
     Whole,
-    /// The same, and one in three is a half-written copy.
+    /// Replaced atomically, but every third file is truncated.
     Torn,
 }
 
-/// A request that may not run at will, and ran at a box: what the box itself would have on record.
+/// A request that is not safe to repeat and was executed by a server: what the server itself would record.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Ran {
-    /// The box.
+    /// The server's name.
     #[serde(rename = "box")]
     pub at: String,
-    /// The id that the request came with.
+    /// The request id as received by the server.
     pub id: String,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// Its key, where it has one.
+    /// The request's idempotency key, if its class uses one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
 
-/// Why a run could not be made.
+/// The reason a run could not be completed.
 #[derive(Debug)]
 pub enum SocketError {
-    /// The system refused something.
+    /// An operation of the operating system failed.
     Io(&'static str, std::io::Error),
-    /// A node did not come up.
+    /// A node did not start.
     Node(String),
 }
 
@@ -84,127 +87,128 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(what, error) => write!(f, "{what}: {error}"),
-            Self::Node(words) => write!(f, "node: {words}"),
+            Self::Node(message) => write!(f, "node: {message}"),
         }
     }
 }
 
 impl std::error::Error for SocketError {}
 
-/// Latency in milliseconds.
+/// Summary of a latency distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize, PartialEq)]
 pub struct Latency {
-    /// How many were measured.
+    /// Number of measured requests.
     pub count: u64,
     /// The median.
     pub median_ms: f64,
-    /// 99 of 100 were quicker.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// 999 of 1,000 were quicker.
+    /// The 99.9th percentile.
     pub p99_9_ms: f64,
 }
 
 impl From<&Histogram<u64>> for Latency {
-    fn from(h: &Histogram<u64>) -> Self {
-        let at = |q| millis(h.value_at_quantile(q));
-        Self { count: h.len(), median_ms: at(0.5), p99_ms: at(0.99), p99_9_ms: at(0.999) }
+    fn from(histogram: &Histogram<u64>) -> Self {
+        let at = |q| millis(histogram.value_at_quantile(q));
+        Self { count: histogram.len(), median_ms: at(0.5), p99_ms: at(0.99), p99_9_ms: at(0.999) }
     }
 }
 
-/// What a node cost.
+/// Resources that a node used.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct NodeCost {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Tries that it was sent.
+    /// Number of tries sent to the node.
     pub tries: u64,
-    /// CPU time of all its lives, in milliseconds.
+    /// CPU time of all its processes, in milliseconds.
     pub cpu_ms: f64,
-    /// The most memory that it held, in KiB.
+    /// Peak memory, in KiB.
     pub memory_kib: u64,
-    /// How often it was started.
+    /// Number of times it was started.
     pub starts: u32,
-    /// How often it ended by itself.
+    /// Number of times its process ended unexpectedly.
     pub crashes: u32,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The referee's word.
+    /// The referee's verdict.
     pub verdict: Verdict,
-    /// Served by way of a node, from when it was meant to be asked.
+    /// Latency of requests served through a node, from their intended send time.
     pub latency: Latency,
-    /// Served straight by a box, likewise.
+    /// Latency of requests served directly by a server, from their intended send time.
     pub straight: Latency,
-    /// How late clients got round to asking.
+    /// Delay between the intended and the actual send time of a request.
     pub lateness: Latency,
-    /// The nodes.
+    /// Resources used by each node.
     pub nodes: Vec<NodeCost>,
-    /// Boxes that fell over.
+    /// Number of times a server crashed from overload.
     pub fallen: u64,
-    /// What went wrong with the stage itself.
+    /// Errors of the test harness and unexpected ends of nodes.
     pub troubles: Vec<String>,
-    /// The boxes' records of what may not run at will, in order; kept where there are ledgers.
+    /// The servers' records of executed requests that are not safe to repeat, in order; only kept if there
+    /// are ledgers.
     #[serde(skip)]
     pub ran: Vec<Ran>,
 }
 
-/// How a run fares, once a second.
+/// State of a run, reported once a second.
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// Seconds since the first request.
     pub at_s: f64,
-    /// Sums so far.
+    /// Request totals so far.
     pub sum: Sum,
-    /// Rules broken so far.
+    /// Number of rule violations so far.
     pub rules_broken: u64,
-    /// Each node's name, and whether it is up.
+    /// Each node's name and whether it is up.
     pub nodes: Vec<(String, bool)>,
-    /// Each box's name, what it is up to, and what it holds.
+    /// Each server's name, its state and the number of requests it holds.
     pub boxes: Vec<(String, &'static str, usize)>,
 }
 
-/// How often progress is told.
-const TOLD: Duration = Duration::from_secs(1);
+/// Interval between progress reports.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs a site on sockets. `progress` is called about once a second.
 ///
 /// # Errors
-/// Where sockets or processes can't be had, or a node does not come up.
+/// Returns an error if a socket or process cannot be created, or if a node does not start.
 pub fn run(site: &Site, options: &Options, progress: impl FnMut(&Progress)) -> Result<Report, SocketError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| SocketError::Io("runtime", e))?;
-    LocalSet::new().block_on(&runtime, play(site, options, progress))
+    LocalSet::new().block_on(&runtime, run_site(site, options, progress))
 }
 
-async fn play(
+async fn run_site(
     site: &Site,
     options: &Options,
     mut progress: impl FnMut(&Progress),
 ) -> Result<Report, SocketError> {
-    let stage = Stage::new(site, options);
-    boxes::begin(&stage).await?;
+    let harness = Harness::new(site, options);
+    boxes::open_all(&harness).await?;
     if options.list_file.is_some() {
-        files::begin(&stage)?;
+        files::write_first(&harness)?;
     }
-    for n in 0..site.nodes.count {
-        list::begin(&stage, n).await?;
-        nodes::start(&stage, n)?;
+    for node_index in 0..site.nodes.count {
+        list::open_address(&harness, node_index).await?;
+        nodes::start(&harness, node_index)?;
     }
-    nodes::wait_ready(&stage).await?;
-    stage.begin();
-    let faults = spawn_local(faults(stage.clone()));
-    let files = options.list_file.map(|how| spawn_local(files::keep_writing(stage.clone(), how)));
-    let clients = spawn_local(clients::ask_all(stage.clone(), options.direct));
+    nodes::wait_ready(&harness).await?;
+    harness.reset_clock();
+    let faults = spawn_local(apply_faults(harness.clone()));
+    let files = options.list_file.map(|mode| spawn_local(files::rewrite_periodically(harness.clone(), mode)));
+    let clients = spawn_local(clients::send_all(harness.clone(), options.direct));
     let end = micros(1000.0 * site.for_s);
-    while stage.now() < end {
-        let left = Duration::from_micros(end - stage.now());
-        tokio::time::sleep(left.min(TOLD)).await;
-        nodes::sample(&stage);
-        progress(&stage.progress());
+    while harness.now() < end {
+        let left = Duration::from_micros(end - harness.now());
+        tokio::time::sleep(left.min(PROGRESS_INTERVAL)).await;
+        nodes::sample_costs(&harness);
+        progress(&harness.progress());
     }
-    // All that was asked is answered, or its time is up.
+    // Wait until every request has been answered or has passed its deadline.
     let longest = site.longest_deadline_ms();
     tokio::time::sleep(Duration::from_secs_f64((longest + site.rules.answer_slack_ms) / 1000.0)).await;
     clients.abort();
@@ -212,41 +216,44 @@
     if let Some(files) = files {
         files.abort();
     }
-    nodes::sample(&stage);
-    nodes::stop_all(&stage).await;
-    Ok(stage.report())
+    nodes::sample_costs(&harness);
+    nodes::stop_all(&harness).await;
+    Ok(harness.report())
 }
 
-/// Plays the schedule.
-async fn faults(stage: Rc<Stage>) {
-    for toggle in schedule(&stage.site, stage.seed) {
-        stage.until(toggle.at).await;
-        let changes = stage.state.borrow_mut().active.toggle(&toggle);
+/// Applies the fault schedule.
+async fn apply_faults(harness: Rc<Harness>) {
+    for toggle in schedule(&harness.site, harness.seed) {
+        harness.sleep_until(toggle.at).await;
+        let changes = harness.state.borrow_mut().active.toggle(&toggle);
         match toggle.effect {
-            Effect::Hang(b) | Effect::Errors(b, _) | Effect::Slow(b, _) | Effect::TurnAway(b, _) => {
-                boxes::set_faults(&stage, b);
+            Effect::Hang(box_index)
+            | Effect::Errors(box_index, _)
+            | Effect::Slow(box_index, _)
+            | Effect::TurnAway(box_index, _) => {
+                boxes::set_faults(&harness, box_index);
             }
-            Effect::Down(b) if changes && toggle.on => boxes::stop(&stage, b),
-            Effect::Down(b) if changes => boxes::start(&stage, b),
-            Effect::Draining(b) if changes => {
-                let now = stage.now();
-                stage.state.borrow_mut().referee.set_draining(now, b, toggle.on);
-                list::tell_later(&stage, b);
+            Effect::Down(box_index) if changes && toggle.on => boxes::stop(&harness, box_index),
+            Effect::Down(box_index) if changes => boxes::start(&harness, box_index),
+            Effect::Draining(box_index) if changes => {
+                let now = harness.now();
+                harness.state.borrow_mut().referee.set_draining(now, box_index, toggle.on);
+                list::update_later(&harness, box_index);
             }
-            Effect::ListClock(b, _) if changes => list::tell_later(&stage, b),
-            Effect::NodeDown(n) if changes && toggle.on => nodes::kill(&stage, n),
-            Effect::NodeEnds(n) if changes && toggle.on => nodes::end(&stage, n),
-            Effect::NodeDown(n) | Effect::NodeEnds(n) if changes => {
-                // A machine that can't start a process again shows as a node that stays down.
-                if let Err(error) = nodes::start(&stage, n) {
-                    stage.trouble(format!("node {n}: {error}"));
+            Effect::ListClock(box_index, _) if changes => list::update_later(&harness, box_index),
+            Effect::NodeDown(node_index) if changes && toggle.on => nodes::kill(&harness, node_index),
+            Effect::NodeEnds(node_index) if changes && toggle.on => nodes::terminate(&harness, node_index),
+            Effect::NodeDown(node_index) | Effect::NodeEnds(node_index) if changes => {
+                // If the process cannot be restarted, the node stays down and the error is recorded.
+                if let Err(error) = nodes::start(&harness, node_index) {
+                    harness.record_error(format!("node {node_index}: {error}"));
                 }
             }
-            Effect::ListDown if changes => list::set_down(&stage, toggle.on),
+            Effect::ListDown if changes => list::set_down(&harness, toggle.on),
             Effect::ListMoved if changes && toggle.on => {
-                for n in 0..stage.site.nodes.count {
-                    if let Err(error) = list::moves(&stage, n).await {
-                        stage.trouble(format!("list {n}: {error}"));
+                for node_index in 0..harness.site.nodes.count {
+                    if let Err(error) = list::move_address(&harness, node_index).await {
+                        harness.record_error(format!("list {node_index}: {error}"));
                     }
                 }
             }
--- a/crates/site/src/sockets/nodes.rs
+++ b/crates/site/src/sockets/nodes.rs
@@ -1,4 +1,4 @@
-//! Real nodes as processes: started, killed, told to end and told to reload.
+//! Real nodes as child processes: started, killed, terminated and reloaded.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -16,156 +16,163 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::stage::Stage;
+use super::stage::Harness;
 use super::{config, files, SocketError};
 use crate::model::time::micros;
 
-/// How long a node may take to be ready: far more than it does, on a busy machine too.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-/// How often a node is asked whether it is ready.
-const ASK: Duration = Duration::from_millis(20);
-/// How long one answer to that may take.
-const ANSWER: Duration = Duration::from_millis(500);
-/// Lines of a node's log that are kept.
-const LAST_WORDS: usize = 20;
-/// How much longer than the longest deadline a node that was told to end has.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// How long a node may take to become ready; far more than it needs even on a busy machine.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which readiness and process exit are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one readiness request.
+const READY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of lines of a node's log that are kept.
+const LOG_TAIL_LINES: usize = 20;
+/// Time beyond the longest deadline after which a terminating node is killed.
+const TERMINATION_GRACE: Duration = Duration::from_millis(700);
 
-/// Starts a node; it is dealt requests once it is ready.
-pub(super) fn start(stage: &Rc<Stage>, n: usize) -> Result<(), SocketError> {
-    write_config(stage, n)?;
-    let mut command = Command::new(&stage.program);
-    command.arg("node").arg("--workers").arg(stage.workers.to_string());
+/// Starts a node; the front load balancer sends it requests once it is ready.
+pub(super) fn start(harness: &Rc<Harness>, node_index: usize) -> Result<(), SocketError> {
+    write_config(harness, node_index)?;
+    let mut command = Command::new(&harness.program);
+    command.arg("node").arg("--workers").arg(harness.workers.to_string());
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-    if stage.ledger.is_some() || stage.list_file {
-        command.arg("--operators").arg(write_operators(stage, n)?);
+    if harness.ledger.is_some() || harness.list_file {
+        command.arg("--operators").arg(write_operators_file(harness, node_index)?);
     }
     for name in ["NAME", "LISTEN", "DISCOVERY"] {
         command.env_remove(format!("BALANCER_{name}"));
     }
-    command.env("BALANCER_CONFIG", stage.folder.join(format!("node-{n}.json")));
+    command.env("BALANCER_CONFIG", harness.folder.join(format!("node-{node_index}.json")));
     let mut child = command.spawn().map_err(|e| SocketError::Io("node", e))?;
-    let life = {
-        let node = &mut stage.state.borrow_mut().nodes[n];
-        (node.pid, node.up, node.ends, node.at) = (Some(child.id()), true, false, None);
+    let incarnation = {
+        let node = &mut harness.state.borrow_mut().nodes[node_index];
+        (node.pid, node.up, node.expected_exit, node.address) = (Some(child.id()), true, false, None);
         node.cost.starts += 1;
-        node.cpu_ms = 0.0;
-        node.life
+        node.sampled_cpu_ms = 0.0;
+        node.incarnation
     };
     if let Some(errors) = child.stderr.take() {
-        spawn_local(follow_log(stage.clone(), n, lines(errors)));
+        spawn_local(follow_log(harness.clone(), node_index, read_log_lines(errors)));
     }
-    spawn_local(reap(stage.clone(), n, life, Process(child)));
-    spawn_local(deal_when_ready(stage.clone(), n, life));
+    spawn_local(wait_for_exit(harness.clone(), node_index, incarnation, Process(child)));
+    spawn_local(add_to_rotation_when_ready(harness.clone(), node_index, incarnation));
     Ok(())
 }
 
-/// A process that is killed where nobody waits for it any more.
+/// A child process that is killed when dropped.
 struct Process(Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended needs neither.
+        // Both calls fail harmlessly if the process has already been reaped.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The lines of a log, read by a thread of their own. A log that can't be read ends like one that is closed.
-fn lines(errors: ChildStderr) -> mpsc::UnboundedReceiver<String> {
-    let (tell, told) = mpsc::unbounded_channel();
+/// Reads the lines of a log on a separate thread. A read error ends the channel in the same way as the end of
+/// the log.
+fn read_log_lines(errors: ChildStderr) -> mpsc::UnboundedReceiver<String> {
+    let (sender, receiver) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         let lines = BufReader::new(errors).lines().map_while(Result::ok);
-        lines.map(|line| tell.send(line)).all(|sent| sent.is_ok())
+        lines.map(|line| sender.send(line)).all(|sent| sent.is_ok())
     });
-    told
+    receiver
 }
 
-/// Notes where a node listens, and its last words.
-async fn follow_log(stage: Rc<Stage>, n: usize, mut lines: mpsc::UnboundedReceiver<String>) {
+/// Reads a node's address from its log and keeps the last lines.
+async fn follow_log(harness: Rc<Harness>, node_index: usize, mut lines: mpsc::UnboundedReceiver<String>) {
     while let Some(line) = lines.recv().await {
-        let node = &mut stage.state.borrow_mut().nodes[n];
+        let node = &mut harness.state.borrow_mut().nodes[node_index];
         if let Some((_, at)) = line.split_once(" listens at ") {
-            node.at = at.trim().parse().ok();
+            node.address = at.trim().parse().ok();
         }
-        if node.last_words.len() >= LAST_WORDS {
-            node.last_words.remove(0);
+        if node.log_tail.len() >= LOG_TAIL_LINES {
+            node.log_tail.remove(0);
         }
-        node.last_words.push(line);
+        node.log_tail.push(line);
     }
 }
 
-fn write_config(stage: &Rc<Stage>, n: usize) -> Result<(), SocketError> {
-    let list_at = stage.state.borrow().nodes[n].list_at;
-    let Some(list_at) = list_at else { return Err(SocketError::Node(format!("node-{n} has no list"))) };
-    let text = config::of_node(stage, n, list_at).to_string();
-    let file = stage.folder.join(format!("node-{n}.json"));
-    let next = stage.folder.join(format!("node-{n}.next"));
-    // Replaced as a whole: a node may read it at any time.
+fn write_config(harness: &Rc<Harness>, node_index: usize) -> Result<(), SocketError> {
+    let list_address = harness.state.borrow().nodes[node_index].list_address;
+    let Some(list_address) = list_address else {
+        return Err(SocketError::Node(format!("node-{node_index} has no list")));
+    };
+    let text = config::node_config(harness, node_index, list_address).to_string();
+    let file = harness.folder.join(format!("node-{node_index}.json"));
+    let next = harness.folder.join(format!("node-{node_index}.next"));
+    // Replaced atomically: a node may read it at any time.
     std::fs::write(&next, text)
         .and_then(|()| std::fs::rename(&next, &file))
         .map_err(|e| SocketError::Io("configuration", e))
 }
 
-/// The operators' file of a node that keeps a ledger, or has its list from a file.
-fn write_operators(stage: &Rc<Stage>, n: usize) -> Result<PathBuf, SocketError> {
-    let text = |words: &str| toml::Value::String(words.to_string());
+/// Writes the operators' file of a node that keeps a ledger or reads the server list from a file.
+fn write_operators_file(harness: &Rc<Harness>, node_index: usize) -> Result<PathBuf, SocketError> {
+    let text = |value: &str| toml::Value::String(value.to_string());
     let mut lines = String::new();
-    if let Some(promise) = &stage.ledger {
-        let directory = stage.folder.join(format!("node-{n}-ledger"));
+    if let Some(promise) = &harness.ledger {
+        let directory = harness.folder.join(format!("node-{node_index}-ledger"));
         let (directory, promise) = (text(&directory.to_string_lossy()), text(promise));
         lines += &format!("[ledger]\ndirectory = {directory}\npromise = {promise}\n");
     }
-    if stage.list_file {
-        // The schedule may take most boxes away at once, and means it.
-        lines += &format!("[boxes]\nhold_s = 0.0\nfile = {}\n", text(&files::place(stage).to_string_lossy()));
+    if harness.list_file {
+        // The schedule may remove most servers at once on purpose, so the node must not hold back such a
+        // change.
+        lines += &format!(
+            "[boxes]\nhold_s = 0.0\nfile = {}\n",
+            text(&files::list_path(harness).to_string_lossy())
+        );
     }
-    let file = stage.folder.join(format!("node-{n}.toml"));
+    let file = harness.folder.join(format!("node-{node_index}.toml"));
     std::fs::write(&file, lines).map_err(|e| SocketError::Io("operators' file", e))?;
     Ok(file)
 }
 
-/// Waits for a process's end. One that the schedule did not want is a crash.
-async fn reap(stage: Rc<Stage>, n: usize, life: u32, mut process: Process) {
-    // A process that can't be waited for is as good as gone.
+/// Waits for a process to exit. An exit that the harness did not cause counts as a crash.
+async fn wait_for_exit(harness: Rc<Harness>, node_index: usize, incarnation: u32, mut process: Process) {
+    // An error of `try_wait` counts as an exit.
     while matches!(process.0.try_wait(), Ok(None)) {
-        tokio::time::sleep(ASK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let crashed = {
-        let node = &mut stage.state.borrow_mut().nodes[n];
-        if node.life != life {
+        let node = &mut harness.state.borrow_mut().nodes[node_index];
+        if node.incarnation != incarnation {
             return;
         }
-        let crashed = !node.ends;
-        (node.up, node.pid, node.dealt) = (false, None, node.dealt && crashed);
-        node.life += 1;
+        let crashed = !node.expected_exit;
+        (node.up, node.pid, node.in_rotation) = (false, None, node.in_rotation && crashed);
+        node.incarnation += 1;
         node.cost.crashes += u32::from(crashed);
         crashed
     };
     if crashed {
-        let words = stage.state.borrow().nodes[n].last_words.last().cloned().unwrap_or_default();
-        stage.trouble(format!("node-{n} ended by itself: {words}"));
-        front_notices(&stage, n);
+        let message = harness.state.borrow().nodes[node_index].log_tail.last().cloned().unwrap_or_default();
+        harness.record_error(format!("node-{node_index} ended by itself: {message}"));
+        remove_from_rotation_later(&harness, node_index);
     }
 }
 
-async fn deal_when_ready(stage: Rc<Stage>, n: usize, life: u32) {
+async fn add_to_rotation_when_ready(harness: Rc<Harness>, node_index: usize, incarnation: u32) {
     loop {
         let at = {
-            let node = &stage.state.borrow().nodes[n];
-            if node.life != life {
+            let node = &harness.state.borrow().nodes[node_index];
+            if node.incarnation != incarnation {
                 return;
             }
-            node.at
+            node.address
         };
         if let Some(at) = at {
-            if timeout(ANSWER, is_ready(at)).await.unwrap_or(false) {
-                let node = &mut stage.state.borrow_mut().nodes[n];
-                node.dealt = node.life == life;
+            if timeout(READY_RESPONSE_TIMEOUT, is_ready(at)).await.unwrap_or(false) {
+                let node = &mut harness.state.borrow_mut().nodes[node_index];
+                node.in_rotation = node.incarnation == incarnation;
                 return;
             }
         }
-        tokio::time::sleep(ASK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -175,7 +182,7 @@
         return false;
     };
     let conn = spawn_local(async move {
-        // What breaks it is seen by the request.
+        // The request sees any error of the connection.
         let _ = conn.await;
     });
     let request =
@@ -187,104 +194,110 @@
 }
 
 /// Waits until all nodes are ready.
-pub(super) async fn wait_ready(stage: &Rc<Stage>) -> Result<(), SocketError> {
+///
+/// # Errors
+/// Returns the first recorded error of the harness, or the last log lines of a node that is not ready in
+/// time.
+pub(super) async fn wait_ready(harness: &Rc<Harness>) -> Result<(), SocketError> {
     let all = async {
-        while !stage.state.borrow().nodes.iter().all(|n| n.dealt) {
-            if let Some(words) = stage.state.borrow().troubles.first() {
-                return Err(SocketError::Node(words.clone()));
+        while !harness.state.borrow().nodes.iter().all(|node| node.in_rotation) {
+            if let Some(message) = harness.state.borrow().errors.first() {
+                return Err(SocketError::Node(message.clone()));
             }
-            tokio::time::sleep(ASK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     };
-    match timeout(READY_WITHIN, all).await {
+    match timeout(STARTUP_TIMEOUT, all).await {
         Ok(ready) => ready,
         Err(_) => {
-            let state = stage.state.borrow();
-            let late = state.nodes.iter().find(|n| !n.dealt);
-            let words = late.map(|n| format!("{} is not ready: {}", n.cost.name, n.last_words.join("; ")));
-            Err(SocketError::Node(words.unwrap_or_default()))
+            let state = harness.state.borrow();
+            let unready = state.nodes.iter().find(|node| !node.in_rotation);
+            let message =
+                unready.map(|node| format!("{} is not ready: {}", node.cost.name, node.log_tail.join("; ")));
+            Err(SocketError::Node(message.unwrap_or_default()))
         }
     }
 }
 
-fn signal(stage: &Rc<Stage>, n: usize, signal: Signal) {
-    if let Some(pid) = stage.state.borrow().nodes[n].pid {
-        // A process that has just ended needs no signal; ids here are the system's own, far below the bound.
+fn signal(harness: &Rc<Harness>, node_index: usize, signal: Signal) {
+    if let Some(pid) = harness.state.borrow().nodes[node_index].pid {
+        // An error means that the process has just ended. The cast is safe: Linux process ids are far below
+        // `i32::MAX`.
         let _ = send_signal(Pid::from_raw(pid as i32), signal);
     }
 }
 
-/// Kills a node: what it held is its clients' to repeat.
-pub(super) fn kill(stage: &Rc<Stage>, n: usize) {
-    sample(stage);
+/// Kills a node; its clients must retry the requests that it held.
+pub(super) fn kill(harness: &Rc<Harness>, node_index: usize) {
+    sample_costs(harness);
     {
-        let state = &mut *stage.state.borrow_mut();
-        state.nodes[n].ends = true;
-        state.referee.node_killed(n);
+        let state = &mut *harness.state.borrow_mut();
+        state.nodes[node_index].expected_exit = true;
+        state.referee.node_killed(node_index);
     }
-    signal(stage, n, Signal::SIGKILL);
+    signal(harness, node_index, Signal::SIGKILL);
     {
-        let node = &mut stage.state.borrow_mut().nodes[n];
+        let node = &mut harness.state.borrow_mut().nodes[node_index];
         (node.up, node.pid) = (false, None);
-        node.life += 1;
+        node.incarnation += 1;
     }
-    front_notices(stage, n);
+    remove_from_rotation_later(harness, node_index);
 }
 
-/// The front goes on dealing to a dead node until it notices.
-fn front_notices(stage: &Rc<Stage>, n: usize) {
-    let span = Duration::from_micros(micros(stage.site.nodes.noticed_after_ms));
-    let stage = stage.clone();
+/// Makes the front load balancer stop sending to a dead node after its detection delay.
+fn remove_from_rotation_later(harness: &Rc<Harness>, node_index: usize) {
+    let delay = Duration::from_micros(micros(harness.site.nodes.noticed_after_ms));
+    let harness = harness.clone();
     spawn_local(async move {
-        tokio::time::sleep(span).await;
-        let node = &mut stage.state.borrow_mut().nodes[n];
-        node.dealt &= node.up;
+        tokio::time::sleep(delay).await;
+        let node = &mut harness.state.borrow_mut().nodes[node_index];
+        node.in_rotation &= node.up;
     });
 }
 
-/// Tells a node to end: it gets nothing new soon, and has time to finish what it holds.
-pub(super) fn end(stage: &Rc<Stage>, n: usize) {
-    sample(stage);
-    let life = {
-        let node = &mut stage.state.borrow_mut().nodes[n];
-        node.ends = true;
-        node.dealt = false;
-        node.life
+/// Terminates a node: it gets no new requests and has time to finish those it holds before it is killed.
+pub(super) fn terminate(harness: &Rc<Harness>, node_index: usize) {
+    sample_costs(harness);
+    let incarnation = {
+        let node = &mut harness.state.borrow_mut().nodes[node_index];
+        node.expected_exit = true;
+        node.in_rotation = false;
+        node.incarnation
     };
-    signal(stage, n, Signal::SIGTERM);
-    let longest = stage.site.longest_deadline_ms();
-    let patience = Duration::from_secs_f64(longest / 1000.0) + PATIENCE;
-    let stage = stage.clone();
+    signal(harness, node_index, Signal::SIGTERM);
+    let longest = harness.site.longest_deadline_ms();
+    let grace = Duration::from_secs_f64(longest / 1000.0) + TERMINATION_GRACE;
+    let harness = harness.clone();
     spawn_local(async move {
-        tokio::time::sleep(patience).await;
-        if stage.state.borrow().nodes[n].life == life {
-            kill(&stage, n);
+        tokio::time::sleep(grace).await;
+        if harness.state.borrow().nodes[node_index].incarnation == incarnation {
+            kill(&harness, node_index);
         }
     });
 }
 
-/// Writes a node's configuration anew and tells it.
-pub(super) fn reload(stage: &Rc<Stage>, n: usize) -> Result<(), SocketError> {
-    write_config(stage, n)?;
-    signal(stage, n, Signal::SIGHUP);
+/// Rewrites a node's configuration and signals the node to reload it.
+pub(super) fn reload(harness: &Rc<Harness>, node_index: usize) -> Result<(), SocketError> {
+    write_config(harness, node_index)?;
+    signal(harness, node_index, Signal::SIGHUP);
     Ok(())
 }
 
-/// Looks at what the nodes have cost so far.
-pub(super) fn sample(stage: &Rc<Stage>) {
-    for node in &mut stage.state.borrow_mut().nodes {
+/// Updates the CPU time and peak memory of all running nodes.
+pub(super) fn sample_costs(harness: &Rc<Harness>) {
+    for node in &mut harness.state.borrow_mut().nodes {
         let Some(pid) = node.pid else { continue };
-        if let Some((cpu_ms, memory_kib)) = cost_of(pid) {
-            node.cost.cpu_ms += cpu_ms - node.cpu_ms;
-            node.cpu_ms = cpu_ms;
+        if let Some((cpu_ms, memory_kib)) = process_cost(pid) {
+            node.cost.cpu_ms += cpu_ms - node.sampled_cpu_ms;
+            node.sampled_cpu_ms = cpu_ms;
             node.cost.memory_kib = node.cost.memory_kib.max(memory_kib);
         }
     }
 }
 
-/// CPU time in milliseconds, and the most memory held in KiB, of a process with all its threads.
-fn cost_of(pid: u32) -> Option<(f64, u64)> {
+/// CPU time in milliseconds and peak memory in KiB of a process with all its threads.
+fn process_cost(pid: u32) -> Option<(f64, u64)> {
     let mut nanoseconds = 0u64;
     for task in std::fs::read_dir(format!("/proc/{pid}/task")).ok()? {
         let text = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
@@ -296,16 +309,16 @@
     Some((nanoseconds as f64 / 1e6, memory))
 }
 
-/// Ends all nodes, in order where they let it.
-pub(super) async fn stop_all(stage: &Rc<Stage>) {
-    for n in 0..stage.site.nodes.count {
-        end(stage, n);
+/// Terminates all nodes and waits for them to exit.
+pub(super) async fn stop_all(harness: &Rc<Harness>) {
+    for node_index in 0..harness.site.nodes.count {
+        terminate(harness, node_index);
     }
     let all = async {
-        while stage.state.borrow().nodes.iter().any(|n| n.up) {
-            tokio::time::sleep(ASK).await;
+        while harness.state.borrow().nodes.iter().any(|node| node.up) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    // Those that take longer are killed when their handles are dropped.
-    let _ = timeout(2 * READY_WITHIN, all).await;
+    // Nodes that take longer are killed when their handles are dropped.
+    let _ = timeout(2 * STARTUP_TIMEOUT, all).await;
 }
