--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use peers::queue::{Call, Capacity, Queue};
+use peers::queue::{Call, Capacity, QueuedDiscovery};
 use peers::*;
 use serde_json::{json, Value};
 
@@ -19,13 +19,13 @@
 /// All thirty take the service 4 s. Half of them find room at once.
 const CAPACITY: Capacity = Capacity {
     work: Duration::from_nanos(4_000_000_000 / NODES as u64),
-    room: Duration::from_secs(2),
-    shed: SHED,
+    max_wait: Duration::from_secs(2),
+    shed_cost: SHED,
 };
 
 /// All thirty take the service 10 s, longer than until a change counts as told, and a rejection costs it little.
 const SLOW: Capacity =
-    Capacity { work: Duration::from_nanos(10_000_000_000 / NODES as u64), shed: 0.05, ..CAPACITY };
+    Capacity { work: Duration::from_nanos(10_000_000_000 / NODES as u64), shed_cost: 0.05, ..CAPACITY };
 
 /// A service that has as good as nothing to do.
 const IDLE: Capacity = Capacity { work: Duration::from_millis(1), ..CAPACITY };
@@ -49,23 +49,23 @@
 /// A server that stays and some that will be announced as leaving, all of which serve; nodes that have them all in the list
 /// that they saved, and a client at each, with a request every 0.2 s.
 struct Fleet {
-    discovery: Queue,
-    stays: Peer,
-    leaving: Vec<(Peer, Arc<Mutex<Vec<Got>>>)>,
+    discovery: QueuedDiscovery,
+    stays: ScriptedServer,
+    leaving: Vec<(ScriptedServer, Arc<Mutex<Vec<Got>>>)>,
     nodes: Vec<Node>,
     over: Arc<AtomicBool>,
     clients: Vec<std::thread::JoinHandle<()>>,
 }
 
 /// A server that notes the requests that it gets.
-fn noting() -> (Peer, Arc<Mutex<Vec<Got>>>) {
+fn noting() -> (ScriptedServer, Arc<Mutex<Vec<Got>>>) {
     let got = Arc::new(Mutex::new(Vec::new()));
     let notes = got.clone();
-    let peer = Peer::new(move |m| {
+    let peer = ScriptedServer::new(move |m| {
         if let Some((node, _)) = m.header("x-txn").and_then(|txn| txn.split_once('-')) {
             notes.lock().expect("no panic").push((node.parse().expect("a node"), Instant::now()));
         }
-        Say::This(answer(200, "", "leaving"))
+        Reply::Respond(response(200, "", "leaving"))
     });
     (peer, got)
 }
@@ -74,14 +74,14 @@
     /// What is there before the nodes are. The saved list is of version 41.
     fn new(capacity: Capacity) -> Self {
         let fleet = Self {
-            discovery: Queue::new(NODES, capacity),
-            stays: Peer::good("stays"),
+            discovery: QueuedDiscovery::new(NODES, capacity),
+            stays: ScriptedServer::healthy("stays"),
             leaving: (0..2).map(|_| noting()).collect(),
             nodes: Vec::new(),
             over: Arc::default(),
             clients: Vec::new(),
         };
-        fleet.discovery.tell(41, &fleet.hosts(["active"; 2]), &[]);
+        fleet.discovery.publish(41, &fleet.hosts(["active"; 2]), &[]);
         fleet
     }
 
@@ -95,7 +95,7 @@
     /// Announces that one server finishes its work, and that another is gone.
     fn announce(&self) {
         let hosts = self.hosts(["leaving", "left"]);
-        self.discovery.tell(42, &hosts[..2], &hosts[1..]);
+        self.discovery.publish(42, &hosts[..2], &hosts[1..]);
     }
 
     /// Starts all nodes at once.
@@ -118,7 +118,7 @@
                         return;
                     }
                     // Before it is ready a node may close the connection behind its answer.
-                    if client.try_ask(&request("look", &format!("{n}-{count}"), 2000)).is_none() {
+                    if client.try_exchange(&request("look", &format!("{n}-{count}"), 2000)).is_none() {
                         client = Client::at(at);
                     }
                     std::thread::sleep(Duration::from_millis(200));
@@ -139,12 +139,13 @@
     /// and nodes come back together so much more often as the span in which they do is longer by it.
     fn judge(mut self, capacity: Capacity, began: Instant, from: Instant) {
         let busy = capacity.work * NODES as u32;
-        let late = || self.discovery.late() * CALLS as u32;
+        let late = || self.discovery.max_wakeup_delay() * CALLS as u32;
         while from.elapsed() < (DRAINED + LONGER).max(busy.mul_f64(1.5)) + late().min(LATE) {
             std::thread::sleep(Duration::from_millis(20));
         }
-        let (late_once, late) = (self.discovery.late(), late());
-        let calls: Vec<Call> = self.discovery.calls().into_iter().filter(|c| c.came >= began).collect();
+        let (late_once, late) = (self.discovery.max_wakeup_delay(), late());
+        let calls: Vec<Call> =
+            self.discovery.calls().into_iter().filter(|c| c.received_at >= began).collect();
         let watches = self.discovery.watches();
         self.over.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
@@ -180,14 +181,14 @@
 /// Of two calls of different nodes turned away within `FLOCK`, how many there are, and how often both nodes came back within
 /// half of it.
 fn flocks(calls: &[Call]) -> (usize, usize) {
-    let next = |i: usize| calls[i + 1..].iter().find(|c| c.node == calls[i].node).map(|c| c.came);
+    let next = |i: usize| calls[i + 1..].iter().find(|c| c.node == calls[i].node).map(|c| c.received_at);
     let back: Vec<(Call, Instant)> =
         (0..calls.len()).filter(|i| calls[*i].shed).filter_map(|i| Some((calls[i], next(i)?))).collect();
     let apart = |a: Instant, b: Instant| a.max(b) - a.min(b);
     let (mut pairs, mut together) = (0, 0);
     for (i, (a, a_back)) in back.iter().enumerate() {
         for (b, b_back) in &back[..i] {
-            if a.node != b.node && apart(a.came, b.came) <= FLOCK {
+            if a.node != b.node && apart(a.received_at, b.received_at) <= FLOCK {
                 pairs += 1;
                 together += usize::from(apart(*a_back, *b_back) <= FLOCK / 2);
             }
@@ -204,9 +205,10 @@
     fleet.start();
     // From the last one's first call on all could have it.
     let mut first = Vec::new();
-    until("all have called", || {
+    wait_until("all have called", || {
         let calls = fleet.discovery.calls();
-        first = (0..NODES).filter_map(|n| calls.iter().find(|c| c.node == n).map(|c| c.came)).collect();
+        first =
+            (0..NODES).filter_map(|n| calls.iter().find(|c| c.node == n).map(|c| c.received_at)).collect();
         first.len() == NODES
     });
     fleet.judge(capacity, began, first.into_iter().max().expect("some"));
@@ -222,12 +224,12 @@
 fn nodes_that_lost_their_watches_have_them_again_in_turn() {
     let mut fleet = Fleet::new(IDLE);
     fleet.start();
-    until("all watch", || fleet.all_watch());
-    fleet.discovery.goes_down();
+    wait_until("all watch", || fleet.all_watch());
+    fleet.discovery.stop();
     std::thread::sleep(Duration::from_secs(3));
     fleet.announce();
     let back = Instant::now();
-    fleet.discovery.is_back(CAPACITY);
+    fleet.discovery.restart(CAPACITY);
     fleet.judge(CAPACITY, back, back);
 }
 
--- a/tests/boxes.rs
+++ b/tests/boxes.rs
@@ -4,18 +4,19 @@
 
 use std::path::{Path, PathBuf};
 
-use peers::{config, folder, magpietally, request, text, until, Client, Node, Peer};
+use peers::{config, magpietally, request, text, unused_path, wait_until, Client, Node, ScriptedServer};
 
 /// A new directory of this test's.
 fn made(name: &str) -> PathBuf {
-    let folder = folder(name);
+    let folder = unused_path(name);
     std::fs::create_dir_all(&folder).expect("a directory");
     folder
 }
 
-fn list(boxes: &[(&str, &Peer)]) -> String {
-    let entry =
-        |(name, peer): &(&str, &Peer)| format!("[[box]]\nname = {name:?}\naddress = \"{}\"\n", peer.address);
+fn list(boxes: &[(&str, &ScriptedServer)]) -> String {
+    let entry = |(name, peer): &(&str, &ScriptedServer)| {
+        format!("[[box]]\nname = {name:?}\naddress = \"{}\"\n", peer.address)
+    };
     format!("count = {}\n{}", boxes.len(), boxes.iter().map(entry).collect::<String>())
 }
 
@@ -31,7 +32,8 @@
     let folder = made("watched");
     let (file, operators) = (folder.join("boxes.toml"), folder.join("operators.toml"));
     std::fs::write(&operators, format!("[boxes]\nfile = {file:?}\nhold_s = 0.5\n")).expect("a file");
-    let (a, b, c) = (Peer::good("a"), Peer::good("b"), Peer::good("c"));
+    let (a, b, c) =
+        (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"), ScriptedServer::healthy("c"));
     replace(&file, &list(&[("a", &a), ("b", &b)]));
     // Nobody answers there, and nobody is asked.
     let node = Node::with_args(
@@ -43,52 +45,52 @@
     let mut serves = |times: usize| {
         for _ in 0..times {
             count += 1;
-            let answer = client.ask(&request("look", &format!("t{count}"), 15_000));
+            let answer = client.exchange(&request("look", &format!("t{count}"), 15_000));
             assert_eq!(answer.status(), 200, "request {count}");
         }
     };
     serves(10);
-    assert!(!a.seen().is_empty() && !b.seen().is_empty());
+    assert!(!a.requests().is_empty() && !b.requests().is_empty());
     // Half a list, written in place, and then nothing more: it stays with what it had.
     let all = list(&[("a", &a), ("b", &b), ("c", &c)]);
     std::fs::write(&file, &all[..all.len() - 70]).expect("a file");
-    until("the half is told of", || {
+    wait_until("the half is told of", || {
         serves(1);
         node.logged("is the copy whole?") || node.logged("missing field") || node.logged("boxes.toml: line")
     });
-    assert!(node.logged("the last good list stays: 2 boxes") && c.seen().is_empty());
+    assert!(node.logged("the last good list stays: 2 boxes") && c.requests().is_empty());
     // A hundred times as fast as it goes, between two lists that are both whole.
     for n in 0..100 {
         replace(&file, &if n % 2 == 0 { all.clone() } else { list(&[("a", &a), ("b", &b)]) });
         serves(1);
     }
     replace(&file, &all);
-    until("the third box has its turn", || {
+    wait_until("the third box has its turn", || {
         serves(1);
-        !c.seen().is_empty()
+        !c.requests().is_empty()
     });
     // A box that is taken out gets nothing new once the list holds.
     replace(&file, &list(&[("a", &a), ("c", &c)]));
     let applied = |n: usize| {
-        until("the list holds", || {
+        wait_until("the list holds", || {
             (3..300).any(|v| node.logged(&format!("boxes.toml: {n} boxes, version {v}")))
         });
     };
-    let mut before = b.seen().len();
-    until("nothing new goes to it", || {
+    let mut before = b.requests().len();
+    wait_until("nothing new goes to it", || {
         serves(10);
-        std::mem::replace(&mut before, b.seen().len()) == b.seen().len()
+        std::mem::replace(&mut before, b.requests().len()) == b.requests().len()
     });
     serves(20);
-    assert_eq!(b.seen().len(), before);
+    assert_eq!(b.requests().len(), before);
     // One that takes all but one away is held for a while, and then holds.
     replace(&file, &list(&[("b", &b), ("d", &c)]));
-    until("it is held", || node.logged("it takes away 2 of 2 boxes in service; held for 0.5 s"));
+    wait_until("it is held", || node.logged("it takes away 2 of 2 boxes in service; held for 0.5 s"));
     serves(1);
     applied(2);
-    until("the second box is back", || {
+    wait_until("the second box is back", || {
         serves(1);
-        b.seen().len() > before
+        b.requests().len() > before
     });
 }
 
@@ -129,7 +131,7 @@
 fn a_list_can_be_checked_before_a_node_sees_it() {
     let folder = made("checked");
     let (good, bad) = (folder.join("good.toml"), folder.join("bad.toml"));
-    let peer = Peer::good("a");
+    let peer = ScriptedServer::healthy("a");
     std::fs::write(&good, list(&[("a", &peer)])).expect("a file");
     std::fs::write(&bad, format!("{}weight = 0.0\n", list(&[("a", &peer)]))).expect("a file");
     for (args, file, code, words) in [
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -12,12 +12,12 @@
 #[test]
 fn clients_that_leave_at_any_stage_leave_nothing_behind() {
     let servers = ["a", "b"].map(|name| {
-        Peer::new(move |m| {
+        ScriptedServer::new(move |m| {
             let stays = m.header("x-txn").is_some_and(|t| t.starts_with("leaves"));
             if stays {
-                Say::Nothing
+                Reply::NoResponse
             } else {
-                Say::This(answer(200, "", name))
+                Reply::Respond(response(200, "", name))
             }
         })
     });
@@ -26,17 +26,18 @@
     let mut told = config(registry.address);
     told["settings"]["Limits"]["Probes"] = json!(false);
     let node = Node::ready(&told);
-    let ask = |id: &str| Client::to(&node).ask(&request("slip", id, 15_000));
+    let ask = |id: &str| Client::to(&node).exchange(&request("slip", id, 15_000));
     for n in 0..4 {
         assert_eq!(ask(&format!("before{n}")).status(), 200);
-        rest();
+        let_connection_idle();
     }
-    let (seen, descriptors) = (|| servers.iter().map(|s| s.seen().len()).sum::<usize>(), node.descriptors());
+    let (seen, descriptors) =
+        (|| servers.iter().map(|s| s.requests().len()).sum::<usize>(), node.descriptors());
     let whole = request("slip", "half", 15_000);
     for cut in 1..whole.len() {
         Client::to(&node).send(&whole[..cut]);
     }
-    until("the halves are gone", || node.descriptors() <= descriptors);
+    wait_until("the halves are gone", || node.descriptors() <= descriptors);
     assert_eq!(seen(), 4, "no half went out");
     for round in 0..3 {
         let before = seen();
@@ -47,17 +48,19 @@
                 client
             })
             .collect();
-        until("all are at the servers", || seen() == before + 6);
+        wait_until("all are at the servers", || seen() == before + 6);
         drop(clients);
         // Each id is free again, or the next round would not come to the servers.
-        until("their attempts have ended", || servers.iter().map(Peer::open).sum::<usize>() <= 2);
-        until(&format!("nothing is held after round {round}"), || node.descriptors() <= descriptors);
+        wait_until("their attempts have ended", || {
+            servers.iter().map(ScriptedServer::open_connections).sum::<usize>() <= 2
+        });
+        wait_until(&format!("nothing is held after round {round}"), || node.descriptors() <= descriptors);
     }
-    let turns = servers.each_ref().map(|s| s.seen().len());
+    let turns = servers.each_ref().map(|s| s.requests().len());
     for n in 0..20 {
         assert_eq!(ask(&format!("after{n}")).status(), 200);
     }
-    let turns = [0, 1].map(|n| servers[n].seen().len() - turns[n]);
+    let turns = [0, 1].map(|n| servers[n].requests().len() - turns[n]);
     assert_eq!(turns, [10, 10], "nobody lost turns for a client's leaving");
 }
 
@@ -77,22 +80,30 @@
     std::thread::sleep(Duration::from_millis(100));
     drop(held);
     let hosts = [host("s0", at, "active", 1)];
-    registry.tell(2, &hosts, &hosts);
+    registry.publish(2, &hosts, &hosts);
     let mut connects = Client::to(&node);
     connects.send(&request("slip", "connects", 60_000));
     // Its connection can't come up; by now it is waited for.
     std::thread::sleep(Duration::from_millis(400));
     let during = node.descriptors();
     drop(connects);
-    until("its own connection and the one to the server are given up", || node.descriptors() + 2 <= during);
+    wait_until("its own connection and the one to the server are given up", || {
+        node.descriptors() + 2 <= during
+    });
     drop(fillers);
-    let server = Peer::on(full, |_| Say::This(answer(200, "", "served")));
-    until("it can be reached", || Client::to(&node).ask(&request("look", "later", 15_000)).status() == 200);
+    let server = ScriptedServer::on_listener(full, |_| Reply::Respond(response(200, "", "served")));
+    wait_until("it can be reached", || {
+        Client::to(&node).exchange(&request("look", "later", 15_000)).status() == 200
+    });
     for id in ["held", "connects"] {
-        assert_eq!(Client::to(&node).ask(&request("slip", id, 15_000)).status(), 200, "its id is free again");
+        assert_eq!(
+            Client::to(&node).exchange(&request("slip", id, 15_000)).status(),
+            200,
+            "its id is free again"
+        );
     }
     let ids: Vec<String> = server
-        .seen()
+        .requests()
         .iter()
         .filter_map(|m| m.header("x-txn").map(str::to_string))
         .filter(|t| t != "later")
--- a/tests/day_by_day.rs
+++ b/tests/day_by_day.rs
@@ -19,15 +19,15 @@
 
 #[test]
 fn the_second_address_answers_its_calls_and_no_others() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    registry.down(true);
+    registry.set_down(true);
     let mut node = Node::listening(&managed(registry.address), None);
-    let not_yet = node.call("GET", "/v1/readyz");
+    let not_yet = node.management_call("GET", "/v1/readyz");
     assert_eq!((not_yet.status(), text(&not_yet.body).as_str()), (503, "starting\n"), "it has no list");
-    registry.down(false);
+    registry.set_down(false);
     node.wait_ready();
-    assert_eq!(node.call("GET", "/v1/readyz").status(), 200);
+    assert_eq!(node.management_call("GET", "/v1/readyz").status(), 200);
     for (path, allowed) in [
         ("/v1/readyz", "GET"),
         ("/v1/metrics", "GET"),
@@ -35,29 +35,29 @@
         ("/v1/node/activate", "PUT"),
     ] {
         for method in ["GET", "PUT", "POST", "DELETE"].into_iter().filter(|m| *m != allowed) {
-            let no = node.call(method, path);
+            let no = node.management_call(method, path);
             assert_eq!((no.status(), no.header("allow")), (405, Some(allowed)), "{method} {path}");
         }
     }
     for path in ["/", "/ready", "/v1", "/v1/readyz/", "/look/7"] {
-        assert_eq!(node.call("GET", path).status(), 404, "{path}");
+        assert_eq!(node.management_call("GET", path).status(), 404, "{path}");
     }
     let long = format!("GET /v1/readyz HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(100_000));
     for words in ["no request at all\r\n\r\n", "GET /v1/readyz HTTP/9.9\r\n\r\n", &long] {
-        let heard = node.manage(words);
+        let heard = node.management_exchange(words);
         assert!(heard.is_none_or(|h| (400..500).contains(&h.status())), "{}", &words[..20]);
     }
-    let mut caller = node.caller();
+    let mut caller = node.management_client();
     caller.send("GET /v1/readyz HTTP/1.1\r\n\r\nGET /v1/readyz HTTP/1.1\r\n\r\n");
-    assert_eq!(caller.hear().expect("an answer").status(), 200);
-    assert!(caller.ended_or_reset(), "one call to a connection");
+    assert_eq!(caller.receive().expect("an answer").status(), 200);
+    assert!(caller.closed_or_reset(), "one call to a connection");
     // Callers that finish no call, far more than there is room for, hold up nobody.
-    let mut stuck: Vec<Client> = (0..60).map(|_| node.caller()).collect();
+    let mut stuck: Vec<Client> = (0..60).map(|_| node.management_client()).collect();
     stuck.iter_mut().skip(30).for_each(|s| s.send("GET /v1/"));
-    assert_eq!(node.call("GET", "/v1/readyz").status(), 200);
+    assert_eq!(node.management_call("GET", "/v1/readyz").status(), 200);
     let began = Instant::now();
-    assert!(stuck.iter_mut().all(Client::ended_or_reset), "each is closed");
-    assert!(began.elapsed() < PATIENCE);
+    assert!(stuck.iter_mut().all(Client::closed_or_reset), "each is closed");
+    assert!(began.elapsed() < WAIT_TIMEOUT);
     node.terminate();
     assert_eq!(node.exit_code(), Some(0));
 }
@@ -83,22 +83,22 @@
 /// breaks before its first byte.
 #[test]
 fn figures_are_what_the_peers_saw() {
-    let flaky = Peer::new(move |m| {
+    let flaky = ScriptedServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or_default();
         match txn.split('-').next() {
-            Some("fail") => Say::This(answer(500, "", "")),
-            Some("away") => Say::This(answer(503, "X-Turned-Away: 1\r\n", "")),
-            Some("slow") => Say::Later(Duration::from_millis(400), answer(200, "", "late")),
-            Some("shut") => Say::Last(answer(200, "", "served")),
-            Some("bad") => Say::This(answer(400, "", "")),
-            _ => Say::This(answer(200, "", "served")),
+            Some("fail") => Reply::Respond(response(500, "", "")),
+            Some("away") => Reply::Respond(response(503, "X-Turned-Away: 1\r\n", "")),
+            Some("slow") => Reply::RespondAfter(Duration::from_millis(400), response(200, "", "late")),
+            Some("shut") => Reply::RespondAndClose(response(200, "", "served")),
+            Some("bad") => Reply::Respond(response(400, "", "")),
+            _ => Reply::Respond(response(200, "", "served")),
         }
     });
     let registry = Registry::new(&[host("s0", flaky.address, "active", 1)]);
     let node = Node::ready(&managed(registry.address));
     for class in ["look", "pay", "slip"] {
         for name in ["passed", "dropped", "bad_gateway"] {
-            assert_eq!(node.figure(&format!("app.{name}.{class}")), 0, "all are shown from the start");
+            assert_eq!(node.metric(&format!("app.{name}.{class}")), 0, "all are shown from the start");
         }
     }
     let (mut seen, mut client) = (std::collections::BTreeMap::new(), Client::to(&node));
@@ -115,7 +115,7 @@
         })
         .enumerate()
     {
-        let heard = client.ask(&request(class, &format!("{kind}-{n}"), 15_000));
+        let heard = client.exchange(&request(class, &format!("{kind}-{n}"), 15_000));
         let name = match heard.status() {
             200 => "passed",
             429 | 503 => "dropped",
@@ -124,36 +124,38 @@
         *seen.entry(format!("app.{name}.{class}")).or_insert(0) += 1;
     }
     // What is turned away everywhere is refused in the end.
-    let refused = client.ask(&request("look", "away-1", 300));
+    let refused = client.exchange(&request("look", "away-1", 300));
     assert_eq!(refused.status(), 503);
     *seen.entry("app.dropped.look".into()).or_insert(0) += 1;
     // What is no proper request is no request.
-    assert_eq!(client.ask("GET /look/7 HTTP/1.1\r\nHost: x\r\n\r\n").status(), 400);
+    assert_eq!(client.exchange("GET /look/7 HTTP/1.1\r\nHost: x\r\n\r\n").status(), 400);
     assert!(seen["app.passed.slip"] > 0 && seen["app.bad_gateway.slip"] > 0, "{seen:?}");
     for (name, count) in &seen {
-        assert_eq!(node.figure(name), *count, "{name}");
+        assert_eq!(node.metric(name), *count, "{name}");
     }
     // A try counts once its last byte is written. After each "shut" the server closes the connection; a try written into it
     // before the node sees the close is counted but never read by the server, and is made again on a new connection.
-    let (tries, read) = (node.figure("app.upstream_tries"), flaky.seen().len() as u64);
+    let (tries, read) = (node.metric("app.upstream_tries"), flaky.requests().len() as u64);
     assert!((read..=read + 40).contains(&tries), "{tries} tries counted, {read} read by the server");
-    assert_eq!((node.figure("app.known_servers"), node.figure("app.in_progress")), (1, 0));
+    assert_eq!((node.metric("app.known_servers"), node.metric("app.in_progress")), (1, 0));
     // A client that leaves: its attempt was written, and nothing is in progress any more.
     let mut leaves = Client::to(&node);
     leaves.send(&request("slip", "slow-1", 15_000));
-    until("it is in progress", || node.figure("app.in_progress") == 1);
+    wait_until("it is in progress", || node.metric("app.in_progress") == 1);
     drop(leaves);
-    until("it is not any more", || node.figure("app.in_progress") == 0);
+    wait_until("it is not any more", || node.metric("app.in_progress") == 0);
     // The slow one's server reads it; the tries written unread above stay as many as they were.
     let unread = tries - read;
-    until("its attempt counts", || node.figure("app.upstream_tries") == flaky.seen().len() as u64 + unread);
+    wait_until("its attempt counts", || {
+        node.metric("app.upstream_tries") == flaky.requests().len() as u64 + unread
+    });
 }
 
 /// Second copies are attempts of their own, and the servers that the node avoids are told.
 #[test]
 fn avoided_servers_and_all_attempts_are_told() {
-    let (dead, good) = (Peer::new(|_| Say::Nothing), Peer::good("good"));
-    let draining = Peer::good("draining");
+    let (dead, good) = (ScriptedServer::new(|_| Reply::NoResponse), ScriptedServer::healthy("good"));
+    let draining = ScriptedServer::healthy("draining");
     let registry = Registry::new(&[
         host("s0", dead.address, "active", 1),
         host("s1", good.address, "active", 1),
@@ -166,71 +168,73 @@
     }
     let node = Node::ready(&told);
     let mut client = Client::to(&node);
-    assert_eq!((node.figure("app.known_servers"), node.figure("app.skipped_servers")), (3, 1));
+    assert_eq!((node.metric("app.known_servers"), node.metric("app.skipped_servers")), (3, 1));
     let avoids = AtomicBool::new(false);
-    until("the dead one is avoided", || {
-        client.ask(&request("look", "t1", 2000));
-        avoids.store(node.figure("app.skipped_servers") == 2, Ordering::SeqCst);
+    wait_until("the dead one is avoided", || {
+        client.exchange(&request("look", "t1", 2000));
+        avoids.store(node.metric("app.skipped_servers") == 2, Ordering::SeqCst);
         avoids.load(Ordering::SeqCst)
     });
-    let attempts = (dead.seen().len() + good.seen().len()) as u64;
-    assert_eq!(node.figure("app.upstream_tries"), attempts, "also those that were called off");
-    assert!(draining.seen().is_empty());
+    let attempts = (dead.requests().len() + good.requests().len()) as u64;
+    assert_eq!(node.metric("app.upstream_tries"), attempts, "also those that were called off");
+    assert!(draining.requests().is_empty());
 }
 
 #[test]
 fn a_drained_node_sends_its_clients_away_and_comes_back() {
-    let server = Peer::new(|m| match m.header("x-txn") {
-        Some("slow") => Say::Later(Duration::from_millis(1500), answer(200, "", "slow")),
-        _ => Say::This(answer(200, "", "a")),
+    let server = ScriptedServer::new(|m| match m.header("x-txn") {
+        Some("slow") => Reply::RespondAfter(Duration::from_millis(1500), response(200, "", "slow")),
+        _ => Reply::Respond(response(200, "", "a")),
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&managed(registry.address));
     let (mut idle, mut silent, mut used, mut slow) =
         (Client::to(&node), Client::to(&node), Client::to(&node), Client::to(&node));
-    assert_eq!(idle.ask(&request("slip", "t1", 15_000)).status(), 200);
+    assert_eq!(idle.exchange(&request("slip", "t1", 15_000)).status(), 200);
     slow.send(&request("slip", "slow", 15_000));
-    until("the slow one is out", || server.seen().len() == 2);
-    assert_eq!(node.call("PUT", "/v1/node/drain").status(), 200);
-    let ready = |node: &Node| Client::to(node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+    wait_until("the slow one is out", || server.requests().len() == 2);
+    assert_eq!(node.management_call("PUT", "/v1/node/drain").status(), 200);
+    let ready = |node: &Node| Client::to(node).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     assert_eq!(ready(&node), 503, "at once");
-    assert_eq!(node.call("GET", "/v1/readyz").status(), 503);
-    assert_eq!(node.call("PUT", "/v1/node/drain").status(), 200, "again is no error");
+    assert_eq!(node.management_call("GET", "/v1/readyz").status(), 503);
+    assert_eq!(node.management_call("PUT", "/v1/node/drain").status(), 200, "again is no error");
     // Who still comes is served, until an answer says that its connection ends.
     let mut asked = 0;
-    until("an answer closes its connection", || {
+    wait_until("an answer closes its connection", || {
         asked += 1;
-        let heard = used.ask(&request("slip", &format!("u{asked}"), 15_000));
+        let heard = used.exchange(&request("slip", &format!("u{asked}"), 15_000));
         assert_eq!(heard.status(), 200);
         std::thread::sleep(Duration::from_millis(20));
         heard.header("connection") == Some("close")
     });
-    assert!(used.ended() && idle.ended() && silent.ended(), "what is idle is closed");
-    let late = slow.hear().expect("what was taken is answered");
+    assert!(used.closed() && idle.closed() && silent.closed(), "what is idle is closed");
+    let late = slow.receive().expect("what was taken is answered");
     assert_eq!((late.status(), late.header("connection")), (200, Some("close")));
     let mut new = Client::to(&node);
-    assert_eq!(new.ask(&request("slip", "new", 15_000)).status(), 200, "a late comer is served too");
-    assert!(new.ended());
+    assert_eq!(new.exchange(&request("slip", "new", 15_000)).status(), 200, "a late comer is served too");
+    assert!(new.closed());
     assert!(node.running(), "the process runs on");
-    assert_eq!(node.call("PUT", "/v1/node/activate").status(), 200);
-    assert_eq!((ready(&node), node.call("GET", "/v1/readyz").status()), (200, 200), "at once");
-    assert_eq!(node.call("PUT", "/v1/node/activate").status(), 200, "again is no error");
+    assert_eq!(node.management_call("PUT", "/v1/node/activate").status(), 200);
+    assert_eq!((ready(&node), node.management_call("GET", "/v1/readyz").status()), (200, 200), "at once");
+    assert_eq!(node.management_call("PUT", "/v1/node/activate").status(), 200, "again is no error");
     let mut kept = Client::to(&node);
-    assert!((0..3).all(|n| kept.ask(&request("slip", &format!("k{n}"), 15_000)).status() == 200));
+    assert!((0..3).all(|n| kept.exchange(&request("slip", &format!("k{n}"), 15_000)).status() == 200));
     // Drained again, told of another configuration, and told to end.
-    assert_eq!(node.call("PUT", "/v1/node/drain").status(), 200);
+    assert_eq!(node.management_call("PUT", "/v1/node/drain").status(), 200);
     node.reload(&managed(registry.address).to_string());
-    until("the file is read", || node.logged("discovery is"));
+    wait_until("the file is read", || node.logged("discovery is"));
     assert_eq!(ready(&node), 503, "a new configuration ends no drain");
     let mut out = Client::to(&node);
     out.send(&request("slip", "slow", 15_000));
-    until("it is out", || server.seen().iter().filter(|m| m.header("x-txn") == Some("slow")).count() == 2);
+    wait_until("it is out", || {
+        server.requests().iter().filter(|m| m.header("x-txn") == Some("slow")).count() == 2
+    });
     node.terminate();
-    until("it stops", || text(&node.call("GET", "/v1/readyz").body) == "stopping\n");
+    wait_until("it stops", || text(&node.management_call("GET", "/v1/readyz").body) == "stopping\n");
     for command in ["drain", "activate"] {
-        assert_eq!(node.call("PUT", &format!("/v1/node/{command}")).status(), 409, "{command}");
+        assert_eq!(node.management_call("PUT", &format!("/v1/node/{command}")).status(), 409, "{command}");
     }
-    assert_eq!(out.hear().expect("what was taken is answered").status(), 200);
+    assert_eq!(out.receive().expect("what was taken is answered").status(), 200);
     assert_eq!(node.exit_code(), Some(0));
 }
 
@@ -254,7 +258,7 @@
         (&told, &connected, "3", "BALANCER_FD: 3 does not listen"),
         (&elsewhere, &listener, "3", "127.0.0.1:1 is expected"),
     ] {
-        let output = inheriting(config, socket, fd).0.output().expect("it runs");
+        let output = inheriting_command(config, socket, fd).0.output().expect("it runs");
         let told = text(&output.stderr);
         assert!(output.status.code() == Some(1) && told.contains(words), "{fd}: {told}");
         assert_eq!(told.lines().filter(|l| l.contains("BALANCER_FD")).count(), 1, "one clear error: {told}");
@@ -265,14 +269,15 @@
 /// and a next process that has no list yet leaves the clients to the one that serves.
 #[test]
 fn a_process_is_replaced_under_load() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(5), answer(200, "", "a")));
+    let server =
+        ScriptedServer::new(|_| Reply::RespondAfter(Duration::from_millis(5), response(200, "", "a")));
     let hosts = [host("s0", server.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     let mut told = managed(registry.address);
     told["listen"] = json!(at.to_string());
-    let mut old = Node::inheriting(&told, &listener, "3");
+    let mut old = Node::with_inherited_socket(&told, &listener, "3");
     old.wait_ready();
     let (over, asked, sent_again) =
         (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
@@ -291,10 +296,10 @@
                     }
                     let words = request("slip", &format!("w{worker}-{n}"), 15_000);
                     // As clients do: what crosses the end of its connection is sent once more on a new one.
-                    let heard = client.try_ask(&words).unwrap_or_else(|| {
+                    let heard = client.try_exchange(&words).unwrap_or_else(|| {
                         sent_again.fetch_add(1, Ordering::SeqCst);
                         client = Client::at(at);
-                        client.ask(&words)
+                        client.exchange(&words)
                     });
                     assert_eq!(heard.status(), 200, "{worker} {n}");
                     asked.fetch_add(1, Ordering::SeqCst);
@@ -308,26 +313,26 @@
         .collect();
     for round in 0..2 {
         let before = asked.load(Ordering::SeqCst);
-        until("clients are served", || asked.load(Ordering::SeqCst) > before + 100);
+        wait_until("clients are served", || asked.load(Ordering::SeqCst) > before + 100);
         // The next process has no list at first.
-        registry.down(true);
-        let next = Node::inheriting(&told, &listener, "3");
-        assert_eq!(next.call("GET", "/v1/readyz").status(), 503, "round {round}");
+        registry.set_down(true);
+        let next = Node::with_inherited_socket(&told, &listener, "3");
+        assert_eq!(next.management_call("GET", "/v1/readyz").status(), 503, "round {round}");
         let before = asked.load(Ordering::SeqCst);
-        until("the old one serves on", || asked.load(Ordering::SeqCst) > before + 50);
-        assert_eq!(next.figure("app.passed.slip"), 0, "the next one takes nobody before it has its list");
-        registry.down(false);
-        until("the next one is ready", || next.call("GET", "/v1/readyz").status() == 200);
+        wait_until("the old one serves on", || asked.load(Ordering::SeqCst) > before + 50);
+        assert_eq!(next.metric("app.passed.slip"), 0, "the next one takes nobody before it has its list");
+        registry.set_down(false);
+        wait_until("the next one is ready", || next.management_call("GET", "/v1/readyz").status() == 200);
         old.terminate();
         assert_eq!(old.exit_code(), Some(0));
         old = next;
     }
     let before = asked.load(Ordering::SeqCst);
-    until("clients are served", || asked.load(Ordering::SeqCst) > before + 100);
+    wait_until("clients are served", || asked.load(Ordering::SeqCst) > before + 100);
     over.store(true, Ordering::SeqCst);
     let total: usize = clients.into_iter().map(|c| c.join().expect("each request is served")).sum();
     let mut ran: Vec<String> =
-        server.seen().iter().map(|m| m.header("x-txn").expect("an id").to_string()).collect();
+        server.requests().iter().map(|m| m.header("x-txn").expect("an id").to_string()).collect();
     ran.sort_unstable();
     let runs = ran.len();
     ran.dedup();
@@ -338,39 +343,39 @@
 /// next: that is how a node with a ledger is replaced, whose directory is one process's at a time.
 #[test]
 fn clients_wait_between_two_processes_that_share_a_socket() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("bound");
     let mut told = managed(registry.address);
     told["listen"] = json!(at.to_string());
-    let mut old = Node::inheriting(&told, &listener, "3");
+    let mut old = Node::with_inherited_socket(&told, &listener, "3");
     old.wait_ready();
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
     let mut waits = Client::at(at);
     waits.send(&request("slip", "between", 15_000));
-    let next = Node::inheriting(&told, &listener, "3");
-    assert_eq!(waits.hear().expect("an answer").status(), 200);
-    assert_eq!((server.seen().len(), next.figure("app.passed.slip")), (1, 1));
+    let next = Node::with_inherited_socket(&told, &listener, "3");
+    assert_eq!(waits.receive().expect("an answer").status(), 200);
+    assert_eq!((server.requests().len(), next.metric("app.passed.slip")), (1, 1));
 }
 
 /// The figures are those of the process, whichever worker counted; a drain reaches all of its workers.
 #[test]
 fn workers_count_and_drain_together() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::with_args(&managed(registry.address), &["--workers", "3"]);
-    until("all follow the list", || registry.watches() == 3);
+    wait_until("all follow the list", || registry.watches() == 3);
     for n in 0..24 {
-        assert_eq!(Client::to(&node).ask(&request("slip", &format!("t{n}"), 15_000)).status(), 200);
+        assert_eq!(Client::to(&node).exchange(&request("slip", &format!("t{n}"), 15_000)).status(), 200);
     }
-    assert_eq!((node.figure("app.passed.slip"), node.figure("app.upstream_tries")), (24, 24));
-    assert_eq!(node.figure("app.known_servers"), 1);
-    let ready = |node: &Node| Client::to(node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
-    assert_eq!(node.call("PUT", "/v1/node/drain").status(), 200);
+    assert_eq!((node.metric("app.passed.slip"), node.metric("app.upstream_tries")), (24, 24));
+    assert_eq!(node.metric("app.known_servers"), 1);
+    let ready = |node: &Node| Client::to(node).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+    assert_eq!(node.management_call("PUT", "/v1/node/drain").status(), 200);
     assert!((0..24).all(|_| ready(&node) == 503), "each of them says no");
-    assert_eq!(node.call("PUT", "/v1/node/activate").status(), 200);
+    assert_eq!(node.management_call("PUT", "/v1/node/activate").status(), 200);
     assert!((0..24).all(|_| ready(&node) == 200));
     node.terminate();
     assert_eq!(node.exit_code(), Some(0));
--- a/tests/fault_soak.rs
+++ b/tests/fault_soak.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use peers::faults::Faults;
+use peers::host_delay::HostDelay;
 use peers::load::{Load, Report, Servers};
-use peers::machine::Machine;
-use peers::{config, folder, ledger_file, Node, Registry};
+use peers::{config, ledger_file, unused_path, Node, Registry};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -118,7 +118,7 @@
             span: SERVES + KILLED_AFTER,
             reuse: [1, 3, usize::MAX][random.random_range(0..3)],
             deadline: Duration::from_millis(random.random_range(500..2500)),
-            leaves: [0, 5, 11][random.random_range(0..3)],
+            abandon_every: [0, 5, 11][random.random_range(0..3)],
             pause: Duration::from_millis(random.random_range(2..20)),
             node_ends: true,
         };
@@ -152,7 +152,7 @@
 
     /// Sends the signals; the node has ended when this returns.
     fn signal(&self, node: &mut Node, config: &str) -> Result<(), String> {
-        let (began, machine) = (Instant::now(), Machine::measure());
+        let (began, host_delay) = (Instant::now(), HostDelay::start());
         for at in &self.reloads {
             std::thread::sleep(Duration::from_millis(*at).saturating_sub(began.elapsed()));
             node.reload(config);
@@ -170,8 +170,8 @@
             }
         }
         // Not while the machine itself may have held the node up.
-        while told.elapsed() < KILLED_AFTER + machine.delay() {
-            if let Some(status) = node.ended() {
+        while told.elapsed() < KILLED_AFTER + host_delay.max_delay() {
+            if let Some(status) = node.exit_status() {
                 let in_order = status.code() == Some(0);
                 return if in_order { Ok(()) } else { Err(format!("the node ended with {status}")) };
             }
@@ -182,13 +182,13 @@
     }
 
     fn operators(&self) -> Option<String> {
-        self.ledger.then(|| ledger_file(&folder(&format!("soak-{}", self.seed)), "process-crash"))
+        self.ledger.then(|| ledger_file(&unused_path(&format!("soak-{}", self.seed)), "process-crash"))
     }
 
     fn judge(&self, report: &Report) -> Result<(), String> {
-        if !report.broken.is_empty() {
-            let shown: Vec<_> = report.broken.iter().take(4).collect();
-            return Err(format!("{} broken, as {shown:?}", report.broken.len()));
+        if !report.violations.is_empty() {
+            let shown: Vec<_> = report.violations.iter().take(4).collect();
+            return Err(format!("{} broken, as {shown:?}", report.violations.len()));
         }
         // A crowd takes the connections of others, and a ledger whose disk fails refuses: both are no loss.
         let least = if self.crowd || self.ledger { 10 } else { 100 };
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -6,29 +6,29 @@
 use std::time::{Duration, Instant};
 
 use peers::faults::Faults;
+use peers::host_delay::HostDelay;
 use peers::load::{Load, Servers};
-use peers::machine::Machine;
-use peers::{answer, config, host, request, Client, Node, Peer, Registry, Say};
+use peers::{config, host, request, response, Client, Node, Registry, Reply, ScriptedServer};
 
-/// Runs clients against a node with these faults; at least `served_least` of the requests are served, and none is broken.
-fn kept_under(plan: &str, load: Load, served_least: f64) {
-    kept_before(&Servers::new(3, Duration::from_millis(10)), plan, load, served_least);
+/// Runs clients against a node with these faults; at least `min_served` of the requests are served, and none is broken.
+fn kept_under(plan: &str, load: Load, min_served: f64) {
+    kept_before(&Servers::new(3, Duration::from_millis(10)), plan, load, min_served);
 }
 
 /// The same before these servers.
-fn kept_before(servers: &Servers, plan: &str, load: Load, served_least: f64) {
+fn kept_before(servers: &Servers, plan: &str, load: Load, min_served: f64) {
     let registry = Registry::new(&servers.hosts());
     let faults = Faults::new(plan, 7);
     let mut node = Node::with_faults(&config(registry.address), &faults, &[]);
     let report = load.run(node.address, servers);
-    assert!(node.running(), "the node ended: {}", report.sums());
-    report.assert_kept(served_least);
+    assert!(node.running(), "the node ended: {}", report.summary());
+    report.assert_no_violations(min_served);
     faults.assert_injected();
 }
 
 /// Clients that connect anew for every second request, and leave now and then before they are answered.
 fn new_connections() -> Load {
-    Load { reuse: 2, leaves: 7, ..Load::default() }
+    Load { reuse: 2, abandon_every: 7, ..Load::default() }
 }
 
 /// No run of a plan goes without one of its faults by chance, however rare that fault and its call are.
@@ -42,7 +42,7 @@
 #[test]
 fn interrupted_calls_are_repeated() {
     let plan = "recv:EINTR:0.1;peek:EINTR:0.2;send:EINTR:0.1;writev:EINTR:0.1;epoll_wait:EINTR:0.1";
-    kept_under(plan, Load { leaves: 7, ..Load::default() }, 0.97);
+    kept_under(plan, Load { abandon_every: 7, ..Load::default() }, 0.97);
 }
 
 #[test]
@@ -94,7 +94,7 @@
 #[test]
 fn an_error_of_a_connection_that_is_not_over_ends_none() {
     let plan = "recv:ETIMEDOUT:0.03;recv:EHOSTUNREACH:0.03;writev:EHOSTUNREACH:0.03;send:ENETUNREACH:0.03";
-    kept_under(plan, Load { leaves: 7, ..Load::default() }, 0.97);
+    kept_under(plan, Load { abandon_every: 7, ..Load::default() }, 0.97);
 }
 
 #[test]
@@ -113,30 +113,34 @@
 fn told_in_time(plan: &str) {
     let seen = Arc::new(Mutex::new(Vec::new()));
     let noted = seen.clone();
-    let server = Peer::new(move |message| {
+    let server = ScriptedServer::new(move |message| {
         let told = message.header("x-remaining-ms").and_then(|told| told.parse().ok());
         noted.lock().expect("no panic").push((Instant::now(), told.map(Duration::from_millis)));
-        Say::This(answer(200, "", "served"))
+        Reply::Respond(response(200, "", "served"))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let faults = Faults::switched_off(plan, 7);
     let node = Node::with_faults(&config(registry.address), &faults, &[]);
     let mut client = Client::to(&node);
-    assert_eq!(client.ask(&request("look", "before", 4000)).status(), 200);
+    assert_eq!(client.exchange(&request("look", "before", 4000)).status(), 200);
     seen.lock().expect("no panic").clear();
     faults.switch(true);
     if plan.contains("accept") {
         client = Client::to(&node);
     }
-    let (machine, sent) = (Machine::measure(), Instant::now());
-    assert_eq!(client.ask(&request("slip", "held-up", DEADLINE.as_millis() as u64)).status(), 200, "{plan}");
+    let (host_delay, sent) = (HostDelay::start(), Instant::now());
+    assert_eq!(
+        client.exchange(&request("slip", "held-up", DEADLINE.as_millis() as u64)).status(),
+        200,
+        "{plan}"
+    );
     faults.assert_injected();
     let seen = seen.lock().expect("no panic");
     let [(at, Some(told))] = seen[..] else { panic!("{plan}: one attempt, {seen:?}") };
     let took = at - sent;
     assert!(took > 2 * REMAINING_SLACK, "{plan}: nothing was held up, {took:?}");
     let left = DEADLINE.saturating_sub(took);
-    let slack = REMAINING_SLACK + machine.delay();
+    let slack = REMAINING_SLACK + host_delay.max_delay();
     let words = format!("{plan}: {took:?} after it was sent its server was told {told:?}");
     assert!(told <= left + slack, "{words}, more than was left");
     assert!(told + slack >= left, "{words}, much less than was left");
@@ -181,6 +185,6 @@
         let node = Node::with_faults(&config(registry.address), &faults, &[]);
         faults.assert_injected();
         let load = Load { span: Duration::from_millis(200), ..Load::default() };
-        load.run(node.address, &servers).assert_kept(0.97);
+        load.run(node.address, &servers).assert_no_violations(0.97);
     }
 }
--- a/tests/faults_disk.rs
+++ b/tests/faults_disk.rs
@@ -6,10 +6,10 @@
 
 use peers::faults::Faults;
 use peers::load::{Load, Servers};
-use peers::three;
+use peers::three_nodes;
 use peers::{
-    answer, config, folder, host, ledger_file, magpietally, request, text, until, Client, Node, Peer,
-    Registry, Say,
+    config, host, ledger_file, magpietally, request, response, text, unused_path, wait_until, Client, Node,
+    Registry, Reply, ScriptedServer,
 };
 use serde_json::json;
 
@@ -19,7 +19,7 @@
 /// A new configuration is followed within 4 s of its signal, also where its file could not be read at first.
 #[test]
 fn a_configuration_that_can_not_be_read_for_a_moment_is_read_again() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let hosts = [host("s0", server.address, "active", 1)];
     let (old, new) = (Registry::new(&hosts), Registry::new(&hosts));
     let mut told = config(old.address);
@@ -29,18 +29,18 @@
     faults.switch(true);
     let signalled = Instant::now();
     node.reload(&told.to_string());
-    until("the file could not be read", || faults.counts().first().is_some_and(|count| *count >= 3));
+    wait_until("the file could not be read", || faults.counts().first().is_some_and(|count| *count >= 3));
     faults.switch(false);
-    until("the new service is called", || !new.calls().is_empty());
+    wait_until("the new service is called", || !new.calls().is_empty());
     assert!(signalled.elapsed() < Duration::from_secs(4), "{:?}", signalled.elapsed());
-    assert_eq!(Client::to(&node).ask(&request("look", "t1", 5000)).status(), 200);
+    assert_eq!(Client::to(&node).exchange(&request("look", "t1", 5000)).status(), 200);
 }
 
 /// While the disk fails what needs an intent is refused, and everything else served; after it all is served, and what the ledger
 /// holds is whole, also after a SIGKILL.
 #[test]
 fn a_ledgers_disk_that_fails_for_a_while_costs_refusals_and_no_record() {
-    let place = folder("faults-ledger");
+    let place = unused_path("faults-ledger");
     let operators = ledger_file(&place, "power-loss");
     let servers = Servers::new(2, Duration::from_millis(5));
     let registry = Registry::new(&servers.hosts());
@@ -50,25 +50,27 @@
     let load = Load { clients: 8, span: Duration::from_millis(1500), ..Load::default() };
     faults.switch(true);
     // Behind a write that failed the ledger pauses for seconds, in which it syncs nothing.
-    until("each fault has come", || {
-        load.run(node.address, &servers).assert_kept(0.3);
+    wait_until("each fault has come", || {
+        load.run(node.address, &servers).assert_no_violations(0.3);
         faults.all_injected()
     });
     faults.switch(false);
-    until("the disk is back", || Client::to(&node).ask(&request("slip", "back", 5000)).status() == 200);
-    load.run(node.address, &servers).assert_kept(0.99);
+    wait_until("the disk is back", || {
+        Client::to(&node).exchange(&request("slip", "back", 5000)).status() == 200
+    });
+    load.run(node.address, &servers).assert_no_violations(0.99);
     node.kill();
     let ledger = place.join("ledger").display().to_string();
     let verified = magpietally(&["ledger", "verify", &ledger]);
     assert_eq!(verified.status.code(), Some(0), "{}", text(&verified.stdout));
     let node = Node::with_args(&config(registry.address), &["--operators", &operators]);
-    load.run(node.address, &servers).assert_kept(0.99);
+    load.run(node.address, &servers).assert_no_violations(0.99);
 }
 
 /// A ledger's directory may fail for a moment at the start.
 #[test]
 fn a_ledger_begins_once_its_disk_works() {
-    let place = folder("faults-ledger-start");
+    let place = unused_path("faults-ledger-start");
     let operators = ledger_file(&place, "power-loss");
     let servers = Servers::new(1, Duration::ZERO);
     let registry = Registry::new(&servers.hosts());
@@ -79,17 +81,17 @@
         let faults = Faults::new(plan, 5);
         let node = Node::with_faults(&config(registry.address), &faults, &["--operators", &operators]);
         faults.assert_injected();
-        until(plan, || Client::to(&node).ask(&request("slip", "first", 5000)).status() == 200);
+        wait_until(plan, || Client::to(&node).exchange(&request("slip", "first", 5000)).status() == 200);
     }
 }
 
 /// What was out when a node died is not sent again, whatever its next life's wall clock says.
 #[test]
 fn a_stepped_wall_clock_opens_no_key_and_no_id() {
-    let place = folder("faults-clock");
+    let place = unused_path("faults-clock");
     let operators = ledger_file(&place, "power-loss");
     let args = ["--operators", operators.as_str()];
-    let silent = Peer::new(|_| Say::Nothing);
+    let silent = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("one", silent.address, "active", 0)]);
     let mut told = config(registry.address);
     let class = &mut told["settings"]["Classes"][1];
@@ -98,9 +100,9 @@
     let mut clients = [Client::to(&node), Client::to(&node)];
     clients[0].send(&request("slip", "txn-1", 15_000));
     clients[1].send(&request("pay", "txn-2", 15_000));
-    until("both are at the server", || silent.seen().len() >= 2);
+    wait_until("both are at the server", || silent.requests().len() >= 2);
     node.kill();
-    let good = Peer::good("two");
+    let good = ScriptedServer::healthy("two");
     let registry = Registry::new(&[host("two", good.address, "active", 0)]);
     told["discovery"] = registry.address.to_string().into();
     // Past the span for which servers remember the key.
@@ -109,8 +111,8 @@
         let faults = Faults::new(&format!("clock:step={step}:1"), 1);
         let node = Node::with_faults(&told, &faults, &args);
         let mut client = Client::to(&node);
-        until("it has the list", || client.ask(&request("look", "t0", 5000)).status() == 200);
-        let outcome = |class: &str, id: &str| Client::to(&node).ask(&request(class, id, 1000));
+        wait_until("it has the list", || client.exchange(&request("look", "t0", 5000)).status() == 200);
+        let outcome = |class: &str, id: &str| Client::to(&node).exchange(&request(class, id, 1000));
         assert_eq!(outcome("slip", "txn-1").status(), 502, "{step}");
         assert_eq!(outcome("pay", "txn-3").status(), 502, "{step}: the key may be forgotten by now");
         assert_eq!(outcome("slip", &format!("new{step}")).status(), 200, "{step}");
@@ -120,17 +122,17 @@
 /// A fleet's store that doubts its disk can't go on; its node answers what it has taken, and ends.
 #[test]
 fn a_doubted_fleet_store_ends_its_node_in_order() {
-    let place = folder("faults-fleet");
-    let server = Peer::new(|m| {
+    let place = unused_path("faults-fleet");
+    let server = ScriptedServer::new(|m| {
         let slow = m.header("x-txn") == Some("out");
         std::thread::sleep(Duration::from_millis(if slow { 900 } else { 5 }));
-        Say::This(answer(200, "", "served"))
+        Reply::Respond(response(200, "", "served"))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    let named = |node| three::config(&registry, node);
+    let named = |node| three_nodes::config(&registry, node);
     let faults = Faults::switched_off("sync:EIO:1", 3);
     let start = |node: usize| {
-        let args = ["--fleet", &three::file(&place, 0, node)];
+        let args = ["--fleet", &three_nodes::file(&place, 0, node)];
         match node {
             0 => Node::listening_with_faults(&named(node), &faults, &args),
             _ => Node::listening_with_args(&named(node), &args),
@@ -140,22 +142,22 @@
     nodes.iter().for_each(Node::wait_ready);
     let mut out = Client::to(&nodes[0]);
     out.send(&request("slip", "out", 15_000));
-    until("it is out", || server.seen().iter().any(|m| m.header("x-txn") == Some("out")));
+    wait_until("it is out", || server.requests().iter().any(|m| m.header("x-txn") == Some("out")));
     faults.switch(true);
     // A document that is proposed has to be written down.
     let document = "# nothing is set\n";
     let length = document.len();
     let put =
         format!("PUT /v1/fleet/policy HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{document}");
-    until("the store doubts its disk", || {
-        let _ = nodes[0].manage(&put);
+    wait_until("the store doubts its disk", || {
+        let _ = nodes[0].management_exchange(&put);
         nodes[0].logged("can't go on")
     });
-    assert_eq!(out.hear().expect("what was out is answered").status(), 200);
+    assert_eq!(out.receive().expect("what was out is answered").status(), 200);
     assert_eq!(nodes[0].exit_code(), Some(1));
     faults.assert_injected();
     let mut others = Client::to(&nodes[1]);
-    until("the others go on", || others.ask(&request("look", "t1", 5000)).status() == 200);
+    wait_until("the others go on", || others.exchange(&request("look", "t1", 5000)).status() == 200);
     faults.switch(false);
     start(0).wait_ready();
 }
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -36,18 +36,18 @@
     planted: Option<(&'static [usize], &'static str)>,
     /// A node under a limit of the shell's.
     limited: Option<(usize, &'static str)>,
-    _server: Peer,
+    _server: ScriptedServer,
     _registry: Registry,
 }
 
 impl Fleet {
     fn new(name: &str, seed: u64, planted: Option<(&'static [usize], &'static str)>) -> Self {
-        let server = Peer::good("a");
+        let server = ScriptedServer::healthy("a");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let mut config = config(registry.address);
         config["management"] = json!("127.0.0.1:0");
         config["settings"]["Customers"] = json!([{"Name": "punjab-clubs", "QuotaPerS": 1000.0}]);
-        let folder = folder(name);
+        let folder = unused_path(name);
         std::fs::create_dir_all(&folder).expect("a directory");
         std::fs::write(folder.join("policy.toml"), "").expect("a file");
         let mut fleet = Self {
@@ -109,7 +109,7 @@
             None => Node::listening_with_args(&config, &args),
         };
         let mut own = None;
-        until("the fleet's sockets are open", || {
+        wait_until("the fleet's sockets are open", || {
             own = node.logged_after(" of test at ").and_then(|rest| {
                 let (datagrams, streams) = rest.split_once(" and ")?;
                 Some((datagrams.parse().ok()?, streams.trim().parse().ok()?))
@@ -143,7 +143,7 @@
     /// answered too late is made again under the next number.
     fn wait_version(&self, least: u64, which: &[usize]) -> u64 {
         let mut found = None;
-        until(&format!("nodes {which:?} are ready under version {least} or later"), || {
+        wait_until(&format!("nodes {which:?} are ready under version {least} or later"), || {
             let has = |v: u64| which.iter().all(|&i| self.node(i).logged(&format!("version {v}, ready")));
             found = (least..least + 8).find(|&v| has(v));
             found.is_some()
@@ -251,7 +251,7 @@
 
     // A document with a fault is refused where it was written, with line and field, and changes nothing.
     f.write_policy(&QUOTA.replace("burst = 60", "burst = 60\ncost.refund = 2"));
-    until("the bad document is refused", || {
+    wait_until("the bad document is refused", || {
         f.node(6).logged("tenants.punjab-clubs.cost.refund: no such class")
     });
 
@@ -261,7 +261,7 @@
             "PUT /v1/fleet/policy HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        f.node(2).manage(&words).expect("an answer")
+        f.node(2).management_exchange(&words).expect("an answer")
     };
     let answer = put("[limits]\nattempts = 9\n");
     assert_eq!(answer.status(), 400);
@@ -293,8 +293,8 @@
     f.write_policy(&QUOTA.replace("60.0", "50.0"));
     f.wait_version(second + 1, &ALL);
 
-    let state = || text(&f.node(4).call("GET", "/v1/fleet").body);
-    until("all seven hold a lease", || state().contains("7 members hold a lease"));
+    let state = || text(&f.node(4).management_call("GET", "/v1/fleet").body);
+    wait_until("all seven hold a lease", || state().contains("7 members hold a lease"));
     assert!(state().contains("under version"), "{}", state());
     let served = f.end_load();
     assert!(served > 100, "{served} requests served: the records say little");
@@ -325,7 +325,7 @@
     f.wait_version(first + 1, &[0, 1, 2, 3, 4, 6]);
     // Answers under the new version leave, and the faulty node goes on under the old one.
     let mut found = Vec::new();
-    until("the checker finds going back", || {
+    wait_until("the checker finds going back", || {
         found = policy_check::check(&f.all_records().0);
         found.iter().any(|breach| breach.rule == policy_check::Rule::NoGoingBack)
     });
@@ -379,7 +379,7 @@
     f.nodes[1].as_mut().expect("it runs").kill();
     f.limited = Some((1, "-f 8"));
     f.start(1);
-    until("the full disk is told", || f.node(1).logged("the store refuses: no space left"));
+    wait_until("the full disk is told", || f.node(1).logged("the store refuses: no space left"));
     // A tenth of the datagrams lost, some doubled and late, and a link between two voters that works one way.
     f.datagrams.set_default_link(DatagramLink {
         drop_share: 0.1,
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -13,10 +13,10 @@
 /// one line that names the file, an exit code, and no memory filled.
 #[test]
 fn what_stands_in_the_place_of_a_file_is_named() {
-    let made = folder("in-place");
+    let made = unused_path("in-place");
     std::fs::create_dir_all(&made).expect("a directory");
     let (made, fifo) = (made.display().to_string(), made.join("fifo").display().to_string());
-    pipe(&fifo);
+    make_fifo(&fifo);
     let good = format!("{made}/config.json");
     let told = config("127.0.0.1:1".parse().expect("an address"));
     std::fs::write(&good, told.to_string()).expect("a file");
@@ -24,7 +24,7 @@
         for (args, config, code) in
             [(&["node"][..], odd, 1), (&["node", "--operators", odd], good.as_str(), 2)]
         {
-            let (ended, words) = run_small(args, config);
+            let (ended, words) = run_with_memory_limit(args, config);
             assert_eq!(ended, Some(code), "{args:?} {config}: {words}");
             assert!(words.contains(odd) && words.lines().count() == 1, "{args:?} {config}: {words}");
         }
@@ -38,7 +38,7 @@
             &["boxes", "sum", odd],
             &["ledger", "reconcile", &made, "--boxes", odd],
         ] {
-            let (ended, words) = run_small(args, &good);
+            let (ended, words) = run_with_memory_limit(args, &good);
             assert_eq!(ended, Some(2), "{args:?}: {words}");
             assert!(words.contains(odd) && words.lines().count() == 1, "{args:?}: {words}");
         }
@@ -48,18 +48,18 @@
 /// The same at a reload: the node goes on by what it has.
 #[test]
 fn a_pipe_in_the_place_of_the_configuration_holds_up_no_request() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let told = config(registry.address);
     let mut node = Node::ready(&told);
-    node.reload_from(pipe);
-    until("the node says so", || node.logged("not a file; the old configuration stays"));
+    node.reload_from(make_fifo);
+    wait_until("the node says so", || node.logged("not a file; the old configuration stays"));
     for odd in ["{", "[[[[[[[[[[[[[[[[[[[[[[[[[[", "\u{0}"] {
         node.reload(odd);
-        assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
+        assert_eq!(Client::to(&node).exchange(&request("look", "t1", 15_000)).status(), 200);
     }
     node.reload(&"[".repeat(100_000));
-    until("the node says so, too", || node.logged("not JSON: recursion limit exceeded"));
+    wait_until("the node says so, too", || node.logged("not JSON: recursion limit exceeded"));
     node.terminate();
     assert_eq!(node.exit_code(), Some(0));
 }
@@ -89,9 +89,9 @@
         let mut config = good.clone();
         spoil(&mut config);
         let text = config.to_string().replace("\"WEIGHT\"", "1e999");
-        let file = folder("numbers.json").display().to_string();
+        let file = unused_path("numbers.json").display().to_string();
         std::fs::write(&file, text).expect("a file");
-        let (code, told) = run_small(&["node"], &file);
+        let (code, told) = run_with_memory_limit(&["node"], &file);
         assert_eq!(code, Some(1), "{words}: {told}");
         let begins = format!("magpietally: BALANCER_CONFIG: {file}: {words}");
         assert!(told.starts_with(&begins) && told.lines().count() == 1, "{words}: {told}");
@@ -101,7 +101,7 @@
 /// Lines of discovery that can't be right change nothing: the list stays, and the whole is asked for.
 #[test]
 fn lines_of_discovery_that_can_not_be_right_change_nothing() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let hosts = [host("s0", server.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let node = Node::ready(&config(registry.address));
@@ -119,11 +119,11 @@
     ];
     for (n, line) in lines.iter().enumerate() {
         let watches = registry.watches();
-        registry.say(line);
-        until("the node watches anew", || registry.watches() > watches);
+        registry.push_line(line);
+        wait_until("the node watches anew", || registry.watches() > watches);
         let whole = registry.calls().iter().filter(|c| *c == "/v1/endpoints").count();
         assert!(whole > n, "line {n}: the whole list is asked for");
-        assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200, "line {n}");
+        assert_eq!(Client::to(&node).exchange(&request("look", "t1", 15_000)).status(), 200, "line {n}");
     }
 }
 
@@ -131,17 +131,17 @@
 /// none at all. Requests go on, or are refused at once while there is nobody.
 #[test]
 fn odd_lists_are_served_by() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let hosts = [host("s0", a.address, "active", 1), host("s1", b.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let node = Node::ready(&config(registry.address));
     let mut seq = 10;
     let mut tell = |hosts: &[Value], changes: &[Value]| {
         seq += 1;
-        registry.tell(seq, hosts, changes);
+        registry.publish(seq, hosts, changes);
     };
     let mut client = Client::to(&node);
-    let mut ask = move || client.ask(&request("look", "t1", 15_000));
+    let mut ask = move || client.exchange(&request("look", "t1", 15_000));
     for weight in [json!(0), json!(-4.0), json!(1e-300), json!(1e300), json!(1e18)] {
         let mut odd = hosts.clone();
         odd[0]["share"] = weight.clone();
@@ -153,43 +153,43 @@
     // A restart told in one line: what is said last holds.
     tell(&hosts, &[host("s0", a.address, "left", 1), host("s0", a.address, "active", 1)]);
     tell(&hosts[..1], &[host("s1", b.address, "left", 1)]);
-    until("s1 is gone and s0 is back", || (0..4).all(|_| ask().body == b"a"));
+    wait_until("s1 is gone and s0 is back", || (0..4).all(|_| ask().body == b"a"));
     let many: Vec<Value> = (0..3000).map(|n| host(&format!("t{n}"), b.address, "active", 1)).collect();
     tell(&many, &many);
     tell(&many, &[host("s0", a.address, "left", 1)]);
-    until("thousands are served by", || (0..4).all(|_| ask().body == b"b"));
+    wait_until("thousands are served by", || (0..4).all(|_| ask().body == b"b"));
     let gone: Vec<Value> = (0..3000).map(|n| host(&format!("t{n}"), b.address, "left", 1)).collect();
     tell(&[], &gone);
-    until("nobody is left", || ask().status() == 503);
+    wait_until("nobody is left", || ask().status() == 503);
     assert!(ask().header("retry-after").is_some());
     tell(&hosts, &hosts);
-    until("both are back", || ask().status() == 200);
+    wait_until("both are back", || ask().status() == 200);
 }
 
 /// Changes of an older version come late, or from a source that has lost its place: a server that drains since gets nothing
 /// on the strength of them.
 #[test]
 fn changes_of_an_older_version_bring_no_drained_server_back() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let (up, drains) = (host("s0", a.address, "active", 1), host("s0", a.address, "leaving", 1));
     let other = host("s1", b.address, "active", 1);
     let registry = Registry::new(&[up.clone(), other.clone()]);
     let node = Node::ready(&config(registry.address));
     let mut client = Client::to(&node);
-    let mut ask = move || client.ask(&request("look", "t1", 15_000)).body;
-    registry.tell(7, &[drains.clone(), other], &[drains]);
-    until("the drain is known", || (0..4).all(|_| ask() == b"b"));
-    registry.say(&line(3, false, &[up]));
-    until("the node says so", || node.logged("seq: 3 after 7"));
+    let mut ask = move || client.exchange(&request("look", "t1", 15_000)).body;
+    registry.publish(7, &[drains.clone(), other], &[drains]);
+    wait_until("the drain is known", || (0..4).all(|_| ask() == b"b"));
+    registry.push_line(&line(3, false, &[up]));
+    wait_until("the node says so", || node.logged("seq: 3 after 7"));
     assert!((0..10).all(|_| ask() == b"b"));
-    until("the whole list is asked for", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
+    wait_until("the whole list is asked for", || registry.calls().iter().any(|c| c == "/v1/endpoints"));
     assert!((0..10).all(|_| ask() == b"b"));
 }
 
 /// Bytes that never make a line are no sign of life: what has to be told waits behind them.
 #[test]
 fn a_watch_that_trickles_without_a_line_is_given_up() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let source = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = source.local_addr().expect("bound");
     let list = line(1, true, &[host("s0", server.address, "active", 1)]);
@@ -212,16 +212,16 @@
         }
     });
     let node = Node::ready(&config(at));
-    calls.recv_timeout(PATIENCE).expect("the first call");
-    calls.recv_timeout(PATIENCE).expect("a second call");
-    assert_eq!(Client::to(&node).ask(&request("look", "t1", 15_000)).status(), 200);
+    calls.recv_timeout(WAIT_TIMEOUT).expect("the first call");
+    calls.recv_timeout(WAIT_TIMEOUT).expect("a second call");
+    assert_eq!(Client::to(&node).exchange(&request("look", "t1", 15_000)).status(), 200);
 }
 
 /// Requests whose numbers or repeated headers make no sense are answered at once and reach no server; one whose time is over
 /// is refused at once.
 #[test]
 fn odd_numbers_and_headers_of_clients_reach_no_server() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     let good = request("pay", "t1", 15_000);
@@ -244,12 +244,16 @@
         (503, time("0")),
     ];
     for (status, words) in cases {
-        assert_eq!(Client::to(&node).ask(&words).status(), status, "{}", &words[..200.min(words.len())]);
+        assert_eq!(Client::to(&node).exchange(&words).status(), status, "{}", &words[..200.min(words.len())]);
     }
-    assert!(server.seen().is_empty(), "{:?}", server.seen());
-    assert_eq!(Client::to(&node).ask(&header("X-Org: a\r\nX-Org: b")).status(), 200, "a tenant is no matter");
+    assert!(server.requests().is_empty(), "{:?}", server.requests());
+    assert_eq!(
+        Client::to(&node).exchange(&header("X-Org: a\r\nX-Org: b")).status(),
+        200,
+        "a tenant is no matter"
+    );
     // However long a client says it waits.
-    assert_eq!(Client::to(&node).ask(&time("18446744073709551615")).status(), 200);
+    assert_eq!(Client::to(&node).exchange(&time("18446744073709551615")).status(), 200);
 }
 
 /// A server that never comes to the point: 1xx without end, a head without end, an answer in single bytes. The request ends
@@ -286,7 +290,7 @@
         let mut told = config(Registry::new(&[host("s0", at, "active", 1)]).address);
         told["settings"]["Limits"]["Probes"] = json!(false);
         let node = Node::ready(&told);
-        let heard = Client::to(&node).ask(&request("slip", "t1", 1200));
+        let heard = Client::to(&node).exchange(&request("slip", "t1", 1200));
         assert!([502, 504].contains(&heard.status()), "{what}: {}", heard.head);
         assert!(node.memory_kib() < 64 << 10, "{what}: {} KiB", node.memory_kib());
     }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -39,7 +39,7 @@
 }
 
 /// The node with one server.
-fn node_before(server: &Peer) -> (Registry, Node) {
+fn node_before(server: &ScriptedServer) -> (Registry, Node) {
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     config["management"] = json!("127.0.0.1:0");
@@ -59,19 +59,19 @@
 /// Answers of all sizes and framings come through unchanged, also to HTTP/1.0, and their connections are used again.
 #[test]
 fn answers_of_all_sizes_and_framings_come_through_whole() {
-    let server = Peer::new(|m| {
+    let server = ScriptedServer::new(|m| {
         let mut words = m.header("x-txn").expect("an id").split('-');
         let (framing, count) = (words.next().expect("a framing"), words.next().expect("a size"));
         let body = bytes(count.parse().expect("a number"));
         let early = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
         let head = |line: &str| [&early[..], b"HTTP/1.1 200 OK\r\n", line.as_bytes(), b"\r\n\r\n"].concat();
         match framing {
-            "length" => Say::This([head(&format!("Content-Length: {}", body.len())), body].concat()),
+            "length" => Reply::Respond([head(&format!("Content-Length: {}", body.len())), body].concat()),
             "chunks" => {
-                Say::This([head("Transfer-Encoding: chunked"), plainly_chunked(&body, 5000)].concat())
+                Reply::Respond([head("Transfer-Encoding: chunked"), plainly_chunked(&body, 5000)].concat())
             }
-            "trailer" => Say::This([head("Transfer-Encoding: chunked"), chunked(&body, 5000)].concat()),
-            _ => Say::Last([head("Connection: close"), body].concat()),
+            "trailer" => Reply::Respond([head("Transfer-Encoding: chunked"), chunked(&body, 5000)].concat()),
+            _ => Reply::RespondAndClose([head("Connection: close"), body].concat()),
         }
     });
     let (_registry, node) = node_before(&server);
@@ -80,17 +80,17 @@
     for count in [0, 1, HELD, HELD + 1, 200_000, 3_000_000] {
         for framing in ["length", "chunks", "trailer", "close"] {
             let words = request("slip", &format!("{framing}-{count}"), 15_000);
-            let heard = client.ask(&words);
+            let heard = client.exchange(&words);
             assert!(heard.status() == 200 && heard.body == bytes(count), "{framing} {count}: {}", heard.head);
             let old = request("slip", &format!("{framing}-{count}-old"), 15_000);
-            let heard = Client::to(&node).ask(&old.replace("HTTP/1.1", "HTTP/1.0"));
+            let heard = Client::to(&node).exchange(&old.replace("HTTP/1.1", "HTTP/1.0"));
             assert!(heard.status() == 200 && heard.body == bytes(count), "{framing} {count}, HTTP/1.0");
             passed += 2;
         }
     }
-    until("all are counted", || node.figure("app.passed.slip") == passed);
-    assert_eq!(node.figure("app.in_progress"), 0);
-    let connections = server.seen().iter().map(|m| m.conn).max().expect("some came");
+    wait_until("all are counted", || node.metric("app.passed.slip") == passed);
+    assert_eq!(node.metric("app.in_progress"), 0);
+    let connections = server.requests().iter().map(|m| m.conn).max().expect("some came");
     // What stands behind the last chunk is not looked into: such a connection is not trusted with another request.
     let not_kept = passed as usize / 2;
     assert!(connections < not_kept + 8, "{connections} connections, {not_kept} of them not to be kept");
@@ -101,20 +101,20 @@
 fn an_answer_is_passed_on_while_it_comes() {
     let (go, wait) = mpsc::channel::<()>();
     let wait = Mutex::new(Some(wait));
-    let server = Peer::new(move |_| {
+    let server = ScriptedServer::new(move |_| {
         let wait = wait.lock().expect("no panic").take();
-        Say::By(Box::new(move |out| {
+        Reply::WriteWith(Box::new(move |out| {
             out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")?;
             out.write_all(&bytes(100_000)[..10])?;
             if let Some(wait) = wait {
-                wait.recv_timeout(PATIENCE).expect("the client has its first bytes");
+                wait.recv_timeout(WAIT_TIMEOUT).expect("the client has its first bytes");
             }
             out.write_all(&bytes(100_000)[10..])
         }))
     });
     let (_registry, node) = node_before(&server);
     let mut stream = TcpStream::connect(node.address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     // Its deadline is for the first bytes alone.
     stream.write_all(request("slip", "t1", 1500).as_bytes()).expect("it reads");
     let (mut got, mut buf) = (Vec::new(), [0; 4096]);
@@ -123,7 +123,7 @@
         assert!(n > 0, "{}", text(&got));
         got.extend_from_slice(&buf[..n]);
     }
-    assert_eq!((node.figure("app.passed.slip"), node.figure("app.in_progress")), (0, 1));
+    assert_eq!((node.metric("app.passed.slip"), node.metric("app.in_progress")), (0, 1));
     std::thread::sleep(Duration::from_millis(1700));
     go.send(()).expect("the server waits");
     while !got.ends_with(&bytes(100_000)[90_000..]) {
@@ -131,15 +131,15 @@
         assert!(n > 0, "cut off at {}", got.len());
         got.extend_from_slice(&buf[..n]);
     }
-    until("it is counted", || node.figure("app.passed.slip") == 1);
+    wait_until("it is counted", || node.metric("app.passed.slip") == 1);
 }
 
 /// An answer of unknown length that comes slowly is passed on before the time for its first bytes is over.
 #[test]
 fn an_answer_of_unknown_length_that_comes_slowly_is_not_given_up() {
-    let server = Peer::new(|m| {
+    let server = ScriptedServer::new(|m| {
         let close = m.header("x-txn") == Some("close");
-        Say::By(Box::new(move |out| {
+        Reply::WriteWith(Box::new(move |out| {
             let head = if close { "Connection: close" } else { "Transfer-Encoding: chunked" };
             out.write_all(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n").as_bytes())?;
             let all = if close { bytes(50_000) } else { plainly_chunked(&bytes(50_000), 500) };
@@ -161,7 +161,7 @@
     }
     let node = Node::ready(&told);
     for framing in ["chunks", "close"] {
-        let heard = Client::to(&node).ask(&request("slip", framing, 2000));
+        let heard = Client::to(&node).exchange(&request("slip", framing, 2000));
         assert!(heard.status() == 200 && heard.body == bytes(50_000), "{framing}: {}", heard.head);
     }
 }
@@ -176,9 +176,9 @@
         (80_000, "Transfer-Encoding: chunked"),
     ] {
         let broke = AtomicBool::new(false);
-        let server = Peer::new(move |_| {
+        let server = ScriptedServer::new(move |_| {
             if broke.swap(true, Ordering::SeqCst) {
-                return Say::This(answer(200, "", "whole"));
+                return Reply::Respond(response(200, "", "whole"));
             }
             let body = bytes(count);
             let part = if framing.starts_with("T") {
@@ -187,25 +187,27 @@
             } else {
                 body
             };
-            Say::Last([format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").into_bytes(), part].concat())
+            Reply::RespondAndClose(
+                [format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").into_bytes(), part].concat(),
+            )
         });
         let (_registry, node) = node_before(&server);
-        let heard = Client::to(&node).try_ask(&request("look", "t1", 15_000));
+        let heard = Client::to(&node).try_exchange(&request("look", "t1", 15_000));
         if count < HELD {
             assert_eq!(heard.expect("an answer").body, b"whole", "{framing} {count}");
-            assert_eq!(server.seen().len(), 2);
+            assert_eq!(server.requests().len(), 2);
         } else {
             assert!(heard.is_none(), "{framing}: not whole, and not repeated");
-            assert_eq!(server.seen().len(), 1);
-            until("it is counted as failed", || node.figure("app.bad_gateway.look") == 1);
+            assert_eq!(server.requests().len(), 1);
+            wait_until("it is counted as failed", || node.metric("app.bad_gateway.look") == 1);
         }
         // To HTTP/1.0 the connection's end is the answer's: that must not look like one.
         let mut old = Client::to(&node);
         old.send(&request("look", "t2", 15_000).replace("HTTP/1.1", "HTTP/1.0"));
-        assert_eq!(old.hear().expect("an answer").body, b"whole");
+        assert_eq!(old.receive().expect("an answer").body, b"whole");
     }
-    let server = Peer::new(|_| {
-        Say::By(Box::new(|out| {
+    let server = ScriptedServer::new(|_| {
+        Reply::WriteWith(Box::new(|out| {
             out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n")?;
             out.write_all(&bytes(100_000))?;
             Err(std::io::ErrorKind::Other.into())
@@ -214,13 +216,13 @@
     let (_registry, node) = node_before(&server);
     let mut old = Client::to(&node);
     old.send(&request("look", "t1", 15_000).replace("HTTP/1.1", "HTTP/1.0"));
-    assert!(old.hear().is_none(), "a reset, and no clean end");
+    assert!(old.receive().is_none(), "a reset, and no clean end");
 }
 
 /// Requests of all sizes and framings reach the server as they were sent, each once.
 #[test]
 fn requests_of_all_sizes_and_framings_arrive_whole() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let (_registry, node) = node_before(&server);
     let mut client = Client::to(&node);
     let mut count = 0;
@@ -240,9 +242,9 @@
                     assert!(go_on.starts_with("HTTP/1.1 100"), "{go_on}");
                 }
                 client.send_bytes(&on_the_wire);
-                let heard = client.hear().expect("an answer");
+                let heard = client.receive().expect("an answer");
                 assert_eq!(heard.status(), 200, "{framing}, {size}");
-                let seen = server.seen();
+                let seen = server.requests();
                 assert_eq!(seen.len(), count);
                 let last = seen.last().expect("it came");
                 assert!(last.body == body, "{framing}, {size}: {} came", last.body.len());
@@ -250,7 +252,7 @@
         }
     }
     assert_eq!(
-        (node.figure("app.passed.slip"), node.figure("app.upstream_tries")),
+        (node.metric("app.passed.slip"), node.metric("app.upstream_tries")),
         (count as u64, count as u64)
     );
 }
@@ -258,7 +260,7 @@
 /// Pipelined requests of all framings each have their answer, in order, however they are cut into pieces.
 #[test]
 fn pipelined_requests_are_each_answered() {
-    let server = Peer::new(|m| Say::This(answer(200, "", m.header("x-txn").unwrap_or("?"))));
+    let server = ScriptedServer::new(|m| Reply::Respond(response(200, "", m.header("x-txn").unwrap_or("?"))));
     let (_registry, node) = node_before(&server);
     let body = bytes(100_000);
     let mut words = Vec::new();
@@ -286,7 +288,7 @@
         });
         for n in 0..3 {
             for kind in ["a", "b", "c", "d"] {
-                let heard = client.hear().expect("an answer");
+                let heard = client.receive().expect("an answer");
                 assert_eq!(
                     (heard.status(), text(&heard.body)),
                     (200, format!("{kind}{n}")),
@@ -295,7 +297,7 @@
             }
         }
         writer.join().expect("it has written");
-        assert_eq!(client.ask(&request("look", "last", 15_000)).status(), 200);
+        assert_eq!(client.exchange(&request("look", "last", 15_000)).status(), 200);
     }
 }
 
@@ -303,7 +305,7 @@
 /// is told so at once.
 #[test]
 fn no_server_gets_a_whole_request_that_no_client_sent_whole() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let (_registry, node) = node_before(&server);
     let body = bytes(2_000_000);
     for (framing, on_the_wire) in
@@ -317,17 +319,17 @@
         stalls.send(&upload("slip", "stalls", framing));
         stalls.send_bytes(&on_the_wire[..on_the_wire.len() - 30]);
         let began = Instant::now();
-        assert!(stalls.ended_or_reset(), "it is given up");
-        assert!(began.elapsed() < PATIENCE);
+        assert!(stalls.closed_or_reset(), "it is given up");
+        assert!(began.elapsed() < WAIT_TIMEOUT);
     }
     let mut bad = Client::to(&node);
     bad.send(&upload("slip", "malformed", "Transfer-Encoding: chunked"));
     let whole = chunked(&body, 30_000);
     bad.send_bytes(&whole[..whole.len() - 100]);
     bad.send("zz\r\n\r\n0\r\n\r\n");
-    assert!(bad.hear().is_none_or(|h| (400..600).contains(&h.status())));
-    assert_eq!(Client::to(&node).ask(&request("slip", "good", 15_000)).status(), 200);
-    assert_eq!(server.seen().len(), 1, "only the good one came whole");
+    assert!(bad.receive().is_none_or(|h| (400..600).contains(&h.status())));
+    assert_eq!(Client::to(&node).exchange(&request("slip", "good", 15_000)).status(), 200);
+    assert_eq!(server.requests().len(), 1, "only the good one came whole");
     let registry = Registry::new(&[]);
     let mut told = config(registry.address);
     told["management"] = json!("127.0.0.1:0");
@@ -335,24 +337,25 @@
     let mut client = Client::to(&node);
     client.send(&upload("slip", "t1", "Content-Length: 2000000").replace("15000", "900"));
     client.send_bytes(&body[..700_000]);
-    let heard = client.hear().expect("an answer before the last byte");
+    let heard = client.receive().expect("an answer before the last byte");
     assert_eq!((heard.status(), heard.header("connection")), (503, Some("close")));
-    assert_eq!(node.figure("app.dropped.slip"), 1);
+    assert_eq!(node.metric("app.dropped.slip"), 1);
 }
 
 /// A body whose last piece is the one that is too much to hold has come whole when it is passed on: nobody waits for more of it,
 /// however long its server takes.
 #[test]
 fn a_body_that_ends_where_it_is_passed_on_is_whole() {
-    let server = Peer::new(|_| Say::Later(Duration::from_millis(3500), answer(200, "", "late")));
+    let server =
+        ScriptedServer::new(|_| Reply::RespondAfter(Duration::from_millis(3500), response(200, "", "late")));
     let (_registry, node) = node_before(&server);
     let size = 512 * 1024 + 1;
     let mut client = Client::to(&node);
     client.send(&upload("slip", "t1", &format!("Content-Length: {size}")));
     client.send_bytes(&bytes(size));
-    until("it is at the server", || server.seen().len() == 1);
-    assert_eq!(node.figure("app.in_progress"), 1);
-    assert_eq!(client.hear().expect("an answer").body, b"late");
+    wait_until("it is at the server", || server.requests().len() == 1);
+    assert_eq!(node.metric("app.in_progress"), 1);
+    assert_eq!(client.receive().expect("an answer").body, b"late");
 }
 
 /// The same while there is no server yet: what has come whole is no client that pauses, and keeps its connection until it has
@@ -365,7 +368,7 @@
     told["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
     let node = Node::ready(&told);
     // The last bytes come with what is too much to hold, or behind it; by length and in chunks.
-    let (size, server) = (512 * 1024, Peer::good("a"));
+    let (size, server) = (512 * 1024, ScriptedServer::healthy("a"));
     let mut clients = Vec::new();
     for more in [1, 8_000] {
         for framing in [format!("Content-Length: {}", size + more), "Transfer-Encoding: chunked".to_string()]
@@ -383,14 +386,14 @@
     stalls
         .send(&upload("slip", "stalls", &format!("Content-Length: {}", size + 2)).replace("15000", "60000"));
     stalls.send_bytes(&bytes(size + 1));
-    assert!(stalls.ended_or_reset(), "it is given up");
+    assert!(stalls.closed_or_reset(), "it is given up");
     let hosts = [host("s0", server.address, "active", 1)];
-    registry.tell(2, &hosts, &hosts);
+    registry.publish(2, &hosts, &hosts);
     for (mut client, framing, size) in clients {
-        let heard = client.hear().expect("an answer");
+        let heard = client.receive().expect("an answer");
         assert_eq!(heard.status(), 200, "{framing}, {size}");
     }
-    let mut sizes: Vec<usize> = server.seen().iter().map(|m| m.body.len()).filter(|n| *n > 0).collect();
+    let mut sizes: Vec<usize> = server.requests().iter().map(|m| m.body.len()).filter(|n| *n > 0).collect();
     sizes.sort_unstable();
     assert_eq!(sizes, [size + 1, size + 1, size + 8_000, size + 8_000]);
 }
@@ -423,7 +426,7 @@
         // The node stops reading when there is nobody to pass it to.
         let _ = out.write_all(&body);
     });
-    let heard = client.hear().expect("an answer");
+    let heard = client.receive().expect("an answer");
     assert_eq!(heard.status(), 503, "it never ran");
     assert_eq!(came.load(Ordering::SeqCst), 1, "what is passed on is not sent again");
     drop(client);
@@ -433,7 +436,7 @@
 /// Slow clients have 2 s for a head and send 64 kB a second; who sends no proper request is shown the door.
 #[test]
 fn slow_clients_are_waited_for_and_silent_ones_are_not() {
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let (_registry, node) = node_before(&server);
     let silent: Vec<Client> =
         ["", "POST /slip HTTP/1.1\r\n", &upload("slip", "half", "Content-Length: 100000")]
@@ -447,7 +450,7 @@
     let began = Instant::now();
     let doors: Vec<_> = silent
         .into_iter()
-        .map(|mut c| std::thread::spawn(move || c.ended_or_reset().then(|| began.elapsed())))
+        .map(|mut c| std::thread::spawn(move || c.closed_or_reset().then(|| began.elapsed())))
         .collect();
     let mut slow = Client::to(&node);
     // Little time for the answer: it counts from the last byte.
@@ -460,37 +463,41 @@
         slow.send_bytes(piece);
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(slow.hear().expect("an answer").status(), 200);
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(slow.receive().expect("an answer").status(), 200);
+    assert_eq!(server.requests().len(), 1);
     for door in doors {
-        assert!(door.join().expect("it ends").expect("it is closed") < PATIENCE / 2);
+        assert!(door.join().expect("it ends").expect("it is closed") < WAIT_TIMEOUT / 2);
     }
 }
 
 /// `HEAD` asks a class that is safe to repeat as `GET` does; there is no body, and the connection goes on.
 #[test]
 fn a_head_request_has_an_answer_without_a_body() {
-    let server = Peer::new(|m| {
+    let server = ScriptedServer::new(|m| {
         if m.head.starts_with("HEAD") {
-            Say::This(b"HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n".to_vec())
+            Reply::Respond(b"HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\n".to_vec())
         } else {
-            Say::This(answer(200, "", "a"))
+            Reply::Respond(response(200, "", "a"))
         }
     });
     let (_registry, node) = node_before(&server);
     let mut client = Client::to(&node);
     for n in 0..3 {
-        rest();
+        let_connection_idle();
         client.send(&request("look", &format!("h{n}"), 15_000).replace("GET", "HEAD"));
         let head = client.head();
         assert!(
             head.starts_with("HTTP/1.1 200") && head.to_lowercase().contains("content-length: 90000"),
             "{head}"
         );
-        rest();
-        assert_eq!(client.ask(&request("look", &format!("g{n}"), 15_000)).body, b"a");
+        let_connection_idle();
+        assert_eq!(client.exchange(&request("look", &format!("g{n}"), 15_000)).body, b"a");
     }
-    assert_eq!(server.seen().iter().map(|m| m.conn).max(), Some(1), "the connection to the server is kept");
+    assert_eq!(
+        server.requests().iter().map(|m| m.conn).max(),
+        Some(1),
+        "the connection to the server is kept"
+    );
 }
 
 /// Tens of large bodies both ways at once, a slow reader and a slow writer among them: all come whole, within a cap on memory
@@ -500,10 +507,10 @@
     const EACH: usize = 8 << 20;
     let long = Arc::new(bytes(EACH));
     let body = long.clone();
-    let server = Peer::new(move |m| {
+    let server = ScriptedServer::new(move |m| {
         let down = m.header("x-txn").is_some_and(|t| t.starts_with("down"));
         let body = if down { body.to_vec() } else { m.body.len().to_string().into_bytes() };
-        Say::This(
+        Reply::Respond(
             [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes(), body]
                 .concat(),
         )
@@ -529,7 +536,7 @@
                     if slow {
                         std::thread::sleep(Duration::from_millis(3000));
                     }
-                    let heard = client.hear().expect("an answer");
+                    let heard = client.receive().expect("an answer");
                     assert!(heard.status() == 200 && heard.body == *long, "{n}: {}", heard.head);
                 } else {
                     client.send(&upload("slip", &format!("up{n}"), &format!("Content-Length: {EACH}")));
@@ -541,7 +548,7 @@
                         }
                     }
                     client.send_bytes(rest);
-                    let heard = client.hear().expect("an answer");
+                    let heard = client.receive().expect("an answer");
                     assert_eq!((heard.status(), text(&heard.body)), (200, EACH.to_string()), "{n}");
                 }
                 whole.fetch_add(1, Ordering::SeqCst);
@@ -549,7 +556,7 @@
         })
         .collect();
     let mut most = 0;
-    until("all are through", || {
+    wait_until("all are through", || {
         most = most.max(node.memory_kib());
         peers.iter().all(std::thread::JoinHandle::is_finished)
     });
@@ -557,5 +564,5 @@
         peer.join().expect("it came whole");
     }
     assert!(most < 32 * 1024, "{most} KiB at the most");
-    assert_eq!(node.figure("app.passed.slip"), 48);
+    assert_eq!(node.metric("app.passed.slip"), 48);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -39,15 +39,17 @@
 }
 
 /// The ids of the requests that came, but for those by which the test asks whether the moment has passed.
-fn ids(servers: &[&Peer]) -> Vec<String> {
-    let seen = servers.iter().flat_map(|s| s.seen());
+fn ids(servers: &[&ScriptedServer]) -> Vec<String> {
+    let seen = servers.iter().flat_map(|s| s.requests());
     let ids = seen.filter_map(|m| m.header("x-txn").map(str::to_string));
     ids.filter(|t| !t.starts_with("later")).collect()
 }
 
 /// Asks until a server answers.
 fn served(node: &Node) {
-    until("a server serves", || Client::to(node).ask(&request("look", "later", 15_000)).status() == 200);
+    wait_until("a server serves", || {
+        Client::to(node).exchange(&request("look", "later", 15_000)).status() == 200
+    });
 }
 
 /// A request is held; behind it stand a line's end, another request, junk, or half of one, and its client closes, ends its way
@@ -72,7 +74,7 @@
             clients.push((way, client));
         }
     }
-    until("all are held", || node.logged("held 15 "));
+    wait_until("all are held", || node.logged("held 15 "));
     let mut open = Vec::new();
     for (way, client) in clients {
         match way {
@@ -85,9 +87,9 @@
         }
     }
     give_time(|| node.descriptors() <= before);
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let hosts = [host("s0", server.address, "active", 1)];
-    registry.tell(2, &hosts, &hosts);
+    registry.publish(2, &hosts, &hosts);
     served(&node);
     assert_eq!(ids(&[&server]), Vec::<String>::new(), "nobody waits for any of them");
     drop(open);
@@ -100,13 +102,13 @@
     let breaks = Arc::new(AtomicBool::new(false));
     let servers = [(); 2].map(|()| {
         let breaks = breaks.clone();
-        Peer::new(move |m| {
+        ScriptedServer::new(move |m| {
             if m.header("x-txn").is_some_and(|t| t.starts_with("later")) {
-                return Say::This(answer(200, "", "served"));
+                return Reply::Respond(response(200, "", "served"));
             }
             let breaks = breaks.clone();
-            Say::By(Box::new(move |_| {
-                until("it is to break", || breaks.load(Ordering::SeqCst));
+            Reply::WriteWith(Box::new(move |_| {
+                wait_until("it is to break", || breaks.load(Ordering::SeqCst));
                 Err(std::io::ErrorKind::Other.into())
             }))
         })
@@ -117,11 +119,13 @@
     let before = node.descriptors();
     let mut client = connect(&node);
     client.write_all(format!("{}\r\n", request("look", "left", 60_000)).as_bytes()).expect("it is taken");
-    until("the attempt is out", || ids(&[&servers[0], &servers[1]]).len() == 1);
+    wait_until("the attempt is out", || ids(&[&servers[0], &servers[1]]).len() == 1);
     drop(client);
     give_time(|| node.descriptors() <= before);
     breaks.store(true, Ordering::SeqCst);
-    until("the server has broken off", || servers.iter().map(Peer::open).sum::<usize>() == 0);
+    wait_until("the server has broken off", || {
+        servers.iter().map(ScriptedServer::open_connections).sum::<usize>() == 0
+    });
     (0..4).for_each(|_| served(&node));
     assert_eq!(ids(&[&servers[0], &servers[1]]), ["left"], "once, while its client was there");
 }
@@ -159,7 +163,7 @@
         });
         let mut said = String::new();
         for _ in 0..wanted {
-            said += &told.recv_timeout(PATIENCE).expect("its connection comes up and ends");
+            said += &told.recv_timeout(WAIT_TIMEOUT).expect("its connection comes up and ends");
         }
         said
     }
@@ -167,7 +171,7 @@
 
 /// Waits until an attempt of the one open request waits for its connection.
 fn connecting(node: &Node) {
-    until("it waits for its connection", || node.logged("open 1 ") && node.logged("connections 1;"));
+    wait_until("it waits for its connection", || node.logged("open 1 ") && node.logged("connections 1;"));
 }
 
 /// A body that is passed on while it comes waits for a connection to a server; all of it is sent, some of it still unread, when
@@ -206,7 +210,7 @@
     client.write_all(request("slip", "late", 60_000).as_bytes()).expect("it is taken");
     connecting(&node);
     drop(client);
-    until("it is known", || node.logged("gone 1;"));
+    wait_until("it is known", || node.logged("gone 1;"));
     assert_eq!(late.said(), "", "nothing is written for nobody");
 }
 
@@ -214,33 +218,33 @@
 #[test]
 fn a_new_configuration_right_behind_sigterm_counts() {
     let registry = Registry::new(&[]);
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let next = Registry::new(&[host("s0", server.address, "active", 1)]);
     let told = patient(&registry);
     let mut node = Node::ready(&told);
     let (mut rests, mut held) = (Client::to(&node), Client::to(&node));
-    assert_eq!(rests.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(rests.exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     held.send(&request("slip", "held", 60_000));
-    until("it is held", || node.logged("held 1 "));
+    wait_until("it is held", || node.logged("held 1 "));
     node.terminate();
     let mut moved = told.clone();
     moved["discovery"] = json!(next.address.to_string());
     node.reload(&moved.to_string());
     node.terminate();
-    assert_eq!(held.hear().expect("an answer").status(), 200);
-    assert!(rests.ended(), "it ends in order");
+    assert_eq!(held.receive().expect("an answer").status(), 200);
+    assert!(rests.closed(), "it ends in order");
     assert_eq!(node.exit_code(), Some(0));
 }
 
 /// An answer whose end only the connection's end tells is cut off by the node's own end: its client must not take it for whole.
 #[test]
 fn an_answer_of_unknown_length_that_the_nodes_end_cuts_off_is_reset() {
-    let server = Peer::new(|_| {
-        Say::By(Box::new(|out| {
+    let server = ScriptedServer::new(|_| {
+        Reply::WriteWith(Box::new(|out| {
             // So much, and so steadily, that it is passed on and not given up before the node ends.
             let chunk = format!("800\r\n{}\r\n", "x".repeat(0x800));
             out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-            until("the node is gone", || out.write_all(chunk.as_bytes()).is_err());
+            wait_until("the node is gone", || out.write_all(chunk.as_bytes()).is_err());
             Err(std::io::ErrorKind::Other.into())
         }))
     });
@@ -280,8 +284,8 @@
         // Until nobody takes any more.
         client.set_write_timeout(Some(Duration::from_millis(300))).expect("a socket");
         while client.write_all(&[0; 65_536]).is_ok() {}
-        until("an attempt is out, if there may be one", || !stalls || node.logged("open 1 "));
+        wait_until("an attempt is out, if there may be one", || !stalls || node.logged("open 1 "));
         drop(client);
-        until("all is given back", || node.descriptors() <= before);
+        wait_until("all is given back", || node.descriptors() <= before);
     }
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -3,8 +3,8 @@
 mod peers;
 
 use peers::{
-    config, folder, host, ledger_file, magpietally, request, run_with, text, until, Client, Node, Peer,
-    Registry, Say,
+    config, host, ledger_file, magpietally, request, run_with_args, text, unused_path, wait_until, Client,
+    Node, Registry, Reply, ScriptedServer,
 };
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
 /// kills more than 200 times.
 #[test]
 fn nodes_killed_a_dozen_times_leave_ledgers_that_agree_with_the_boxes() {
-    let (kept, site) = (folder("kills"), folder("kills.toml"));
+    let (kept, site) = (unused_path("kills"), unused_path("kills.toml"));
     let demo = text(&magpietally(&["site", "print", "demo"]).stdout);
     let calm = demo.split("[[faults]]").next().expect("what is before them");
     // Times are stretched with the course, from the demo's 20 s to 9.
@@ -83,11 +83,11 @@
 /// again, and what has a key only while all boxes remember it.
 #[test]
 fn after_a_kill_what_was_out_is_unknown_and_is_not_sent_on_the_strength_of_it() {
-    let kept = folder("unknown");
+    let kept = unused_path("unknown");
     let operators = ledger_file(&kept, "power-loss");
     let ledger = kept.join("ledger").display().to_string();
     let args = ["--operators", operators.as_str()];
-    let silent = Peer::new(|_| Say::Nothing);
+    let silent = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("one", silent.address, "active", 0)]);
     let mut told = config(registry.address);
     let class = &mut told["settings"]["Classes"][1];
@@ -97,7 +97,7 @@
     clients[0].send(&request("slip", "txn-1", 15_000));
     clients[1].send(&request("pay", "txn-2", 15_000));
     clients[2].send(&request("look", "txn-3", 15_000));
-    until("all are at the box", || silent.seen().len() >= 3);
+    wait_until("all are at the box", || silent.requests().len() >= 3);
     node.kill();
     let open = magpietally(&["ledger", "open", &ledger]);
     let open = text(&open.stdout);
@@ -105,12 +105,12 @@
     assert!(open.ends_with("2 open\n"), "no finding: {open}");
     assert!(!open.contains("k1"), "keys are not written: {open}");
 
-    let good = Peer::good("two");
+    let good = ScriptedServer::healthy("two");
     let registry = Registry::new(&[host("two", good.address, "active", 0)]);
     told["discovery"] = registry.address.to_string().into();
     let mut node = Node::with_args(&told, &args);
-    let ask = |words: String| Client::to(&node).ask(&words);
-    until("it has the list", || ask(request("look", "txn-0", 5000)).status() == 200);
+    let ask = |words: String| Client::to(&node).exchange(&words);
+    wait_until("it has the list", || ask(request("look", "txn-0", 5000)).status() == 200);
     assert!(
         node.logged("2 intents of earlier lives are unknown") && node.logged("unknown: slip txn-1 at one")
     );
@@ -118,20 +118,20 @@
     assert_eq!((turned.status(), turned.header("x-failed-because")), (502, Some("id-may-have-run")));
     assert_eq!(ask(request("slip", "txn-4", 5000)).status(), 200, "another one is none of its business");
     assert_eq!(ask(request("pay", "txn-5", 5000)).status(), 200, "all boxes know the key for one by now");
-    let came = |id: &str| good.seen().iter().any(|m| m.header("x-txn") == Some(id));
+    let came = |id: &str| good.requests().iter().any(|m| m.header("x-txn") == Some(id));
     assert!(!came("txn-1") && came("txn-4") && came("txn-5"));
-    let (code, words) = run_with(&told, &args);
+    let (code, words) = run_with_args(&told, &args);
     assert!(code == Some(1) && words.contains("lock: held by process"), "one node a directory: {words}");
     // In order, so that the records after the answers are written.
     node.terminate();
     assert_eq!(node.exit_code(), Some(0));
     told["name"] = "n1".into();
-    let (code, words) = run_with(&told, &args);
+    let (code, words) = run_with_args(&told, &args);
     assert!(code == Some(1) && words.contains("this is the ledger of n0"), "a copy of another's: {words}");
     // Only a part of the boxes would know the key.
     (told["name"], told["settings"]["Classes"][1]["DedupScope"]) = ("n0".into(), "cell".into());
     let node = Node::with_args(&told, &args);
-    let turned = Client::to(&node).ask(&request("pay", "txn-6", 5000));
+    let turned = Client::to(&node).exchange(&request("pay", "txn-6", 5000));
     assert_eq!((turned.status(), turned.header("x-failed-because")), (502, Some("key-elsewhere")));
 
     let shown = text(&magpietally(&["ledger", "show", "--id", "txn-4", &ledger]).stdout);
@@ -144,7 +144,7 @@
 
 #[test]
 fn wrong_use_of_the_ledger_ends_with_two() {
-    let none = folder("none");
+    let none = unused_path("none");
     std::fs::create_dir_all(&none).expect("a directory");
     let none = none.display().to_string();
     let bad = format!("{none}/bad.jsonl");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -21,13 +21,13 @@
     nodes: Vec<Option<Node>>,
     own: Vec<SocketAddr>,
     config: Value,
-    _server: Peer,
+    _server: ScriptedServer,
     _registry: Registry,
 }
 
 impl Fleet {
     fn new(seed: u64) -> Self {
-        let server = Peer::good("a");
+        let server = ScriptedServer::healthy("a");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
         // One front more than nodes, for a node that comes later.
@@ -73,7 +73,7 @@
         config["name"] = Value::from(name);
         let node = Node::with_args(&config, &["--membership", &self.file(i)]);
         let mut own = None;
-        until("membership listens", || {
+        wait_until("membership listens", || {
             own = node
                 .logged_after("membership listens at ")
                 .and_then(|rest| rest.split(' ').next()?.parse().ok());
@@ -233,7 +233,7 @@
     for d in &bent {
         socket.send_to(d, f.own[1]).expect("sent");
     }
-    until("the bent datagrams are counted", || {
+    wait_until("the bent datagrams are counted", || {
         ask(f.own[1]).is_some_and(|t| t.lines().last().is_some_and(|l| !l.contains(" 0 malformed")))
     });
     f.wait_agree("after bent datagrams", &ALL, &[], "dead");
@@ -242,7 +242,7 @@
     f.start(N, "m4");
     let start = Instant::now();
     let status = loop {
-        if let Some(status) = f.node(N).ended() {
+        if let Some(status) = f.node(N).exit_status() {
             break status;
         }
         assert!(start.elapsed() < AGREE_WITHIN, "a node under a taken name went on");
@@ -250,5 +250,5 @@
     };
     assert_eq!(status.code(), Some(1));
     assert!(f.node(N).logged("the name m4 is taken by the node at"), "no clear error");
-    assert!(f.node(4).ended().is_none(), "the first node under the name ended");
+    assert!(f.node(4).exit_status().is_none(), "the first node under the name ended");
 }
--- a/tests/peers/faults.rs
+++ b/tests/peers/faults.rs
@@ -1,11 +1,11 @@
-//! Nodes whose system calls fail by a plan: the fault shim (`tests/fault_shim`) preloaded, and what it injected.
+//! System-call fault injection: preloads the fault shim (`tests/fault_shim`) into nodes and reads its counts.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
 
-/// The shim's library. No test target depends on it, as it would replace that test's own calls: it is built on first use.
+/// The path of the shim's library, built on first use. No test target links it, as it would replace that test's own calls.
 pub fn shim() -> &'static Path {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     SHIM.get_or_init(|| {
@@ -20,7 +20,7 @@
     })
 }
 
-/// The faults of one node, or of several: a plan as `tests/fault_shim/src/plan.rs` says, a seed, and a switch.
+/// The faults injected into one or more nodes: a plan (its syntax: `tests/fault_shim/src/plan.rs`), a seed, and a switch.
 pub struct Faults {
     plan: String,
     seed: u64,
@@ -29,27 +29,28 @@
 }
 
 impl Faults {
-    /// A plan that holds from the start.
+    /// A plan that is active from the start.
     pub fn new(plan: &str, seed: u64) -> Self {
         let faults = Self::switched_off(plan, seed);
         faults.switch(true);
         faults
     }
 
-    /// A plan that holds only once it is switched on.
+    /// A plan that is active only once it is switched on.
     pub fn switched_off(plan: &str, seed: u64) -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let place = Path::new(env!("CARGO_TARGET_TMPDIR"));
+        let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let name = format!("faults-{}-{number}", std::process::id());
-        let (counts, switch) = (place.join(format!("{name}.counts")), place.join(format!("{name}.on")));
-        // They may be an earlier run's.
+        let (counts, switch) =
+            (directory.join(format!("{name}.counts")), directory.join(format!("{name}.on")));
+        // An earlier run may have left them.
         let _ = std::fs::remove_file(&counts);
         let _ = std::fs::remove_file(&switch);
         Self { plan: plan.into(), seed, counts, switch }
     }
 
-    /// Switches the faults on or off, for processes that run too.
+    /// Switches the faults on or off, also for running processes.
     pub fn switch(&self, on: bool) {
         if on {
             std::fs::write(&self.switch, "").expect("a file");
@@ -58,7 +59,7 @@
         }
     }
 
-    /// What a process's environment needs for it.
+    /// The environment variables that a process needs.
     pub fn environment(&self) -> Vec<(&'static str, String)> {
         vec![
             ("LD_PRELOAD", shim().display().to_string()),
@@ -69,19 +70,19 @@
         ]
     }
 
-    /// How many faults each rule has injected so far.
+    /// The number of faults that each rule has injected so far.
     pub fn counts(&self) -> Vec<u64> {
         let bytes = std::fs::read(&self.counts).unwrap_or_default();
         bytes.chunks_exact(8).map(|b| u64::from_le_bytes(b.try_into().expect("eight bytes"))).collect()
     }
 
-    /// Has every rule injected something?
+    /// Returns whether every rule has injected a fault.
     pub fn all_injected(&self) -> bool {
         let counts = self.counts();
         !counts.is_empty() && counts.iter().all(|count| *count > 0)
     }
 
-    /// Every rule has injected something: a test of faults that never came proves nothing.
+    /// Asserts that every rule has injected a fault: otherwise the test proves nothing.
     pub fn assert_injected(&self) {
         assert!(self.all_injected(), "{}: {:?}", self.plan, self.counts());
     }
--- a/tests/peers/load.rs
+++ b/tests/peers/load.rs
@@ -1,4 +1,4 @@
-//! Clients in numbers, and a check that holds what they saw against what the servers did.
+//! A load generator, and a check of what its clients received against what the servers saw.
 
 use std::collections::BTreeMap;
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -9,44 +9,44 @@
 
 use serde_json::Value;
 
-use super::machine::{self, Machine};
-use super::{answer, host, read_message, request, Message, Peer, Say};
+use super::host_delay::{self, HostDelay};
+use super::{host, read_message, request, response, Message, Reply, ScriptedServer};
 
-/// A request's final answer may be so late.
+/// How long after its deadline a request's final response may arrive.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// How long a client waits beyond its time, to tell what is late from what never comes.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// An attempt may begin so long after its client's end.
+/// How long a client waits beyond its deadline, to tell a late response from a missing one.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(4);
+/// How long after the end of its client's request an attempt may begin.
 const LATE_ATTEMPT: Duration = Duration::from_millis(100);
-/// What an attempt is told may exceed the client's own time by so much.
+/// How far the remaining time sent with an attempt may exceed the client's own.
 const REMAINING_SLACK: Duration = Duration::from_millis(150);
-/// What a machine that is held up may be late by counts for one attempt in so many at the most: more is the node's.
-const LATE_PART: usize = 10;
+/// Delays that the host explains are tolerated for at most one attempt in this number; more are attributed to the node.
+const ATTEMPTS_PER_TOLERATED_DELAY: usize = 10;
 
-/// A node that closes a connection may cross a request on its way: the client then sees the end at once. Whatever was read is
-/// kept for longer, or was forwarded.
-const CROSSES_WITHIN: Duration = Duration::from_millis(2);
+/// A node's close may cross a request on its way: the client then sees the end of the connection within this time. A
+/// request that the node has read is held for longer or forwarded.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(2);
 
-/// An attempt as a server saw it.
+/// An attempt as a server received it.
 struct Attempt {
     transaction: String,
     at: Instant,
     remaining_ms: f64,
 }
 
-/// Servers that answer with the name of the transaction, and note each attempt.
+/// Servers that answer with the transaction's name and record each attempt.
 pub struct Servers {
-    peers: Vec<Peer>,
+    peers: Vec<ScriptedServer>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
 }
 
 impl Servers {
-    /// So many servers, each of which takes `work` for an answer.
+    /// Starts `count` servers, each of which takes `work` to respond.
     pub fn new(count: usize, work: Duration) -> Self {
         Self::answering(count, work, "", false)
     }
 
-    /// The same of servers that take one request on each connection.
+    /// Like [`Servers::new`], with servers that close each connection after one response.
     pub fn closing(count: usize, work: Duration) -> Self {
         Self::answering(count, work, "Connection: close\r\n", true)
     }
@@ -55,25 +55,27 @@
         let attempts = Arc::new(Mutex::new(Vec::new()));
         let peers = (0..count).map(|_| {
             let attempts = attempts.clone();
-            Peer::new(move |message| {
-                let Some(attempt) = Attempt::of(message) else { return Say::This(answer(200, "", "")) };
+            ScriptedServer::new(move |message| {
+                let Some(attempt) = Attempt::of(message) else {
+                    return Reply::Respond(response(200, "", ""));
+                };
                 let body = format!("for {}", attempt.transaction);
                 attempts.lock().expect("no panic").push(attempt);
                 std::thread::sleep(work);
-                let bytes = answer(200, headers, &body);
+                let bytes = response(200, headers, &body);
                 if closes {
-                    Say::Last(bytes)
+                    Reply::RespondAndClose(bytes)
                 } else {
-                    Say::This(bytes)
+                    Reply::Respond(bytes)
                 }
             })
         });
         Self { peers: peers.collect(), attempts: attempts.clone() }
     }
 
-    /// Their entries in the list.
+    /// The servers' entries for discovery's list.
     pub fn hosts(&self) -> Vec<Value> {
-        let entry = |(n, peer): (usize, &Peer)| host(&format!("s{n}"), peer.address, "active", 1);
+        let entry = |(n, peer): (usize, &ScriptedServer)| host(&format!("s{n}"), peer.address, "active", 1);
         self.peers.iter().enumerate().map(entry).collect()
     }
 }
@@ -88,85 +90,85 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Debug)]
-enum End {
+enum RequestEnd {
     Answered {
         status: u16,
         body: Vec<u8>,
         closes: bool,
     },
-    /// It closed its connection and waited for nothing.
-    Left,
-    /// The connection ended, or nothing came in time.
-    Unanswered(Break),
-    /// It could not be written, as nothing took the connection or it had ended.
+    /// The client closed its connection without waiting for the response.
+    Abandoned,
+    /// The connection ended without a response, or none arrived in time.
+    Unanswered(Disconnect),
+    /// It could not be written: no connection, or one that had ended.
     Unsent,
 }
 
-/// How a connection ended without an answer.
+/// How a connection ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Break {
-    /// In order: the node has read all that came before its end.
+enum Disconnect {
+    /// In order: the node had read everything sent to it.
     Closed,
-    /// By a reset: something was left unread.
+    /// By a reset: the node left something unread.
     Reset,
-    /// Not at all: nothing came in time.
+    /// Not at all: no response arrived in time.
     Silent,
 }
 
-/// A connection's reading side that remembers how it broke.
-struct Reading<'a> {
+/// The read half of a connection; records how the connection ended.
+struct DisconnectReader<'a> {
     stream: &'a TcpStream,
-    broke: Break,
+    disconnect: Disconnect,
 }
 
-impl Read for Reading<'_> {
+impl Read for DisconnectReader<'_> {
     fn read(&mut self, to: &mut [u8]) -> std::io::Result<usize> {
         let read = self.stream.read(to);
         match &read {
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                self.broke = Break::Silent;
+                self.disconnect = Disconnect::Silent;
             }
-            Err(_) => self.broke = Break::Reset,
+            Err(_) => self.disconnect = Disconnect::Reset,
             Ok(_) => {}
         }
         read
     }
 }
 
-struct Asked {
+struct SentRequest {
     class: &'static str,
     sent: Instant,
     ended: Instant,
-    end: End,
+    end: RequestEnd,
 }
 
-impl Asked {
-    /// May the node have closed the connection before it read any of the request?
-    fn crossed_a_close(&self) -> bool {
+impl SentRequest {
+    /// Returns whether the node may have closed the connection before it read any of the request.
+    fn may_have_crossed_close(&self) -> bool {
         match self.end {
-            End::Unanswered(Break::Reset) => true,
-            End::Unanswered(Break::Closed) => self.ended - self.sent < CROSSES_WITHIN,
+            RequestEnd::Unanswered(Disconnect::Reset) => true,
+            RequestEnd::Unanswered(Disconnect::Closed) => self.ended - self.sent < CLOSE_RACE_WINDOW,
             _ => false,
         }
     }
 }
 
-/// How clients behave.
+/// How the clients behave.
 #[derive(Clone, Copy)]
 pub struct Load {
-    /// How many there are; each has one request out at a time.
+    /// The number of clients; each has one request in progress at a time.
     pub clients: usize,
-    /// For how long they begin requests.
+    /// For how long the clients start requests.
     pub span: Duration,
-    /// How many requests each connection carries at the most.
+    /// The maximum number of requests on a connection.
     pub reuse: usize,
-    /// The time that each request has.
+    /// The time that each request has, from its start.
     pub deadline: Duration,
-    /// Every how-manieth client leaves before its answer; 0 for none.
-    pub leaves: usize,
-    /// What each rests between requests.
+    /// One request in this number is abandoned before its response; 0 for none.
+    pub abandon_every: usize,
+    /// Each client's pause between requests.
     pub pause: Duration,
-    /// The node is told to end meanwhile: requests may cross its closes, which costs them nothing.
+    /// Whether the node is stopped during the run: requests may then cross its closes, which is no violation.
     pub node_ends: bool,
 }
 
@@ -177,169 +179,190 @@
             span: Duration::from_millis(2500),
             reuse: usize::MAX,
             deadline: Duration::from_millis(2000),
-            leaves: 0,
+            abandon_every: 0,
             pause: Duration::from_millis(5),
             node_ends: false,
         }
     }
 }
 
-/// What became of all requests.
+/// The outcomes of all requests.
 #[derive(Debug, Default)]
 pub struct Report {
     pub sent: usize,
     pub served: usize,
     pub refused: usize,
     pub failed: usize,
-    pub left: usize,
+    pub abandoned: usize,
     pub unsent: usize,
-    /// Each request that was broken, and how.
-    pub broken: Vec<String>,
+    /// Descriptions of the requests whose guarantees were violated.
+    pub violations: Vec<String>,
 }
 
 impl Report {
-    /// Nothing was broken, and of those that stayed at least this part was served.
-    pub fn assert_kept(&self, served_least: f64) {
-        let shown = self.broken.iter().take(5).collect::<Vec<_>>();
-        assert!(self.broken.is_empty(), "{} broken, as {shown:?}; {}", self.broken.len(), self.sums());
-        let stayed = (self.sent - self.left).max(1) as f64;
-        assert!(self.sent > 50 && self.served as f64 / stayed >= served_least, "{}", self.sums());
+    /// Asserts that there were no violations and that at least this fraction of the requests not abandoned was served.
+    pub fn assert_no_violations(&self, min_served: f64) {
+        let shown = self.violations.iter().take(5).collect::<Vec<_>>();
+        assert!(
+            self.violations.is_empty(),
+            "{} broken, as {shown:?}; {}",
+            self.violations.len(),
+            self.summary()
+        );
+        let awaited = (self.sent - self.abandoned).max(1) as f64;
+        assert!(self.sent > 50 && self.served as f64 / awaited >= min_served, "{}", self.summary());
     }
 
-    pub fn sums(&self) -> String {
-        let Self { sent, served, refused, failed, left, unsent, .. } = self;
+    pub fn summary(&self) -> String {
+        let Self { sent, served, refused, failed, abandoned, unsent, .. } = self;
         format!(
-            "{sent} sent, {served} served, {refused} refused, {failed} failed, {left} left, {unsent} unsent"
+            "{sent} sent, {served} served, {refused} refused, {failed} failed, {abandoned} abandoned, {unsent} unsent"
         )
     }
 }
 
-/// The name of every transaction is used once.
-static TRANSACTIONS: AtomicUsize = AtomicUsize::new(0);
+/// Number of the next transaction; each name is used once.
+static NEXT_TRANSACTION: AtomicUsize = AtomicUsize::new(0);
 
 impl Load {
-    /// Runs the clients to their end.
+    /// Runs all clients to their end and checks the results.
     pub fn run(self, node: SocketAddr, servers: &Servers) -> Report {
-        let machine = Machine::measure();
-        let asked: Arc<Mutex<BTreeMap<String, Asked>>> = Arc::default();
+        let host_delay = HostDelay::start();
+        let requests: Arc<Mutex<BTreeMap<String, SentRequest>>> = Arc::default();
         let clients: Vec<_> = (0..self.clients)
             .map(|number| {
-                let asked = asked.clone();
-                std::thread::spawn(move || self.client(number, node, &asked))
+                let requests = requests.clone();
+                std::thread::spawn(move || self.client(number, node, &requests))
             })
             .collect();
         for client in clients {
             client.join().expect("no panic");
         }
-        // Attempts that come too late have come by then.
+        // Attempts that start too late have arrived by then.
         std::thread::sleep(LATE_ATTEMPT * 2);
-        let asked = asked.lock().expect("no panic");
-        self.judge(&asked, &servers.attempts.lock().expect("no panic"), machine.delay())
+        let requests = requests.lock().expect("no panic");
+        self.check(&requests, &servers.attempts.lock().expect("no panic"), host_delay.max_delay())
     }
 
-    fn client(self, number: usize, node: SocketAddr, asked: &Mutex<BTreeMap<String, Asked>>) {
-        let began = Instant::now();
+    fn client(self, number: usize, node: SocketAddr, requests: &Mutex<BTreeMap<String, SentRequest>>) {
+        let started = Instant::now();
         let mut open: Option<(TcpStream, usize)> = None;
         for turn in 0.. {
-            if began.elapsed() >= self.span {
+            if started.elapsed() >= self.span {
                 return;
             }
             let class = ["look", "pay", "slip"][(number + turn) % 3];
-            let transaction = format!("t{}", TRANSACTIONS.fetch_add(1, Ordering::SeqCst));
-            let leaves = self.leaves > 0 && (number + turn).is_multiple_of(self.leaves);
-            let taken = open.take().filter(|(_, used)| *used < self.reuse);
-            let (stream, used) = match taken {
+            let transaction = format!("t{}", NEXT_TRANSACTION.fetch_add(1, Ordering::SeqCst));
+            let abandons = self.abandon_every > 0 && (number + turn).is_multiple_of(self.abandon_every);
+            let reusable = open.take().filter(|(_, used)| *used < self.reuse);
+            let (stream, used) = match reusable {
                 Some(kept) => (Ok(kept.0), kept.1),
                 None => (TcpStream::connect_timeout(&node, self.deadline), 0),
             };
             let sent = Instant::now();
             let end = match &stream {
-                Ok(stream) => self.ask(stream, class, &transaction, leaves),
-                Err(_) => End::Unsent,
+                Ok(stream) => self.exchange(stream, class, &transaction, abandons),
+                Err(_) => RequestEnd::Unsent,
             };
             let ended = Instant::now();
-            if let (End::Answered { closes: false, .. }, Ok(stream)) = (&end, stream) {
+            if let (RequestEnd::Answered { closes: false, .. }, Ok(stream)) = (&end, stream) {
                 open = Some((stream, used + 1));
             }
-            asked.lock().expect("no panic").insert(transaction, Asked { class, sent, ended, end });
+            requests.lock().expect("no panic").insert(transaction, SentRequest { class, sent, ended, end });
             std::thread::sleep(self.pause);
         }
     }
 
-    fn ask(self, mut stream: &TcpStream, class: &str, transaction: &str, leaves: bool) -> End {
+    fn exchange(self, mut stream: &TcpStream, class: &str, transaction: &str, abandons: bool) -> RequestEnd {
         let remaining = self.deadline.as_millis() as u64;
-        let limit = self.deadline + PATIENCE;
+        let limit = self.deadline + LATE_RESPONSE_WAIT;
         if stream.set_read_timeout(Some(limit)).is_err()
             || stream.write_all(request(class, transaction, remaining).as_bytes()).is_err()
         {
-            return End::Unsent;
+            return RequestEnd::Unsent;
         }
-        if leaves {
+        if abandons {
             std::thread::sleep(Duration::from_millis(3));
             let _ = stream.shutdown(std::net::Shutdown::Both);
-            return End::Left;
+            return RequestEnd::Abandoned;
         }
-        let mut reader = BufReader::new(Reading { stream, broke: Break::Closed });
+        let mut reader = BufReader::new(DisconnectReader { stream, disconnect: Disconnect::Closed });
         match read_message(&mut reader, 0) {
             Some(message) => {
                 let (status, closes) = (message.status(), message.header("connection") == Some("close"));
-                End::Answered { status, body: message.body, closes }
+                RequestEnd::Answered { status, body: message.body, closes }
             }
-            None => End::Unanswered(reader.get_ref().broke),
+            None => RequestEnd::Unanswered(reader.get_ref().disconnect),
         }
     }
 
-    fn judge(self, asked: &BTreeMap<String, Asked>, attempts: &[Attempt], own_delay: Duration) -> Report {
-        let mut report = Report { sent: asked.len(), ..Report::default() };
-        let mut tries: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
-        for attempt in attempts.iter().filter(|a| asked.contains_key(&a.transaction)) {
-            tries.entry(&attempt.transaction).or_default().push(attempt);
+    fn check(
+        self,
+        requests: &BTreeMap<String, SentRequest>,
+        attempts: &[Attempt],
+        host_delay: Duration,
+    ) -> Report {
+        let mut report = Report { sent: requests.len(), ..Report::default() };
+        let mut by_transaction: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
+        for attempt in attempts.iter().filter(|a| requests.contains_key(&a.transaction)) {
+            by_transaction.entry(&attempt.transaction).or_default().push(attempt);
         }
         let mut late = Vec::new();
-        for (transaction, asked) in asked {
-            let tries = tries.get(transaction.as_str()).map_or(&[][..], Vec::as_slice);
-            let crossed = self.node_ends && tries.is_empty() && asked.crossed_a_close();
-            report.count(transaction, asked, !tries.is_empty(), crossed);
-            let of_attempts = tries.iter().flat_map(|attempt| self.lateness(asked, attempt));
-            for lateness in of_attempts.chain(self.wait(asked)) {
-                let words = || format!("{transaction} ({}): {lateness:?}", asked.class);
-                if lateness.by > lateness.slack + own_delay {
-                    report.broken.push(words());
-                } else if lateness.by > lateness.slack + machine::QUIET {
-                    late.push(words());
+        for (transaction, request) in requests {
+            let attempts_made = by_transaction.get(transaction.as_str()).map_or(&[][..], Vec::as_slice);
+            let crossed_close =
+                self.node_ends && attempts_made.is_empty() && request.may_have_crossed_close();
+            report.count(transaction, request, !attempts_made.is_empty(), crossed_close);
+            let attempts_lateness = attempts_made.iter().flat_map(|attempt| self.lateness(request, attempt));
+            for lateness in attempts_lateness.chain(self.response_lateness(request)) {
+                let description = || format!("{transaction} ({}): {lateness:?}", request.class);
+                if lateness.by > lateness.slack + host_delay {
+                    report.violations.push(description());
+                } else if lateness.by > lateness.slack + host_delay::QUIET {
+                    late.push(description());
                 }
             }
-            if asked.class == "slip" && tries.len() > 1 {
-                report.broken.push(format!("{transaction}: an unsafe request ran {} times", tries.len()));
+            if request.class == "slip" && attempts_made.len() > 1 {
+                report
+                    .violations
+                    .push(format!("{transaction}: an unsafe request ran {} times", attempts_made.len()));
             }
         }
-        if late.len() * LATE_PART > attempts.len() {
-            report.broken.append(&mut late);
+        if late.len() * ATTEMPTS_PER_TOLERATED_DELAY > attempts.len() {
+            report.violations.append(&mut late);
         }
         report
     }
 
-    /// What an attempt was late for.
-    fn lateness(self, asked: &Asked, attempt: &Attempt) -> [Lateness; 2] {
-        let since_end = attempt.at.saturating_duration_since(asked.ended);
-        let since_sent = attempt.at.saturating_duration_since(asked.sent);
-        let told = Duration::from_secs_f64(attempt.remaining_ms / 1000.0);
-        let told_beyond = told.saturating_sub(self.deadline.saturating_sub(since_sent));
+    /// Checks when an attempt started and how much time it was given.
+    fn lateness(self, request: &SentRequest, attempt: &Attempt) -> [Lateness; 2] {
+        let since_end = attempt.at.saturating_duration_since(request.ended);
+        let since_sent = attempt.at.saturating_duration_since(request.sent);
+        let remaining = Duration::from_secs_f64(attempt.remaining_ms / 1000.0);
+        let remaining_excess = remaining.saturating_sub(self.deadline.saturating_sub(since_sent));
         [
-            Lateness { what: "sent on after its client's end", by: since_end, slack: LATE_ATTEMPT },
-            Lateness { what: "told of more than its client had", by: told_beyond, slack: REMAINING_SLACK },
+            Lateness {
+                what: "attempt started after its client's request ended",
+                by: since_end,
+                slack: LATE_ATTEMPT,
+            },
+            Lateness {
+                what: "attempt was given more time than its client had left",
+                by: remaining_excess,
+                slack: REMAINING_SLACK,
+            },
         ]
     }
 
-    /// How late its answer was.
-    fn wait(self, asked: &Asked) -> Option<Lateness> {
-        let by = (asked.ended - asked.sent).saturating_sub(self.deadline);
-        let answered = matches!(asked.end, End::Answered { .. });
-        answered.then_some(Lateness { what: "answered after its time", by, slack: ANSWER_SLACK })
+    /// By how much a response missed its deadline.
+    fn response_lateness(self, request: &SentRequest) -> Option<Lateness> {
+        let by = (request.ended - request.sent).saturating_sub(self.deadline);
+        let answered = matches!(request.end, RequestEnd::Answered { .. });
+        answered.then_some(Lateness { what: "response after the deadline", by, slack: ANSWER_SLACK })
     }
 }
 
-/// Something that came later than it should, within a slack or beyond.
+/// An event that came too late, and the slack that it is allowed.
 #[derive(Debug)]
 #[allow(dead_code)]
 struct Lateness {
@@ -349,27 +372,34 @@
 }
 
 impl Report {
-    fn count(&mut self, transaction: &str, asked: &Asked, forwarded: bool, crossed: bool) {
-        match &asked.end {
-            End::Answered { status: 200, body, .. } if *body == format!("for {transaction}").as_bytes() => {
+    /// Counts a request by its outcome, or records a violation.
+    fn count(&mut self, transaction: &str, request: &SentRequest, forwarded: bool, crossed_close: bool) {
+        match &request.end {
+            RequestEnd::Answered { status: 200, body, .. }
+                if *body == format!("for {transaction}").as_bytes() =>
+            {
                 self.served += 1;
             }
-            End::Answered { status: 200, body, .. } => {
+            RequestEnd::Answered { status: 200, body, .. } => {
                 let body = String::from_utf8_lossy(body);
-                self.broken.push(format!("{transaction}: the wrong answer, {body:?}"));
+                self.violations.push(format!("{transaction}: the wrong answer, {body:?}"));
             }
-            End::Answered { status: 503 | 429, .. } => self.refused += 1,
-            End::Answered { status: 500..=599, .. } => self.failed += 1,
-            End::Answered { status, .. } => self.broken.push(format!("{transaction}: status {status}")),
-            End::Left => self.left += 1,
-            End::Unanswered(_) if crossed => self.unsent += 1,
-            End::Unanswered(why) => {
-                let took = asked.ended - asked.sent;
-                let words = if forwarded { "forwarded" } else { "not forwarded" };
-                self.broken
-                    .push(format!("{transaction} ({}), {words}, after {took:?}: {why:?}", asked.class));
+            RequestEnd::Answered { status: 503 | 429, .. } => self.refused += 1,
+            RequestEnd::Answered { status: 500..=599, .. } => self.failed += 1,
+            RequestEnd::Answered { status, .. } => {
+                self.violations.push(format!("{transaction}: status {status}"))
             }
-            End::Unsent => self.unsent += 1,
+            RequestEnd::Abandoned => self.abandoned += 1,
+            RequestEnd::Unanswered(_) if crossed_close => self.unsent += 1,
+            RequestEnd::Unanswered(why) => {
+                let took = request.ended - request.sent;
+                let description = if forwarded { "forwarded" } else { "not forwarded" };
+                self.violations.push(format!(
+                    "{transaction} ({}), {description}, after {took:?}: {why:?}",
+                    request.class
+                ));
+            }
+            RequestEnd::Unsent => self.unsent += 1,
         }
     }
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,11 +1,11 @@
-//! The real program between scripted peers on loopback sockets.
+//! Test harness: runs the real program against scripted servers, discovery and clients on loopback sockets.
 #![allow(dead_code)]
 
 pub mod faults;
+pub mod host_delay;
 pub mod load;
-pub mod machine;
 pub mod queue;
-pub mod three;
+pub mod three_nodes;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,26 +17,26 @@
 
 use serde_json::{json, Value};
 
-/// How long anything that should happen is waited for: far more than it takes, on a busy machine too.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for any expected event; ample on a busy machine too.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until the condition holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls the condition until it holds; panics after [`WAIT_TIMEOUT`].
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Longer than a connection to a server rests after an answer: the next request may go by the same one.
-pub fn rest() {
+/// Sleeps until a server connection that just carried a response can be reused for the next request.
+pub fn let_connection_idle() {
     std::thread::sleep(Duration::from_millis(50));
 }
 
 // ---- The program ----
 
-/// Runs the program with these arguments until it ends.
+/// Runs the program with these arguments to its exit.
 pub fn magpietally(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_magpietally")).args(args).output().expect("it runs")
 }
@@ -45,19 +45,20 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The place of a directory or file of this test's, with nothing there yet.
-pub fn folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // It is not there yet, or an earlier run's.
-    let _ = std::fs::remove_dir_all(&folder);
-    folder
+/// Returns a path in the tests' temporary directory; any directory that an earlier run left there is removed.
+pub fn unused_path(name: &str) -> PathBuf {
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    // Fails where no earlier run left one.
+    let _ = std::fs::remove_dir_all(&path);
+    path
 }
 
-/// An operators' file that keeps a ledger with this promise in a folder, which is made where it is not there.
-pub fn ledger_file(place: &Path, promise: &str) -> String {
-    std::fs::create_dir_all(place).expect("a directory");
-    let file = place.join("operators.toml").display().to_string();
-    let ledger = place.join("ledger").display().to_string();
+/// Writes an operators' file with a ledger of this durability (`promise`) below `directory`, which is created if
+/// missing; returns the file's path.
+pub fn ledger_file(directory: &Path, promise: &str) -> String {
+    std::fs::create_dir_all(directory).expect("a directory");
+    let file = directory.join("operators.toml").display().to_string();
+    let ledger = directory.join("ledger").display().to_string();
     std::fs::write(&file, format!("[ledger]\ndirectory = {ledger:?}\npromise = {promise:?}\n"))
         .expect("a file");
     file
@@ -65,12 +66,12 @@
 
 // ---- Messages ----
 
-/// A request or an answer.
+/// An HTTP request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
-    /// The connection that it came on, counted from 1.
+    /// Number of the connection that carried it, counted from 1.
     pub conn: usize,
 }
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// Reads one message; `None` where the connection ends.
+/// Reads one message; `None` if the connection ends first.
 pub fn read_message(from: &mut BufReader<impl Read>, conn: usize) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -109,7 +110,7 @@
             message.body = vec![0; length.parse().expect("a length")];
             from.read_exact(&mut message.body).ok()?;
         }
-        // An answer that ends with its connection; one that is broken off by a reset is not whole.
+        // A response delimited by the end of its connection; after a reset it is incomplete.
         None if message.head.starts_with("HTTP/") => {
             from.read_to_end(&mut message.body).ok()?;
         }
@@ -118,7 +119,7 @@
     Some(message)
 }
 
-/// Reads a body in chunks, with what may stand behind them.
+/// Reads a chunked body and skips its trailers.
 fn read_chunks(from: &mut BufReader<impl Read>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -134,50 +135,54 @@
             }
             return Some(body);
         }
-        let at = body.len();
-        body.resize(at + size, 0);
-        from.read_exact(&mut body[at..]).ok()?;
+        let start = body.len();
+        body.resize(start + size, 0);
+        from.read_exact(&mut body[start..]).ok()?;
         from.read_exact(&mut [0; 2]).ok()?;
     }
 }
 
-/// An answer with a body.
-pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
+/// Builds a response with a body.
+pub fn response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 // ---- Servers ----
 
-/// Writes an answer as it likes.
-pub type Writer = Box<dyn FnOnce(&mut TcpStream) -> std::io::Result<()>>;
-
-/// What a scripted server does with a request.
-pub enum Say {
-    /// Answers.
-    This(Vec<u8>),
-    /// Writes that and closes.
-    Last(Vec<u8>),
-    /// Answers after a while.
-    Later(Duration, Vec<u8>),
-    /// Writes as it likes, and closes where that fails.
-    By(Writer),
-    /// Stays silent.
-    Nothing,
-}
-
-pub struct Peer {
+/// Writes a response to the connection itself.
+pub type ResponseWriter = Box<dyn FnOnce(&mut TcpStream) -> std::io::Result<()>>;
+
+/// How a scripted server reacts to a request.
+pub enum Reply {
+    /// Writes this response.
+    Respond(Vec<u8>),
+    /// Writes these bytes and closes the connection.
+    RespondAndClose(Vec<u8>),
+    /// Writes this response after a delay.
+    RespondAfter(Duration, Vec<u8>),
+    /// Calls this writer; closes the connection if it fails.
+    WriteWith(ResponseWriter),
+    /// Sends nothing and keeps the connection open.
+    NoResponse,
+}
+
+/// An HTTP server whose replies a closure decides; records the requests it receives.
+pub struct ScriptedServer {
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Message>>>,
     open: Arc<AtomicUsize>,
 }
 
-impl Peer {
-    /// A server that follows a script.
-    pub fn new(script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
+impl ScriptedServer {
+    /// Starts a server on a free port.
+    pub fn new(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+        Self::on_listener(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
 
-    pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
+    pub fn on_listener(
+        listener: TcpListener,
+        script: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    ) -> Self {
         let address = listener.local_addr().expect("bound");
         let (seen, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let peer = Self { address, seen: seen.clone(), open: open.clone() };
@@ -188,7 +193,7 @@
                 let Ok(stream) = stream else { return };
                 open.fetch_add(1, Ordering::SeqCst);
                 std::thread::spawn(move || {
-                    converse(stream, conn, &seen, &*script);
+                    serve_connection(stream, conn, &seen, &*script);
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
@@ -196,42 +201,47 @@
         peer
     }
 
-    /// A server that serves everything, and says who it is.
-    pub fn good(name: &'static str) -> Self {
-        Self::new(move |_| Say::This(answer(200, "", name)))
+    /// A server that answers every request with 200 and its name as the body.
+    pub fn healthy(name: &'static str) -> Self {
+        Self::new(move |_| Reply::Respond(response(200, "", name)))
     }
 
-    /// The requests that came, without probes.
-    pub fn seen(&self) -> Vec<Message> {
+    /// The requests received so far, without health probes.
+    pub fn requests(&self) -> Vec<Message> {
         let seen = self.seen.lock().expect("no panic");
         seen.iter().filter(|m| m.path() != "/health").cloned().collect()
     }
 
-    /// How many probes came.
+    /// The number of health probes received so far.
     pub fn probes(&self) -> usize {
-        self.seen.lock().expect("no panic").len() - self.seen().len()
+        self.seen.lock().expect("no panic").len() - self.requests().len()
     }
 
-    /// How many connections are open.
-    pub fn open(&self) -> usize {
+    /// The number of open connections.
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 }
 
-fn converse(stream: TcpStream, conn: usize, seen: &Mutex<Vec<Message>>, script: &dyn Fn(&Message) -> Say) {
+fn serve_connection(
+    stream: TcpStream,
+    conn: usize,
+    seen: &Mutex<Vec<Message>>,
+    script: &dyn Fn(&Message) -> Reply,
+) {
     let Ok(mut out) = stream.try_clone() else { return };
     let mut from = BufReader::new(stream);
     while let Some(message) = read_message(&mut from, conn) {
         seen.lock().expect("no panic").push(message.clone());
         let (bytes, last) = match script(&message) {
-            Say::This(bytes) => (bytes, false),
-            Say::Last(bytes) => (bytes, true),
-            Say::Later(span, bytes) => {
+            Reply::Respond(bytes) => (bytes, false),
+            Reply::RespondAndClose(bytes) => (bytes, true),
+            Reply::RespondAfter(span, bytes) => {
                 std::thread::sleep(span);
                 (bytes, false)
             }
-            Say::By(write) => (Vec::new(), write(&mut out).is_err()),
-            Say::Nothing => (Vec::new(), false),
+            Reply::WriteWith(write) => (Vec::new(), write(&mut out).is_err()),
+            Reply::NoResponse => (Vec::new(), false),
         };
         if out.write_all(&bytes).is_err() || last {
             break;
@@ -240,16 +250,17 @@
     let _ = out.shutdown(std::net::Shutdown::Both);
 }
 
-/// An address where connections are refused for as long as the socket is held: it is bound, so that no other test gets the
-/// port meanwhile, and does not listen.
-pub fn refusing() -> (socket2::Socket, SocketAddr) {
+/// An address that refuses connections as long as the socket lives: the socket is bound, so that no other test gets the
+/// port, and does not listen.
+pub fn refusing_address() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
     let at = socket.local_addr().expect("bound").as_socket().expect("an IP address");
     (socket, at)
 }
 
-/// A listener whose backlog is full: it lets nobody in until the others are dropped and it accepts.
+/// A listener whose backlog is full: new connections stay pending until the returned streams are dropped and the
+/// listener accepts.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
@@ -263,42 +274,44 @@
 
 // ---- Discovery ----
 
-/// An entry of the list.
+/// A server's entry in discovery's list.
 pub fn host(name: &str, at: SocketAddr, health: &str, cell: u64) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "a", "class": "m", "block": cell,
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
+/// A line of a discovery response: the full list (`whole`) or changes to it.
 pub fn line(seq: u64, whole: bool, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
 }
 
 #[derive(Default)]
-struct Told {
+struct RegistryState {
     whole: String,
-    /// Lines for the watches that are open.
-    news: Vec<String>,
+    /// Lines sent to the open watches, oldest first.
+    updates: Vec<String>,
     down: bool,
-    /// Watches stay open and say nothing.
+    /// Whether watches stay open without sending anything.
     silent: bool,
-    /// Raised to end all watches.
+    /// Incremented to end all watches.
     epoch: usize,
     calls: Vec<String>,
     watches: usize,
 }
 
-/// Discovery: the whole list at first, then the news.
+/// A discovery service: a watch receives the full list first, then updates.
 #[derive(Clone)]
 pub struct Registry {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<RegistryState>>,
 }
 
 impl Registry {
     pub fn new(hosts: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let told = Arc::new(Mutex::new(Told { whole: line(1, true, hosts), ..Told::default() }));
-        let registry = Self { address: listener.local_addr().expect("bound"), told };
+        let state =
+            Arc::new(Mutex::new(RegistryState { whole: line(1, true, hosts), ..RegistryState::default() }));
+        let registry = Self { address: listener.local_addr().expect("bound"), state };
         let this = registry.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -309,71 +322,71 @@
         registry
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Told) -> T) -> T {
-        f(&mut self.told.lock().expect("no panic"))
+    fn with<T>(&self, f: impl FnOnce(&mut RegistryState) -> T) -> T {
+        f(&mut self.state.lock().expect("no panic"))
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
         let mut out = stream.try_clone().ok()?;
         let request = read_message(&mut BufReader::new(stream), 0)?;
-        let (whole, down, epoch, mut place) = self.with(|t| {
+        let (whole, down, epoch, mut position) = self.with(|t| {
             t.calls.push(request.path().to_string());
-            (t.whole.clone(), t.down, t.epoch, t.news.len())
+            (t.whole.clone(), t.down, t.epoch, t.updates.len())
         });
         if down {
             return None;
         }
         if !request.path().contains("watch") {
-            return out.write_all(&answer(200, "", &whole)).ok();
+            return out.write_all(&response(200, "", &whole)).ok();
         }
         out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut say = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
-        say(&whole).ok()?;
+        let mut send_line = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
+        send_line(&whole).ok()?;
         self.with(|t| t.watches += 1);
-        let mut quiet = Instant::now();
+        let mut last_keepalive = Instant::now();
         loop {
             if self.with(|t| t.silent) {
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             }
-            let (now_epoch, news) = self.with(|t| (t.epoch, t.news[place..].to_vec()));
+            let (now_epoch, updates) = self.with(|t| (t.epoch, t.updates[position..].to_vec()));
             if now_epoch != epoch {
                 return None;
             }
-            place += news.len();
-            for line in &news {
-                say(line).ok()?;
+            position += updates.len();
+            for line in &updates {
+                send_line(line).ok()?;
             }
-            if quiet.elapsed() > Duration::from_millis(500) {
-                say("").ok()?;
-                quiet = Instant::now();
+            if last_keepalive.elapsed() > Duration::from_millis(500) {
+                send_line("").ok()?;
+                last_keepalive = Instant::now();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Tells all watches, and has the list as `hosts` from now on.
-    pub fn tell(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
+    /// Replaces the list by `hosts` and sends `changes` to all watches.
+    pub fn publish(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
         self.with(|t| {
             t.whole = line(seq, true, hosts);
-            t.news.push(line(seq, false, changes));
+            t.updates.push(line(seq, false, changes));
         });
     }
 
-    /// Says something else to all watches.
-    pub fn say(&self, words: &str) {
-        self.with(|t| t.news.push(words.to_string()));
+    /// Sends an arbitrary line to all watches.
+    pub fn push_line(&self, words: &str) {
+        self.with(|t| t.updates.push(words.to_string()));
     }
 
-    /// Goes down, or comes back; watches end.
-    pub fn down(&self, down: bool) {
+    /// Takes the service down or up; ends all watches.
+    pub fn set_down(&self, down: bool) {
         self.with(|t| {
             (t.down, t.epoch) = (down, t.epoch + 1);
         });
     }
 
-    /// The link goes dead without a word.
-    pub fn silent(&self) {
+    /// Stops sending on all watches without closing them.
+    pub fn go_silent(&self) {
         self.with(|t| t.silent = true);
     }
 
@@ -381,7 +394,7 @@
         self.with(|t| t.calls.clone())
     }
 
-    /// How many watches were ever begun.
+    /// The number of watches started so far.
     pub fn watches(&self) -> usize {
         self.with(|t| t.watches)
     }
@@ -389,7 +402,7 @@
 
 // ---- The node ----
 
-/// A configuration whose classes are `look` (safe), `pay` (keyed) and `slip` (unsafe).
+/// A configuration with the classes `look` (safe), `pay` (keyed) and `slip` (unsafe).
 pub fn config(discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "Idempotency": effect, "DedupScope": "cell", "MemorySpan": 20000.0, "Slo": 3000.0,
@@ -442,8 +455,8 @@
     (command, file)
 }
 
-/// The command of a node that inherits a socket as a descriptor of this number, and `BALANCER_FD` as it says.
-pub fn inheriting(config: &Value, socket: &TcpListener, fd: &str) -> (Command, String) {
+/// The command of a node that inherits a socket as descriptor 3, with `BALANCER_FD` set to `fd`.
+pub fn inheriting_command(config: &Value, socket: &TcpListener, fd: &str) -> (Command, String) {
     let (mut node, file) = command(config, None);
     let mut shell = Command::new("sh");
     shell.args(["-c", "exec \"$0\" node 3<&0 0</dev/null", env!("CARGO_BIN_EXE_magpietally")]);
@@ -454,16 +467,16 @@
     (node, file)
 }
 
-/// Makes a pipe that nobody writes to.
-pub fn pipe(at: &str) {
-    // One of an earlier run's may be there.
+/// Creates a named pipe without a writer.
+pub fn make_fifo(at: &str) {
+    // An earlier run may have left one.
     let _ = std::fs::remove_file(at);
     assert!(Command::new("mkfifo").arg(at).status().expect("mkfifo runs").success());
 }
 
-/// Runs the program with little memory, and with this for its configuration; its exit code and what it says. It must end
-/// by itself.
-pub fn run_small(args: &[&str], config: &str) -> (Option<i32>, String) {
+/// Runs the program with limited memory and this configuration file; returns its exit code and standard error. It must
+/// exit by itself.
+pub fn run_with_memory_limit(args: &[&str], config: &str) -> (Option<i32>, String) {
     let program = env!("CARGO_BIN_EXE_magpietally");
     let mut child = Command::new("sh")
         .args(["-c", "ulimit -v 1500000; exec \"$0\" \"$@\"", program])
@@ -476,7 +489,7 @@
         .expect("it starts");
     let start = Instant::now();
     while child.try_wait().expect("a child").is_none() {
-        if start.elapsed() > PATIENCE {
+        if start.elapsed() > WAIT_TIMEOUT {
             child.kill().expect("it runs");
             panic!("{args:?} with {config} does not end");
         }
@@ -486,68 +499,69 @@
     (out.status.code(), text(&out.stderr))
 }
 
-/// Runs a node that should not come up: its exit code and what it says.
+/// Runs a node whose start is expected to fail; returns its exit code and standard error.
 pub fn run(config: &Value) -> (Option<i32>, String) {
-    run_with(config, &[])
+    run_with_args(config, &[])
 }
 
-/// The same with arguments.
-pub fn run_with(config: &Value, args: &[&str]) -> (Option<i32>, String) {
+/// Like [`run`], with arguments.
+pub fn run_with_args(config: &Value, args: &[&str]) -> (Option<i32>, String) {
     let output = command(config, None).0.args(args).output().expect("it runs");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 impl Node {
-    /// Starts a node that inherits its listening socket as a descriptor of this number, and waits until it listens.
-    pub fn inheriting(config: &Value, listener: &TcpListener, fd: &str) -> Self {
-        Self::start(inheriting(config, listener, fd))
+    /// Starts a node that inherits its listening socket as descriptor 3, with `BALANCER_FD` set to `fd`, and waits until
+    /// it listens.
+    pub fn with_inherited_socket(config: &Value, listener: &TcpListener, fd: &str) -> Self {
+        Self::start(inheriting_command(config, listener, fd))
     }
 
-    /// A call to the second address; its own connection.
-    pub fn call(&self, method: &str, path: &str) -> Message {
-        self.manage(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n")).expect("an answer")
+    /// Sends a request to the management address on a connection of its own.
+    pub fn management_call(&self, method: &str, path: &str) -> Message {
+        self.management_exchange(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n")).expect("an answer")
     }
 
-    /// The same in other words; `None` where the connection is closed without an answer.
-    pub fn manage(&self, words: &str) -> Option<Message> {
-        let mut caller = self.caller();
-        caller.send(words);
-        caller.hear()
+    /// Sends a raw request to the management address; `None` if the connection is closed without a response.
+    pub fn management_exchange(&self, words: &str) -> Option<Message> {
+        let mut client = self.management_client();
+        client.send(words);
+        client.receive()
     }
 
-    /// A connection to the second address.
-    pub fn caller(&self) -> Client {
+    /// Opens a connection to the management address.
+    pub fn management_client(&self) -> Client {
         Client::at(self.management.expect("it has a second address"))
     }
 
-    /// A figure, by the name that the second address gives it.
-    pub fn figure(&self, name: &str) -> u64 {
-        let lines = text(&self.call("GET", "/v1/metrics").body);
+    /// Reads a metric from the management address by its name there.
+    pub fn metric(&self, name: &str) -> u64 {
+        let lines = text(&self.management_call("GET", "/v1/metrics").body);
         let line = lines.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(':'));
         let value = line.unwrap_or_else(|| panic!("{name} in {lines}"));
         value.split('|').next().and_then(|v| v.parse().ok()).expect("a number")
     }
 
-    /// Starts a node whose system calls fail by a plan, with these arguments, and waits until it is ready.
+    /// Starts a node under fault injection, with these arguments, and waits until it is ready.
     pub fn with_faults(config: &Value, faults: &faults::Faults, args: &[&str]) -> Self {
         let node = Self::listening_with_faults(config, faults, args);
         node.wait_ready();
         node
     }
 
-    /// The same, but waits only until it listens.
+    /// Like [`Node::with_faults`], but waits only until the node listens.
     pub fn listening_with_faults(config: &Value, faults: &faults::Faults, args: &[&str]) -> Self {
         let (mut command, file) = command(config, None);
         command.args(args).envs(faults.environment());
         Self::start((command, file))
     }
 
-    /// Starts a node and waits until it listens.
+    /// Starts a node, optionally under a limit of file descriptors, and waits until it listens.
     pub fn listening(config: &Value, descriptors: Option<usize>) -> Self {
         Self::start(command(config, descriptors))
     }
 
-    /// Starts a node with so many workers and waits until one of them is ready.
+    /// Starts a node with this number of workers and waits until one of them is ready.
     pub fn with_workers(config: &Value, workers: usize) -> Self {
         Self::with_args(config, &["--workers", &workers.to_string()])
     }
@@ -561,14 +575,14 @@
         node
     }
 
-    /// The same, but waits only until it listens: it may not be ready before others are there.
+    /// Like [`Node::with_args`], but waits only until the node listens: it may need other nodes to become ready.
     pub fn listening_with_args(config: &Value, args: &[&str]) -> Self {
         let (mut command, file) = command(config, None);
         command.args(args);
         Self::start((command, file))
     }
 
-    /// The same under a limit of the shell's `ulimit`, as `-f 100`.
+    /// Like [`Node::listening_with_args`], under a limit of the shell's `ulimit`, such as `-f 100`.
     pub fn limited_with_args(config: &Value, args: &[&str], limit: &str) -> Self {
         let (node, file) = command(config, None);
         let mut shell = Command::new("sh");
@@ -579,7 +593,7 @@
         Self::start((shell, file))
     }
 
-    /// Starts a node whose environment names discovery too, and waits until it is ready.
+    /// Starts a node with `BALANCER_DISCOVERY` set, and waits until it is ready.
     pub fn ready_with_discovery(config: &Value, discovery: SocketAddr) -> Self {
         let (mut command, file) = command(config, None);
         command.env("BALANCER_DISCOVERY", discovery.to_string());
@@ -598,18 +612,19 @@
                 lines.lock().expect("no panic").push(line);
             }
         });
-        let (mut address, began) = (None, Instant::now());
+        let (mut address, started) = (None, Instant::now());
         while address.is_none() {
             let ended = child.try_wait().expect("it can be asked");
             std::thread::sleep(Duration::from_millis(5));
             let lines = log.lock().expect("no panic");
             let find = |l: &String| l.split_once(" listens at ").and_then(|(_, a)| a.parse().ok());
             address = lines.iter().find_map(find);
-            let may_come = ended.is_none() && began.elapsed() < PATIENCE;
-            assert!(address.is_some() || may_come, "the node does not listen, {ended:?}: {lines:#?}");
+            let still_starting = ended.is_none() && started.elapsed() < WAIT_TIMEOUT;
+            assert!(address.is_some() || still_starting, "the node does not listen, {ended:?}: {lines:#?}");
         }
-        let managed = |l: &String| l.split_once(" is managed at ").and_then(|(_, a)| a.parse().ok());
-        let management = log.lock().expect("no panic").iter().find_map(managed);
+        let find_management =
+            |l: &String| l.split_once(" is find_management at ").and_then(|(_, a)| a.parse().ok());
+        let management = log.lock().expect("no panic").iter().find_map(find_management);
         Self { child, file, address: address.expect("found"), management, log }
     }
 
@@ -621,23 +636,24 @@
     }
 
     pub fn wait_ready(&self) {
-        until("the node is ready", || self.says_ready() == 200);
+        wait_until("the node is ready", || self.ready_status() == 200);
     }
 
-    /// Waits until the node says that it is to end.
-    pub fn wait_told(&self) {
-        until("the signal has come", || self.says_ready() == 503);
+    /// Waits until the node reports that it is stopping.
+    pub fn wait_stopping(&self) {
+        wait_until("the node handles the signal", || self.ready_status() == 503);
     }
 
-    fn says_ready(&self) -> u16 {
-        Client::to(self).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status()
+    fn ready_status(&self) -> u16 {
+        Client::to(self).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status()
     }
 
+    /// Returns whether a log line contains `words`.
     pub fn logged(&self, words: &str) -> bool {
         self.log.lock().expect("no panic").iter().any(|l| l.contains(words))
     }
 
-    /// Ends the node at once.
+    /// Kills the node (SIGKILL) and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().expect("it runs");
         self.child.wait().expect("it ended");
@@ -647,28 +663,28 @@
         self.signal("-TERM");
     }
 
-    /// Stops the node (SIGSTOP), or lets it go on (SIGCONT).
+    /// Suspends the node (SIGSTOP) or resumes it (SIGCONT).
     pub fn pause(&self, paused: bool) {
         self.signal(if paused { "-STOP" } else { "-CONT" });
     }
 
-    /// What follows `words` in the first log line that holds them.
+    /// The rest of the first log line that contains `words`, after them.
     pub fn logged_after(&self, words: &str) -> Option<String> {
         let log = self.log.lock().expect("no panic");
         log.iter().find_map(|l| l.split_once(words).map(|(_, rest)| rest.to_owned()))
     }
 
-    /// Whether the process has ended, and how.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    /// The exit status if the process has ended.
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().expect("it can be asked")
     }
 
-    /// Replaces the file of the configuration, as a whole, and tells the node.
+    /// Replaces the configuration file atomically and sends SIGHUP.
     pub fn reload(&self, words: &str) {
         self.reload_from(|next| std::fs::write(next, words).expect("a file"));
     }
 
-    /// The same with whatever is made in the file's place.
+    /// Like [`Node::reload`], with the new file created by `make`.
     pub fn reload_from(&self, make: impl FnOnce(&str)) {
         let next = format!("{}.next", self.file);
         make(&next);
@@ -681,14 +697,14 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// How much memory the node holds.
+    /// The node's resident memory.
     pub fn memory_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("there is such a line");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// How many file descriptors the node holds.
+    /// The number of the node's open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
@@ -697,8 +713,9 @@
         self.child.try_wait().expect("a child").is_none()
     }
 
+    /// Waits for the node's end; returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        until("the node ends", || !self.running());
+        wait_until("the node ends", || !self.running());
         self.child.wait().expect("it ended").code()
     }
 }
@@ -712,7 +729,7 @@
 
 // ---- Clients ----
 
-/// A request of a class as a client would send it.
+/// A client's request of a class, with `remaining` milliseconds left.
 pub fn request(class: &str, txn: &str, remaining: u64) -> String {
     let (method, key) = match class {
         "look" => ("GET", ""),
@@ -737,7 +754,7 @@
 
     pub fn at(address: SocketAddr) -> Self {
         let out = TcpStream::connect(address).expect("something listens");
-        out.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        out.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
         let from = BufReader::new(out.try_clone().expect("a socket"));
         Self { out, from }
     }
@@ -750,12 +767,12 @@
         self.out.write_all(bytes).expect("the node reads");
     }
 
-    /// Another hand to write with.
+    /// A second handle of the connection, for writing.
     pub fn writer(&self) -> TcpStream {
         self.out.try_clone().expect("a socket")
     }
 
-    /// The next head alone, of an interim answer or one without a body.
+    /// Reads the next head alone, of an interim response or of one without a body.
     pub fn head(&mut self) -> String {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -764,32 +781,33 @@
         head
     }
 
-    /// The next answer; `None` where the connection ends first.
-    pub fn hear(&mut self) -> Option<Message> {
+    /// Reads the next response; `None` if the connection ends first.
+    pub fn receive(&mut self) -> Option<Message> {
         read_message(&mut self.from, 0)
     }
 
-    /// The answer; `None` where the connection ends instead, also before all was written.
-    pub fn try_ask(&mut self, words: &str) -> Option<Message> {
+    /// Sends a request and reads the response; `None` if the connection ends first, also during the write.
+    pub fn try_exchange(&mut self, words: &str) -> Option<Message> {
         self.out.write_all(words.as_bytes()).ok()?;
-        self.hear()
+        self.receive()
     }
 
-    pub fn ask(&mut self, words: &str) -> Message {
+    /// Sends a request and reads the response.
+    pub fn exchange(&mut self, words: &str) -> Message {
         self.send(words);
-        self.hear().expect("an answer")
+        self.receive().expect("an answer")
     }
 
-    /// Has the node closed the connection, or broken it off with something unread? Waits for it.
-    pub fn ended_or_reset(&mut self) -> bool {
+    /// Waits for the node to close the connection; returns whether it did, in order or by a reset.
+    pub fn closed_or_reset(&mut self) -> bool {
         match self.from.read(&mut [0; 64]) {
             Ok(n) => n == 0,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         }
     }
 
-    /// Has the node closed the connection? Waits for it.
-    pub fn ended(&mut self) -> bool {
+    /// Waits for the node to close the connection; returns whether it closed it in order, without a reset.
+    pub fn closed(&mut self) -> bool {
         matches!(self.from.read(&mut [0; 64]), Ok(0))
     }
 }
--- a/tests/peers/queue.rs
+++ b/tests/peers/queue.rs
@@ -1,4 +1,4 @@
-//! Discovery as a fleet has it: one service for all nodes, which takes calls in turn and turns away what would wait too long.
+//! A discovery service shared by a fleet: it serves calls one after another and sheds those that would wait too long.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,28 +8,28 @@
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 
-use super::{answer, line, read_message, PATIENCE};
+use super::{line, read_message, response, WAIT_TIMEOUT};
 
-/// A watch has a line this often where nothing changes.
-const QUIET: Duration = Duration::from_secs(2);
+/// Interval of keepalive lines on a watch.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How much the service can do.
+/// The service's capacity.
 #[derive(Clone, Copy)]
 pub struct Capacity {
-    /// What a call that it serves takes of it.
+    /// Service time of a call that is served.
     pub work: Duration,
-    /// What would wait longer is turned away at once.
-    pub room: Duration,
-    /// What a call that it turns away takes of it, as a part of one that it serves. It is done at once: calls that wait
-    /// their turn wait so much longer.
-    pub shed: f64,
+    /// A call that would wait longer is shed at once.
+    pub max_wait: Duration,
+    /// Service time of a call that is shed, as a fraction of `work`. It is spent at once, so queued calls wait
+    /// that much longer.
+    pub shed_cost: f64,
 }
 
-/// A call that the service got.
+/// A call that the service received.
 #[derive(Clone, Copy)]
 pub struct Call {
     pub node: usize,
-    pub came: Instant,
+    pub received_at: Instant,
     pub shed: bool,
 }
 
@@ -39,27 +39,27 @@
     version: u64,
     whole: Vec<Value>,
     changes: Vec<Value>,
-    /// When all the work that was taken on is done.
-    free: Instant,
-    /// The work that went into calls that were turned away.
-    shed: Duration,
+    /// When all accepted work is done.
+    idle_at: Instant,
+    /// Total service time spent on shed calls.
+    shed_work: Duration,
     calls: Vec<Call>,
-    /// The watch that each node has, by the time at which its call's turn was over.
+    /// For each node with an open watch, when the call that opened it was served.
     watches: Vec<Option<Instant>>,
-    late: Duration,
+    max_wakeup_delay: Duration,
 }
 
-/// The service. Each node has an address of its own to call, which tells whose call it is.
+/// The service. Each node calls an address of its own, which identifies the caller.
 #[derive(Clone)]
-pub struct Queue {
+pub struct QueuedDiscovery {
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
 }
 
-impl Queue {
-    /// A service that can be called; its list is empty, and its version 0.
+impl QueuedDiscovery {
+    /// Starts the service with an empty list of version 0.
     pub fn new(nodes: usize, capacity: Capacity) -> Self {
-        // Bound and not listening: nobody else gets the port while the service is down, and calls are refused then.
+        // Bound but not listening: the ports stay reserved while the service is down, and calls are refused then.
         let ports: Vec<Socket> =
             (0..nodes).map(|_| bind("127.0.0.1:0".parse().expect("an address"))).collect();
         let at = |port: &Socket| port.local_addr().expect("bound").as_socket().expect("an IP address");
@@ -69,15 +69,15 @@
             version: 0,
             whole: Vec::new(),
             changes: Vec::new(),
-            free: Instant::now(),
-            shed: Duration::ZERO,
+            idle_at: Instant::now(),
+            shed_work: Duration::ZERO,
             calls: Vec::new(),
             watches: vec![None; nodes],
-            late: Duration::ZERO,
+            max_wakeup_delay: Duration::ZERO,
         };
-        let queue = Self { addresses: ports.iter().map(at).collect(), state: Arc::new(Mutex::new(state)) };
-        let (this, clock) = (queue.clone(), queue.clone());
-        let end = Instant::now() + 4 * PATIENCE;
+        let service = Self { addresses: ports.iter().map(at).collect(), state: Arc::new(Mutex::new(state)) };
+        let (this, clock) = (service.clone(), service.clone());
+        let end = Instant::now() + 4 * WAIT_TIMEOUT;
         std::thread::spawn(move || {
             this.listen(end);
             drop(ports);
@@ -87,7 +87,7 @@
                 clock.sleep_until(Instant::now() + Duration::from_millis(5));
             }
         });
-        queue
+        service
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
@@ -96,36 +96,36 @@
 
     fn sleep_until(&self, due: Instant) {
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        let late = due.elapsed();
-        self.with(|s| s.late = s.late.max(late));
+        let delay = due.elapsed();
+        self.with(|s| s.max_wakeup_delay = s.max_wakeup_delay.max(delay));
     }
 
-    /// By how much a thread of this process woke later than it should have, at the worst.
-    pub fn late(&self) -> Duration {
-        self.with(|s| s.late)
+    /// The longest delay with which a sleeping thread of this process woke up.
+    pub fn max_wakeup_delay(&self) -> Duration {
+        self.with(|s| s.max_wakeup_delay)
     }
 
-    /// The list from now on. `changes` are what has changed since the list that nodes have saved.
-    pub fn tell(&self, version: u64, whole: &[Value], changes: &[Value]) {
+    /// Replaces the list. `changes` are the changes since the list that the nodes have saved.
+    pub fn publish(&self, version: u64, whole: &[Value], changes: &[Value]) {
         self.with(|s| (s.version, s.whole, s.changes) = (version, whole.to_vec(), changes.to_vec()));
     }
 
-    /// All watches end, and calls are refused.
-    pub fn goes_down(&self) {
+    /// Takes the service down: all watches end, and calls are refused.
+    pub fn stop(&self) {
         self.with(|s| s.up = false);
     }
 
-    /// It is back, with nothing to do, and can do so much.
-    pub fn is_back(&self, capacity: Capacity) {
+    /// Brings the service up again, idle, with this capacity.
+    pub fn restart(&self, capacity: Capacity) {
         self.with(|s| (s.up, s.capacity) = (true, capacity));
     }
 
-    /// The calls that it got.
+    /// The calls received so far.
     pub fn calls(&self) -> Vec<Call> {
         self.with(|s| s.calls.clone())
     }
 
-    /// The watch that each node has, by when its call's turn was over.
+    /// For each node with an open watch, when the call that opened it was served.
     pub fn watches(&self) -> Vec<Option<Instant>> {
         self.with(|s| s.watches.clone())
     }
@@ -135,7 +135,7 @@
         while Instant::now() < end {
             match self.with(|s| s.up) {
                 true if listeners.is_empty() => {
-                    listeners = self.addresses.iter().map(|at| listener(*at)).collect()
+                    listeners = self.addresses.iter().map(|at| listen_on(*at)).collect()
                 }
                 true => {}
                 false => listeners.clear(),
@@ -152,21 +152,21 @@
 
     fn serve(&self, node: usize, mut out: TcpStream) -> Option<()> {
         let request = read_message(&mut BufReader::new(out.try_clone().ok()?), 0)?;
-        let Some(turn) = self.turn(node) else { return out.write_all(&answer(503, "", "")).ok() };
-        let served = self.wait(turn);
+        let Some(ticket) = self.enqueue(node) else { return out.write_all(&response(503, "", "")).ok() };
+        let served = self.wait(ticket);
         let (up, version, whole, changes) = self
             .with(|s| (s.up, s.version, line(s.version, true, &s.whole), line(s.version, false, &s.changes)));
         if !up {
             return None;
         }
         let Some((_, from)) = request.path().split_once("?watch=1&from=") else {
-            return out.write_all(&answer(200, "", &whole)).ok();
+            return out.write_all(&response(200, "", &whole)).ok();
         };
         out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         if from.parse::<u64>().expect("a version") < version {
-            say(&mut out, &changes)?;
+            send_line(&mut out, &changes)?;
         }
-        if self.there(&mut out)? {
+        if self.is_connected(&mut out)? {
             self.with(|s| s.watches[node] = Some(served));
             self.watch(out);
             self.with(|s| s.watches[node] = None);
@@ -174,28 +174,28 @@
         Some(())
     }
 
-    /// Takes a call on: when its turn is over, and what had gone into calls turned away till then.
-    fn turn(&self, node: usize) -> Option<(Instant, Duration)> {
+    /// Enqueues a call. Returns when it is due to be served and the shed work until then; `None` if it is shed.
+    fn enqueue(&self, node: usize) -> Option<(Instant, Duration)> {
         self.with(|s| {
-            let came = Instant::now();
-            let Capacity { work, room, shed } = s.capacity;
-            s.free = s.free.max(came);
-            let turned_away = s.free - came > room;
-            let cost = if turned_away { work.mul_f64(shed) } else { work };
-            s.free += cost;
-            s.calls.push(Call { node, came, shed: turned_away });
-            if turned_away {
-                s.shed += cost;
+            let received_at = Instant::now();
+            let Capacity { work, max_wait, shed_cost } = s.capacity;
+            s.idle_at = s.idle_at.max(received_at);
+            let shed = s.idle_at - received_at > max_wait;
+            let cost = if shed { work.mul_f64(shed_cost) } else { work };
+            s.idle_at += cost;
+            s.calls.push(Call { node, received_at, shed });
+            if shed {
+                s.shed_work += cost;
                 return None;
             }
-            Some((s.free, s.shed))
+            Some((s.idle_at, s.shed_work))
         })
     }
 
-    /// Waits until a call's turn is over; when it was.
-    fn wait(&self, (due, shed): (Instant, Duration)) -> Instant {
+    /// Waits until a queued call is served; returns when it was due, including the work shed meanwhile.
+    fn wait(&self, (due, shed_before): (Instant, Duration)) -> Instant {
         loop {
-            let due = due + (self.with(|s| s.shed) - shed);
+            let due = due + (self.with(|s| s.shed_work) - shed_before);
             if Instant::now() >= due {
                 return due;
             }
@@ -203,20 +203,20 @@
         }
     }
 
-    /// Keeps a watch until the node or the service ends it.
+    /// Serves a watch until the node or the service ends it.
     fn watch(&self, mut out: TcpStream) -> Option<()> {
-        let mut quiet = Instant::now();
-        while self.with(|s| s.up) && self.there(&mut out)? {
-            if quiet.elapsed() >= QUIET {
-                say(&mut out, "")?;
-                quiet = Instant::now();
+        let mut last_keepalive = Instant::now();
+        while self.with(|s| s.up) && self.is_connected(&mut out)? {
+            if last_keepalive.elapsed() >= KEEPALIVE_INTERVAL {
+                send_line(&mut out, "")?;
+                last_keepalive = Instant::now();
             }
         }
         Some(())
     }
 
-    /// Whether the node is still there, after a moment in which it would have been seen to go.
-    fn there(&self, out: &mut TcpStream) -> Option<bool> {
+    /// Returns whether the node still holds the connection; waits up to 20 ms for its end.
+    fn is_connected(&self, out: &mut TcpStream) -> Option<bool> {
         out.set_read_timeout(Some(Duration::from_millis(20))).ok()?;
         match out.read(&mut [0; 64]) {
             Ok(n) => Some(n > 0),
@@ -225,7 +225,7 @@
     }
 }
 
-fn say(out: &mut TcpStream, words: &str) -> Option<()> {
+fn send_line(out: &mut TcpStream, words: &str) -> Option<()> {
     write!(out, "{:x}\r\n{words}\n\r\n", words.len() + 1).ok()
 }
 
@@ -236,7 +236,7 @@
     socket
 }
 
-fn listener(at: SocketAddr) -> TcpListener {
+fn listen_on(at: SocketAddr) -> TcpListener {
     let socket = bind(at);
     socket.listen(128).expect("it listens");
     socket.set_nonblocking(true).expect("a socket");
--- a/tests/peers/three.rs
+++ b/tests/peers/three_nodes.rs
@@ -1,4 +1,4 @@
-//! A fleet of three nodes that decide together.
+//! A fleet of three nodes, all of them voters.
 
 use std::path::Path;
 
@@ -6,29 +6,29 @@
 
 use super::Registry;
 
-/// The second number of the first fleet's address.
-const FLEETS_FROM: u8 = 120;
+/// Second octet of the first fleet's loopback address.
+const FIRST_FLEET_OCTET: u8 = 120;
 
-/// The configuration of a node.
+/// The configuration of node `f{node}`.
 pub fn config(registry: &Registry, node: usize) -> Value {
-    let mut told = super::config(registry.address);
-    (told["name"], told["management"]) = (json!(format!("f{node}")), json!("127.0.0.1:0"));
-    told
+    let mut config = super::config(registry.address);
+    (config["name"], config["management"]) = (json!(format!("f{node}")), json!("127.0.0.1:0"));
+    config
 }
 
-/// The call that proposes a document.
+/// The management request that proposes a policy document.
 pub fn proposal(document: &str) -> String {
     let length = document.len();
     format!("PUT /v1/fleet/policy HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{document}")
 }
 
-/// The fleet's file of a node, whose store lies in this folder. Each process that runs tests has a loopback address of its own for
-/// each of its fleets, so that the ports are free.
-pub fn file(place: &Path, fleet: u8, node: usize) -> String {
-    let store = place.join(format!("store-{node}"));
+/// Writes the fleet file of a node, with its store below `directory`, and returns the file's path. Each test process uses
+/// a loopback address of its own for each of its fleets, so that the ports are free.
+pub fn file(directory: &Path, fleet: u8, node: usize) -> String {
+    let store = directory.join(format!("store-{node}"));
     std::fs::create_dir_all(&store).expect("a directory");
     let process = std::process::id();
-    let ip = format!("127.{}.{}.{}", FLEETS_FROM + fleet, process >> 8 & 255, process & 255);
+    let ip = format!("127.{}.{}.{}", FIRST_FLEET_OCTET + fleet, process >> 8 & 255, process & 255);
     let at =
         |node: usize| format!("datagrams = \"{ip}:{}\"\nstreams = \"{ip}:{}\"\n", 7950 + node, 7960 + node);
     let mut text = format!(
@@ -39,7 +39,7 @@
     for peer in (0..3).filter(|peer| *peer != node) {
         text += &format!("[peers.f{peer}]\n{}", at(peer));
     }
-    let file = place.join(format!("fleet-{node}.toml"));
+    let file = directory.join(format!("fleet-{node}.toml"));
     std::fs::write(&file, text).expect("a file");
     file.display().to_string()
 }
