--- a/tests/server_ends.rs
+++ b/tests/server_ends.rs
@@ -26,10 +26,10 @@
 
 impl Server {
     fn new(script: impl Fn(&Message, &mut TcpStream) -> Then + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
+        Self::on_listener(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
 
-    fn on(
+    fn on_listener(
         listener: TcpListener,
         script: impl Fn(&Message, &mut TcpStream) -> Then + Send + Sync + 'static,
     ) -> Self {
@@ -44,7 +44,7 @@
                     let mut from = BufReader::new(stream);
                     while let Some(message) = read_message(&mut from, conn) {
                         if message.path() == "/health" {
-                            let _ = out.write_all(&answer(200, "", ""));
+                            let _ = out.write_all(&response(200, "", ""));
                             continue;
                         }
                         notes.lock().expect("no panic").push(message.clone());
@@ -66,7 +66,7 @@
         Self { address, seen }
     }
 
-    fn seen(&self) -> Vec<Message> {
+    fn requests(&self) -> Vec<Message> {
         self.seen.lock().expect("no panic").clone()
     }
 }
@@ -115,7 +115,7 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
     stream
 }
 
@@ -142,11 +142,11 @@
                 Then::Reset
             });
             let (_registry, node) = before(&[&server]);
-            let whole = Client::to(&node).ask(&request("slip", "whole", 15_000));
+            let whole = Client::to(&node).exchange(&request("slip", "whole", 15_000));
             assert_eq!((whole.status(), whole.body), (200, bytes(count)), "the same with a proper end");
-            let cut = Client::to(&node).ask(&request("slip", "cut", 15_000));
-            assert_eq!((cut.status(), server.seen().len()), (502, 2), "{head} {count}: it may have run");
-            let cut = Client::to(&node).ask(&request("look", "cut", 15_000));
+            let cut = Client::to(&node).exchange(&request("slip", "cut", 15_000));
+            assert_eq!((cut.status(), server.requests().len()), (502, 2), "{head} {count}: it may have run");
+            let cut = Client::to(&node).exchange(&request("look", "cut", 15_000));
             assert_eq!(cut.status(), 503, "{head} {count}: whatever was tried, none of it was whole");
         }
         for (count, version) in [(20_000, "1.1"), (20_000, "1.0"), (90_000, "1.1"), (90_000, "1.0")] {
@@ -156,7 +156,7 @@
                 write(out, head.as_bytes());
                 write(out, &bytes(count));
                 // The reset comes when the first bytes are with the client.
-                wait.lock().expect("no panic").recv_timeout(PATIENCE).expect("it is told");
+                wait.lock().expect("no panic").recv_timeout(WAIT_TIMEOUT).expect("it is told");
                 Then::Reset
             });
             let (_registry, node) = before(&[&server]);
@@ -172,8 +172,8 @@
             } else {
                 assert!(!got.ends_with(b"0\r\n\r\n"), "{head} {count}: no last chunk");
             }
-            until("it is counted as failed", || node.figure("app.bad_gateway.slip") == 1);
-            assert_eq!(server.seen().len(), 1, "it was not sent again");
+            wait_until("it is counted as failed", || node.metric("app.bad_gateway.slip") == 1);
+            assert_eq!(server.requests().len(), 1, "it was not sent again");
         }
     }
 }
@@ -212,7 +212,7 @@
                 assert!(!got.ends_with(b"0\r\n\r\n"), "{count}: a last chunk");
             }
         }
-        until("both are counted as failed", || node.figure("app.bad_gateway.slip") == 2);
+        wait_until("both are counted as failed", || node.metric("app.bad_gateway.slip") == 2);
     }
 }
 
@@ -276,7 +276,7 @@
         Then::Keep
     });
     let (_registry, node) = before(&[&server]);
-    let heard = Client::to(&node).ask(&request("slip", "slow", 1200));
+    let heard = Client::to(&node).exchange(&request("slip", "slow", 1200));
     assert_eq!((heard.status(), heard.body), (200, bytes(60_000)));
 }
 
@@ -288,9 +288,9 @@
         let last = answered.lock().expect("no panic").remove(&m.conn);
         if last.is_some_and(|at| at.elapsed() < Duration::from_millis(6)) {
             // Some milliseconds late, and right ahead of the proper one.
-            write(out, &answer(200, "", "the same again"));
+            write(out, &response(200, "", "the same again"));
         }
-        write(out, &answer(200, "", m.header("x-txn").expect("an id")));
+        write(out, &response(200, "", m.header("x-txn").expect("an id")));
         answered.lock().expect("no panic").insert(m.conn, Instant::now());
         Then::Keep
     });
@@ -302,12 +302,12 @@
         let words: Vec<String> = ids.iter().map(|id| request("slip", id, 15_000)).collect();
         client.send(&words.concat());
         for id in ids {
-            let heard = client.hear().expect("an answer");
+            let heard = client.receive().expect("an answer");
             assert_eq!((heard.status(), text(&heard.body)), (200, id));
         }
-        rest();
+        let_connection_idle();
     }
-    let seen = server.seen();
+    let seen = server.requests();
     let connections = seen.iter().map(|m| m.conn).max().expect("some came");
     assert_eq!(seen.len(), 36);
     assert!(connections < 12, "{connections} connections: they are used again once they have rested");
@@ -320,20 +320,20 @@
     let wait = Mutex::new(wait);
     let (wrote, written) = mpsc::channel::<()>();
     let server = Server::new(move |m, out| {
-        write(out, &answer(200, "", m.header("x-txn").expect("an id")));
-        wait.lock().expect("no panic").recv_timeout(PATIENCE).expect("its answer has come");
+        write(out, &response(200, "", m.header("x-txn").expect("an id")));
+        wait.lock().expect("no panic").recv_timeout(WAIT_TIMEOUT).expect("its answer has come");
         write(out, b"HTTP/1.1 2");
         wrote.send(()).expect("the test waits");
         Then::Keep
     });
     let (_registry, node) = before(&[&server]);
     for (n, class) in ["slip", "look", "pay", "slip", "look"].into_iter().enumerate() {
-        let heard = Client::to(&node).ask(&request(class, &format!("t{n}"), 15_000));
+        let heard = Client::to(&node).exchange(&request(class, &format!("t{n}"), 15_000));
         assert_eq!((heard.status(), text(&heard.body)), (200, format!("t{n}")), "{class}");
         go.send(()).expect("the server waits");
-        written.recv_timeout(PATIENCE).expect("it has written");
+        written.recv_timeout(WAIT_TIMEOUT).expect("it has written");
     }
-    let conns: Vec<usize> = server.seen().iter().map(|m| m.conn).collect();
+    let conns: Vec<usize> = server.requests().iter().map(|m| m.conn).collect();
     assert_eq!(conns, [1, 2, 3, 4, 5]);
 }
 
@@ -345,17 +345,17 @@
         let server = Server::new(|m, out| {
             let first = m.header("x-txn") == Some("first");
             if first || m.conn > 1 {
-                write(out, &answer(200, "", "served"));
+                write(out, &response(200, "", "served"));
                 return Then::Keep;
             }
             Then::Reset
         });
         let (_registry, node) = before(&[&server]);
         let mut client = Client::to(&node);
-        assert_eq!(client.ask(&request(class, "first", 15_000)).status(), 200);
-        rest();
-        assert_eq!(client.ask(&request(class, "second", 15_000)).status(), status, "{class}");
-        let seen = server.seen();
+        assert_eq!(client.exchange(&request(class, "first", 15_000)).status(), 200);
+        let_connection_idle();
+        assert_eq!(client.exchange(&request(class, "second", 15_000)).status(), status, "{class}");
+        let seen = server.requests();
         assert_eq!(seen[1].conn, 1, "{class}: the kept connection was used");
         let again = seen.iter().filter(|m| m.header("x-txn") == Some("second")).count();
         assert_eq!(again, attempts, "{class}");
@@ -384,21 +384,21 @@
         let before = (0..30).map(least).min().expect("some were counted");
         let mut client = Client::to(&node);
         client.send(&request("slip", "left", 60_000));
-        until("it is taken", || node.figure("app.in_progress") == 1);
+        wait_until("it is taken", || node.metric("app.in_progress") == 1);
         drop(client);
-        until("the node knows that it left", || node.figure("app.in_progress") == 0);
-        let server = Server::on(full, |m, out| {
-            write(out, &answer(200, "", m.header("x-txn").expect("an id")));
+        wait_until("the node knows that it left", || node.metric("app.in_progress") == 0);
+        let server = Server::on_listener(full, |m, out| {
+            write(out, &response(200, "", m.header("x-txn").expect("an id")));
             Then::Keep
         });
         drop(fillers);
         // Its connection comes up before this one's, or at the same time.
-        let heard = Client::to(&node).ask(&request("look", "later", 15_000));
+        let heard = Client::to(&node).exchange(&request("look", "later", 15_000));
         assert_eq!(text(&heard.body), "later");
         let ids = || -> Vec<String> {
-            server.seen().iter().filter_map(|m| m.header("x-txn").map(str::to_string)).collect()
+            server.requests().iter().filter_map(|m| m.header("x-txn").map(str::to_string)).collect()
         };
-        until("no attempt is out", || ids().len() > 1 || node.descriptors() <= before + 1);
+        wait_until("no attempt is out", || ids().len() > 1 || node.descriptors() <= before + 1);
         let ids = ids();
         assert_eq!(ids, ["later"], "attempts may be called off: {cancel}");
     }
@@ -419,19 +419,19 @@
                 [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes(), body]
                     .concat()
             };
-            words.extend(answer(200, "", "the same again"));
+            words.extend(response(200, "", "the same again"));
             write(out, &words);
             Then::Keep
         });
         let (_registry, node) = before(&[&server]);
         for n in 0..3 {
             let id = format!("t{n}");
-            let heard = Client::to(&node).ask(&request("slip", &id, 15_000));
+            let heard = Client::to(&node).exchange(&request("slip", &id, 15_000));
             assert_eq!(heard.status(), 200, "{count}, {chunked}");
             assert!(heard.body == [id.as_bytes(), &bytes(count)].concat(), "{count}, {chunked}: {id}");
-            rest();
+            let_connection_idle();
         }
-        let conns: Vec<usize> = server.seen().iter().map(|m| m.conn).collect();
+        let conns: Vec<usize> = server.requests().iter().map(|m| m.conn).collect();
         assert_eq!(conns, [1, 2, 3], "{count}, {chunked}");
     }
 }
@@ -447,7 +447,7 @@
         let (head, rest) = (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\nhalf", 4 + id.len()), id);
         write(out, head.as_bytes());
         if id == "left" {
-            wait.lock().expect("no panic").recv_timeout(PATIENCE).expect("its client has left");
+            wait.lock().expect("no panic").recv_timeout(WAIT_TIMEOUT).expect("its client has left");
         }
         write(out, rest.as_bytes());
         if id == "left" {
@@ -458,16 +458,19 @@
     let (_registry, node) = before(&[&server]);
     let mut client = Client::to(&node);
     client.send(&request("slip", "left", 15_000));
-    until("it is at the server", || server.seen().len() == 1);
+    wait_until("it is at the server", || server.requests().len() == 1);
     drop(client);
-    until("the node knows that it left", || node.figure("app.in_progress") == 0);
+    wait_until("the node knows that it left", || node.metric("app.in_progress") == 0);
     go.send(()).expect("the server waits");
-    until("the other half is written", || *went.lock().expect("no panic"));
-    rest();
-    let heard = Client::to(&node).ask(&request("slip", "next", 15_000));
+    wait_until("the other half is written", || *went.lock().expect("no panic"));
+    let_connection_idle();
+    let heard = Client::to(&node).exchange(&request("slip", "next", 15_000));
     assert_eq!((heard.status(), text(&heard.body)), (200, "halfnext".to_string()));
-    let seen: Vec<(usize, String)> =
-        server.seen().iter().map(|m| (m.conn, m.header("x-txn").unwrap_or_default().to_string())).collect();
+    let seen: Vec<(usize, String)> = server
+        .requests()
+        .iter()
+        .map(|m| (m.conn, m.header("x-txn").unwrap_or_default().to_string()))
+        .collect();
     assert_eq!(seen, [(1, "left".to_string()), (2, "next".to_string())]);
 }
 
@@ -493,8 +496,8 @@
         let (bring, come) = mpsc::channel();
         std::thread::spawn(move || listener.incoming().flatten().all(|stream| bring.send(stream).is_ok()));
         let next = || {
-            let stream = come.recv_timeout(PATIENCE).expect("the node connects");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+            let stream = come.recv_timeout(WAIT_TIMEOUT).expect("the node connects");
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
             stream
         };
         let registry = Registry::new(&[host("s0", at, "active", 1)]);
@@ -513,8 +516,8 @@
             head.extend(byte);
         }
         assert!(text(&head).contains("early"), "{}", text(&head));
-        write(&mut server, &answer(status, "", "early"));
-        assert_eq!(client.hear().expect("an answer").status(), told_so, "{size}, {status}");
+        write(&mut server, &response(status, "", "early"));
+        assert_eq!(client.receive().expect("an answer").status(), told_so, "{size}, {status}");
         let mut rest = Vec::new();
         // Either way tells that the rest will not come, and long before a connection that rests is closed.
         server.set_read_timeout(Some(Duration::from_secs(12))).expect("a socket");
@@ -526,7 +529,7 @@
         let mut server = next();
         let message = read_message(&mut BufReader::new(server.try_clone().expect("a descriptor")), 2);
         assert_eq!(message.expect("a request").header("x-txn"), Some("next"), "and nothing in between");
-        write(&mut server, &answer(200, "", "next"));
-        assert_eq!(client.hear().expect("an answer").body, b"next");
+        write(&mut server, &response(200, "", "next"));
+        assert_eq!(client.receive().expect("an answer").body, b"next");
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -59,9 +59,9 @@
         (of(" a"), "settings.Customers[0].Name: \" a\" can't be the value of a header"),
     ];
     for (config, words) in cases {
-        let file = folder("kinds.json").display().to_string();
+        let file = unused_path("kinds.json").display().to_string();
         std::fs::write(&file, config.to_string()).expect("a file");
-        let (code, told) = run_small(&["node"], &file);
+        let (code, told) = run_with_memory_limit(&["node"], &file);
         assert_eq!(code, Some(1), "{words}: {told}");
         let begins = format!("magpietally: BALANCER_CONFIG: {file}: {words}");
         assert!(told.starts_with(&begins) && told.lines().count() == 1, "{words}: {told}");
@@ -71,7 +71,7 @@
 /// A site with names, numbers and effects of its own: five classes, whose methods follow from their effects alone.
 #[test]
 fn classes_of_another_site_are_served_by_their_own_effects() {
-    let server = Peer::good("done");
+    let server = ScriptedServer::healthy("done");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     let class = |name: &str, effect: &str, n: f64| {
@@ -92,7 +92,7 @@
             "{method} /{class}/7 HTTP/1.1\r\nHost: x\r\nX-Txn: {method}{class}\r\nX-Remaining-Ms: 15000\r\n\
              X-Org: heron freight & co\r\n{key}Content-Length: 0\r\n\r\n"
         );
-        Client::to(&node).ask(&text).status()
+        Client::to(&node).exchange(&text).status()
     };
     let key = "Idempotency-Key: k1\r\n";
     for (class, effect) in
@@ -110,20 +110,20 @@
 /// A reload moves discovery. All else that the file says otherwise is named in the log, and holds from the next start on.
 #[test]
 fn a_reload_takes_over_discovery_and_names_what_it_leaves() {
-    let (a, b) = (Peer::good("a"), Peer::good("b"));
+    let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let list = |at| [host("s0", at, "active", 1)];
     let (old, new) = (Registry::new(&list(a.address)), Registry::new(&list(b.address)));
     let told = config(old.address);
     let mut node = Node::ready(&told);
-    let ask = |node: &Node, class: &str, id: &str| Client::to(node).ask(&request(class, id, 15_000));
+    let ask = |node: &Node, class: &str, id: &str| Client::to(node).exchange(&request(class, id, 15_000));
     assert_eq!(ask(&node, "look", "t1").body, b"a");
     let mut other = config(new.address);
     other["settings"]["Classes"][0]["Name"] = json!("glance");
     other["settings"]["Classes"][1]["Idempotency"] = json!("pure");
     other["settings"]["Limits"]["Keepalive"] = json!(1.0);
     node.reload(&other.to_string());
-    until("it says so", || node.logged("settings.Classes[0].Name is another in the file"));
-    until("discovery has moved", || ask(&node, "look", "t2").body == b"b");
+    wait_until("it says so", || node.logged("settings.Classes[0].Name is another in the file"));
+    wait_until("discovery has moved", || ask(&node, "look", "t2").body == b"b");
     assert_eq!(ask(&node, "glance", "t3").status(), 404, "the classes are those of the start");
     assert_eq!(ask(&node, "pay", "t4").status(), 200, "and their effects");
     // What only a start needs, and discovery itself, is no difference.
@@ -131,16 +131,16 @@
     (same["seed"], same["known"]) = (json!("77"), json!({"seq": 9, "whole": true, "hosts": []}));
     (same["limits"]["sockets"], same["limits"]["memory_mb"]) = (json!(256), json!(192));
     node.reload(&same.to_string());
-    until("discovery has moved back", || ask(&node, "look", "t5").body == b"a");
+    wait_until("discovery has moved back", || ask(&node, "look", "t5").body == b"a");
     same["limits"]["sockets"] = json!(300);
     node.reload(&same.to_string());
-    until("it says so", || node.logged("limits.sockets is another in the file"));
+    wait_until("it says so", || node.logged("limits.sockets is another in the file"));
     assert!(!node.logged("seed is another") && !node.logged("known is another"));
     // One that can't be good changes nothing, discovery's address included.
     let mut bad = other.clone();
     bad["settings"]["Classes"][0]["Slo"] = json!(-1.0);
     node.reload(&bad.to_string());
-    until("it says so", || {
+    wait_until("it says so", || {
         node.logged("settings.Classes[0].Slo: -1: must be above 0; the old configuration stays")
     });
     assert_eq!(ask(&node, "look", "t6").body, b"a");
@@ -151,18 +151,18 @@
 /// One client that claims to wait for ten minutes, and one refusal, must not make repeats of all others of its class.
 #[test]
 fn who_claims_more_time_than_its_class_has_turns_nobody_else_away() {
-    let server = Peer::good("done");
+    let server = ScriptedServer::healthy("done");
     let hosts = [host("s0", server.address, "active", 1)];
     let registry = Registry::new(&hosts);
     let mut told = config(registry.address);
     let class = &mut told["settings"]["Classes"][2];
     (class["LateValue"], class["Slo"], class["Deadline"]) = (json!(0.0), json!(4000.0), json!(20_000.0));
     let node = Node::ready(&told);
-    let ask = |id: &str, left| Client::to(&node).ask(&request("slip", id, left)).status();
+    let ask = |id: &str, left| Client::to(&node).exchange(&request("slip", id, left)).status();
     assert_eq!(ask("claims", 600_000), 200);
-    registry.tell(2, &[], &[host("s0", server.address, "left", 1)]);
-    until("nobody is left, and one is refused", || ask("refused", 20_000) == 503);
-    registry.tell(3, &hosts, &hosts);
-    until("it is back", || Client::to(&node).ask(&request("look", "look", 15_000)).status() == 200);
+    registry.publish(2, &[], &[host("s0", server.address, "left", 1)]);
+    wait_until("nobody is left, and one is refused", || ask("refused", 20_000) == 503);
+    registry.publish(3, &hosts, &hosts);
+    wait_until("it is back", || Client::to(&node).exchange(&request("look", "look", 15_000)).status() == 200);
     assert_eq!(ask("ordinary", 19_500), 200);
 }
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -17,7 +17,7 @@
 const MEMORY_MB: usize = 32;
 
 /// Servers that answer all requests, and how many each had.
-struct Servers(Vec<(Peer, Arc<AtomicUsize>)>);
+struct Servers(Vec<(ScriptedServer, Arc<AtomicUsize>)>);
 
 impl Servers {
     fn new() -> Self {
@@ -26,16 +26,16 @@
             let count = served.clone();
             let serve = move |m: &Message| {
                 count.fetch_add(usize::from(m.path() != "/health"), Ordering::SeqCst);
-                Say::This(answer(200, "", "done"))
+                Reply::Respond(response(200, "", "done"))
             };
-            (Peer::new(serve), served)
+            (ScriptedServer::new(serve), served)
         };
         Self((0..COUNT).map(server).collect())
     }
 
     /// The list's entries, under names that begin so.
     fn hosts(&self, prefix: &str, health: &str) -> Vec<Value> {
-        let entry = |(n, (peer, _)): (usize, &(Peer, _))| {
+        let entry = |(n, (peer, _)): (usize, &(ScriptedServer, _))| {
             host(&format!("{prefix}-{n}"), peer.address, health, n as u64)
         };
         self.0.iter().enumerate().map(entry).collect()
@@ -58,7 +58,7 @@
 /// Asks so often, one request after the other; all are served.
 fn ask(client: &mut Client, times: usize, id: &str) {
     for n in 0..times {
-        let heard = client.ask(&request("look", &format!("{id}-{n}"), 15_000));
+        let heard = client.exchange(&request("look", &format!("{id}-{n}"), 15_000));
         assert_eq!((heard.status(), heard.body), (200, b"done".to_vec()), "{id}-{n}");
     }
 }
@@ -68,7 +68,7 @@
     let sides = [Servers::new(), Servers::new()];
     let registry = Registry::new(&sides[0].hosts("g0", "active"));
     let node = Node::ready(&settings(&registry, nodes, sockets));
-    until("all are known", || node.figure("app.known_servers") == COUNT as u64);
+    wait_until("all are known", || node.metric("app.known_servers") == COUNT as u64);
     let mut client = Client::to(&node);
     // As many as the node rotates over each have their turn.
     let rotated = (8 * COUNT).div_ceil(nodes).min(COUNT);
@@ -78,7 +78,7 @@
         if round > 0 {
             let hosts = new.hosts(&format!("g{round}"), "active");
             let left = old.hosts(&format!("g{}", round - 1), "left");
-            registry.tell(1 + round as u64, &hosts, &[hosts.clone(), left].concat());
+            registry.publish(1 + round as u64, &hosts, &[hosts.clone(), left].concat());
             let told = Instant::now();
             let before: usize = new.served().iter().sum();
             while new.served().iter().sum::<usize>() == before {
@@ -92,7 +92,7 @@
         assert_eq!(old.served(), gone, "round {round}: one that left was asked");
         let turns = new.served().iter().zip(&begun).filter(|(now, before)| now > before).count();
         assert!(turns >= rotated * 9 / 10, "round {round}: {turns} of {rotated} had a turn");
-        assert_eq!(node.figure("app.known_servers"), COUNT as u64);
+        assert_eq!(node.metric("app.known_servers"), COUNT as u64);
         most = most.max(node.memory_kib());
         after.push(node.memory_kib());
     }
@@ -134,7 +134,7 @@
 /// All that an installation may switch on knows a fleet of 1,024: seeds, members, peers and the list.
 #[test]
 fn a_node_with_membership_and_a_fleet_of_1024_comes_up_and_names_them_all() {
-    let folder = folder("sizes");
+    let folder = unused_path("sizes");
     std::fs::create_dir_all(folder.join("store")).expect("a directory");
     let at = |n: usize, port: u16| {
         let [a, b, c, d] = far(n).1;
@@ -158,7 +158,7 @@
     let (first, second) = (folder.join("membership.toml"), folder.join("fleet.toml"));
     std::fs::write(&first, membership).expect("a file");
     std::fs::write(&second, fleet).expect("a file");
-    let server = Peer::good("a");
+    let server = ScriptedServer::healthy("a");
     let entry = |n| host(&format!("s-{n}"), server.address, "active", 1);
     let registry = Registry::new(&(0..COUNT).map(entry).collect::<Vec<_>>());
     let args =
@@ -167,7 +167,7 @@
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     // It has no lease, as nobody votes, and so is not ready.
     let node = Node::listening_with_args(&settings(&registry, COUNT, 256), &args);
-    until("all servers are known", || node.figure("app.known_servers") == COUNT as u64);
+    wait_until("all servers are known", || node.metric("app.known_servers") == COUNT as u64);
     let word = node.logged_after("membership listens at ").expect("it listens");
     let own: SocketAddr = word.split(' ').next().and_then(|a| a.parse().ok()).expect("an address");
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -175,7 +175,7 @@
     let missing = |told: &str| -> Vec<usize> {
         (1..COUNT).filter(|n| told.lines().filter(|l| l.starts_with(&far(*n).0)).count() != 1).collect()
     };
-    until("all are members", || {
+    wait_until("all are members", || {
         // Some at a time, as a socket's buffer holds them.
         for n in missing(&told).iter().take(100) {
             socket.send_to(&announces(*n, own), own).expect("sent");
