--- a/tests/fault_shim/src/calls.rs
+++ b/tests/fault_shim/src/calls.rs
@@ -1,4 +1,4 @@
-//! The functions that are replaced. Each has the C library's own type.
+//! The replaced functions. Each has the signature of the C library's function of that name.
 #![allow(clippy::missing_safety_doc, missing_docs)]
 
 use std::ffi::CStr;
@@ -9,19 +9,19 @@
 use crate::plan::{Call, Fault};
 use crate::state::{self, fault};
 
-/// The next function of a name behind this library's, looked up once.
-struct Next {
+/// The function that this library's function of the same name hides, looked up once.
+struct NextSymbol {
     name: &'static CStr,
-    at: AtomicPtr<c_void>,
+    address: AtomicPtr<c_void>,
 }
 
-impl Next {
+impl NextSymbol {
     const fn new(name: &'static CStr) -> Self {
-        Self { name, at: AtomicPtr::new(std::ptr::null_mut()) }
+        Self { name, address: AtomicPtr::new(std::ptr::null_mut()) }
     }
 
     fn get(&self) -> *mut c_void {
-        let known = self.at.load(Ordering::Acquire);
+        let known = self.address.load(Ordering::Acquire);
         if !known.is_null() {
             return known;
         }
@@ -30,35 +30,35 @@
         if found.is_null() {
             std::process::abort();
         }
-        self.at.store(found, Ordering::Release);
+        self.address.store(found, Ordering::Release);
         found
     }
 }
 
 fn set_errno(error: c_int) {
-    // SAFETY: the C library gives a valid place for each thread.
+    // SAFETY: the C library returns a valid pointer for each thread.
     unsafe { *libc::__errno_location() = error };
 }
 
-/// Calls the real function of a name.
+/// Calls the C library's function of this name.
 macro_rules! real {
     ($name:literal, ($($type:ty),*) -> $result:ty, $($argument:expr),*) => {{
-        static NEXT: Next = Next::new($name);
+        static NEXT: NextSymbol = NextSymbol::new($name);
         // SAFETY: the C library's function of this name has this type.
         let function: unsafe extern "C" fn($($type),*) -> $result = unsafe { std::mem::transmute(NEXT.get()) };
         unsafe { function($($argument),*) }
     }};
 }
 
-/// Breaks a connection off, as far as both ends are concerned.
+/// Aborts a connection for both ends: connecting a TCP socket to `AF_UNSPEC` disconnects it.
 fn disconnect(descriptor: c_int) {
-    let nowhere = sockaddr { sa_family: libc::AF_UNSPEC as libc::sa_family_t, sa_data: [0; 14] };
-    // SAFETY: the address lives through the call, and the size is its own.
-    unsafe { libc::syscall(libc::SYS_connect, descriptor, &raw const nowhere, size_of::<sockaddr>()) };
+    let unspecified = sockaddr { sa_family: libc::AF_UNSPEC as libc::sa_family_t, sa_data: [0; 14] };
+    // SAFETY: the address is valid during the call, and the size is its own.
+    unsafe { libc::syscall(libc::SYS_connect, descriptor, &raw const unspecified, size_of::<sockaddr>()) };
 }
 
-/// Sets the error that a fault gives to a call, where it gives one.
-fn fails(fault: Option<Fault>, descriptor: c_int) -> bool {
+/// Sets `errno` if the fault makes the call fail; returns whether it does.
+fn set_error(fault: Option<Fault>, descriptor: c_int) -> bool {
     let error = match fault {
         Some(Fault::Error(error)) => error,
         Some(Fault::Broken(error)) => {
@@ -71,27 +71,27 @@
     true
 }
 
-/// Ends the call where the plan says so.
+/// Returns -1 from the calling function if the plan makes the call fail.
 macro_rules! fail {
     ($call:expr, $descriptor:expr) => {
-        if fails(fault($call, $descriptor), $descriptor) {
+        if set_error(fault($call, $descriptor), $descriptor) {
             return -1;
         }
     };
 }
 
-/// The same of a call that moves bytes; gives how many it may move at the most.
+/// Like `fail`, for a call that transfers bytes; evaluates to the number of bytes that it may transfer.
 macro_rules! fail_or_cut {
     ($call:expr, $descriptor:expr, $length:expr) => {
         match fault($call, $descriptor) {
-            Some(Fault::Short(most)) => $length.min(most.max(1)),
-            fault if fails(fault, $descriptor) => return -1,
+            Some(Fault::Short(max_bytes)) => $length.min(max_bytes.max(1)),
+            fault if set_error(fault, $descriptor) => return -1,
             _ => $length,
         }
     };
 }
 
-fn receives(flags: c_int) -> Call {
+fn receive_call(flags: c_int) -> Call {
     if flags & libc::MSG_PEEK == 0 {
         Call::Recv
     } else {
@@ -103,7 +103,7 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = fail_or_cut!(receives(flags), fd, length);
+    let length = fail_or_cut!(receive_call(flags), fd, length);
     real!(c"recv", (c_int, *mut c_void, size_t, c_int) -> ssize_t, fd, to, length, flags)
 }
 
@@ -116,7 +116,7 @@
     from: *mut sockaddr,
     size: *mut socklen_t,
 ) -> ssize_t {
-    let length = fail_or_cut!(receives(flags), fd, length);
+    let length = fail_or_cut!(receive_call(flags), fd, length);
     real!(
         c"recvfrom",
         (c_int, *mut c_void, size_t, c_int, *mut sockaddr, *mut socklen_t) -> ssize_t,
@@ -126,7 +126,7 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn recvmsg(fd: c_int, message: *mut msghdr, flags: c_int) -> ssize_t {
-    fail!(receives(flags), fd);
+    fail!(receive_call(flags), fd);
     real!(c"recvmsg", (c_int, *mut msghdr, c_int) -> ssize_t, fd, message, flags)
 }
 
@@ -174,13 +174,13 @@
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, from: *const iovec, count: c_int) -> ssize_t {
     match fault(Call::Writev, fd) {
-        Some(Fault::Short(most)) if count > 0 => {
-            // SAFETY: the caller gives at least one piece.
+        Some(Fault::Short(max_bytes)) if count > 0 => {
+            // SAFETY: the caller passes at least one buffer.
             let mut first = unsafe { *from };
-            first.iov_len = first.iov_len.min(most.max(1));
+            first.iov_len = first.iov_len.min(max_bytes.max(1));
             real!(c"writev", (c_int, *const iovec, c_int) -> ssize_t, fd, &first, 1)
         }
-        fault if fails(fault, fd) => -1,
+        fault if set_error(fault, fd) => -1,
         _ => real!(c"writev", (c_int, *const iovec, c_int) -> ssize_t, fd, from, count),
     }
 }
@@ -198,7 +198,7 @@
     let accepted =
         real!(c"accept4", (c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int, fd, from, size, flags);
     if accepted >= 0 {
-        state::accepted(accepted);
+        state::mark_accepted(accepted);
     }
     accepted
 }
@@ -206,7 +206,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, size: socklen_t) -> c_int {
     fail!(Call::Connect, fd);
-    state::dialled(fd);
+    state::mark_dialled(fd);
     real!(c"connect", (c_int, *const sockaddr, socklen_t) -> c_int, fd, to, size)
 }
 
@@ -272,11 +272,11 @@
     real!(c"shutdown", (c_int, c_int) -> c_int, fd, how)
 }
 
-/// Fails as Linux does: the descriptor is free all the same.
+/// Fails as on Linux: the descriptor is released even so.
 #[no_mangle]
 pub unsafe extern "C" fn close(fd: c_int) -> c_int {
     let failed = fault(Call::Close, fd);
-    state::closed(fd);
+    state::clear_origin(fd);
     let closed = real!(c"close", (c_int) -> c_int, fd);
     match failed {
         Some(Fault::Error(error)) => {
@@ -316,14 +316,14 @@
 pub unsafe extern "C" fn epoll_wait(
     poll: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     fail!(Call::EpollWait, poll);
     real!(
         c"epoll_wait",
         (c_int, *mut libc::epoll_event, c_int, c_int) -> c_int,
-        poll, events, most, timeout
+        poll, events, max_events, timeout
     )
 }
 
@@ -335,7 +335,7 @@
 
 // ---- Files ----
 
-/// The mode stands where a variadic argument would: on the platforms of the tests both are passed alike.
+/// The mode takes the place of a variadic argument: the platforms of the tests pass both alike.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int {
     fail!(Call::Open, -1);
@@ -366,7 +366,7 @@
     real!(c"rename", (*const c_char, *const c_char) -> c_int, from, to)
 }
 
-// ---- The rest ----
+// ---- Threads and clock ----
 
 #[no_mangle]
 pub unsafe extern "C" fn pthread_create(
@@ -390,14 +390,14 @@
     )
 }
 
-/// The real clock.
+/// Reads a clock without faults.
 pub fn real_clock_gettime(clock: libc::clockid_t, to: &mut libc::timespec) -> c_int {
     real!(c"clock_gettime", (libc::clockid_t, *mut libc::timespec) -> c_int, clock, to)
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut libc::timespec) -> c_int {
-    // SAFETY: the caller gives a place for the time.
+    // SAFETY: the caller passes a valid pointer.
     let result = real_clock_gettime(clock, unsafe { &mut *to });
     if clock == libc::CLOCK_REALTIME && result == 0 {
         if let Some(Fault::Step(ms)) = fault(Call::Clock, -1) {
--- a/tests/fault_shim/src/plan.rs
+++ b/tests/fault_shim/src/plan.rs
@@ -1,16 +1,18 @@
 //! The plan: which calls fail, how, how often and when.
 //!
-//! A rule is `CALL:FAULT:PROBABILITY`, with options behind it that are separated by `:` as well:
+//! A rule is `CALL:FAULT:PROBABILITY`, followed by options that are separated by `:` too:
 //!
-//! - CALL is a name of [`Call`], as `recv` or `accept4`.
-//! - FAULT is the name of an error, as `EINTR`; `broken=ERROR`: the same, of a connection that is over from then on, as after
-//!   that error of a real one; `short=N`: at most N bytes are moved; or, for `clock` alone, `step=MS`: the
-//!   wall clock is ahead by so many milliseconds (behind, where negative).
-//! - PROBABILITY is from 0 to 1. The first call that a rule applies to fails whatever it is, so that no run of a plan goes
-//!   without a fault of each rule by chance; of two rules for one call the earlier one comes first.
-//! - `from_ms=N` and `for_ms=N`: the rule holds from so long after the process began, for so long.
-//! - `first=N`: the rule holds for the first N calls only.
-//! - `on=socket`, `on=file`, `on=event`, `on=dialled`, `on=accepted`, `on=local`: the rule holds for descriptors of that kind only.
+//! - CALL is the name of a [`Call`], such as `recv` or `accept4`.
+//! - FAULT is the name of an error, such as `EINTR`; `broken=ERROR`: the call fails with that error and its
+//!   connection is aborted; `short=N`: at most N bytes are transferred; or, for `clock` only, `step=MS`: the
+//!   wall clock is ahead by this number of milliseconds (behind if negative).
+//! - PROBABILITY is from 0 to 1. The first call that a rule applies to always fails, so that every run
+//!   injects each rule at least once. If two rules apply to a call, the earlier one takes precedence.
+//! - `from_ms=N` and `for_ms=N`: the rule applies from N milliseconds after the start of the process, for N
+//!   milliseconds.
+//! - `first=N`: the rule applies to the first N calls only.
+//! - `on=socket`, `on=file`, `on=event`, `on=dialled`, `on=accepted`, `on=local`: the rule
+//!   applies to descriptors of that kind only.
 
 use libc::c_int;
 
@@ -106,30 +108,30 @@
 /// What a rule does to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error number.
+    /// The call fails with this error number.
     Error(c_int),
-    /// Its connection breaks, and it fails with this error number.
+    /// The connection is aborted, and the call fails with this error number.
     Broken(c_int),
-    /// It moves so many bytes at most.
+    /// The call transfers at most this number of bytes.
     Short(usize),
-    /// The wall clock is ahead by so many milliseconds.
+    /// The wall clock is ahead by this number of milliseconds.
     Step(i64),
 }
 
-/// What a descriptor is.
+/// The kind of a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A socket.
     Socket,
-    /// A socket that was connected from here.
+    /// A socket on which this process called `connect`.
     Dialled,
-    /// A socket that was accepted here.
+    /// A socket that this process accepted.
     Accepted,
-    /// A Unix socket, as of a pair.
+    /// A Unix socket, for example of a pair.
     Local,
     /// A regular file.
     File,
-    /// Neither, nor a pipe, folder or device: an eventfd, for one.
+    /// An anonymous inode, such as an eventfd: no socket, file, pipe, directory or device.
     Event,
 }
 
@@ -138,33 +140,33 @@
 pub struct Rule {
     /// The function.
     pub call: Call,
-    /// What it does.
+    /// The fault that it injects.
     pub fault: Fault,
-    /// How likely each call but the first fails.
+    /// The probability that a call other than the first fails.
     pub probability: f64,
-    /// From when on, in milliseconds since the process began.
+    /// When the rule begins to apply, in milliseconds since the start of the process.
     pub from_ms: u64,
-    /// For how long.
+    /// For how long it applies, in milliseconds.
     pub for_ms: u64,
-    /// For how many calls.
+    /// The number of calls that it applies to.
     pub first: u64,
-    /// For which descriptors; `None`: for all.
+    /// The kind of descriptors that it applies to; `None`: all.
     pub on: Option<Kind>,
 }
 
-/// Reads a plan.
+/// Parses a plan.
 ///
 /// # Errors
-/// The rule that can't be read.
+/// The text of the first invalid rule.
 pub fn parse(plan: &str) -> Result<Vec<Rule>, String> {
     let rules = plan.split(';').map(str::trim).filter(|rule| !rule.is_empty());
-    rules.map(|text| rule(text).ok_or_else(|| text.to_string())).collect()
+    rules.map(|text| parse_rule(text).ok_or_else(|| text.to_string())).collect()
 }
 
-fn rule(text: &str) -> Option<Rule> {
+fn parse_rule(text: &str) -> Option<Rule> {
     let mut parts = text.split(':');
-    let call = named(&CALLS, parts.next()?)?;
-    let fault = fault(parts.next()?)?;
+    let call = find_by_name(&CALLS, parts.next()?)?;
+    let fault = parse_fault(parts.next()?)?;
     let probability = parts.next()?.parse().ok()?;
     let mut rule = Rule { call, fault, probability, from_ms: 0, for_ms: u64::MAX, first: u64::MAX, on: None };
     for option in parts {
@@ -173,24 +175,24 @@
             "from_ms" => rule.from_ms = value.parse().ok()?,
             "for_ms" => rule.for_ms = value.parse().ok()?,
             "first" => rule.first = value.parse().ok()?,
-            "on" => rule.on = Some(kind(value)?),
+            "on" => rule.on = Some(parse_kind(value)?),
             _ => return None,
         }
     }
     Some(rule)
 }
 
-fn fault(text: &str) -> Option<Fault> {
+fn parse_fault(text: &str) -> Option<Fault> {
     match text.split_once('=') {
-        Some(("broken", error)) => named(&ERRORS, error).map(Fault::Broken),
-        Some(("short", most)) => most.parse().ok().map(Fault::Short),
+        Some(("broken", error)) => find_by_name(&ERRORS, error).map(Fault::Broken),
+        Some(("short", max_bytes)) => max_bytes.parse().ok().map(Fault::Short),
         Some(("step", ms)) => ms.parse().ok().map(Fault::Step),
         Some(_) => None,
-        None => named(&ERRORS, text).map(Fault::Error),
+        None => find_by_name(&ERRORS, text).map(Fault::Error),
     }
 }
 
-fn kind(text: &str) -> Option<Kind> {
+fn parse_kind(text: &str) -> Option<Kind> {
     match text {
         "socket" => Some(Kind::Socket),
         "dialled" => Some(Kind::Dialled),
@@ -202,6 +204,6 @@
     }
 }
 
-fn named<T: Copy>(all: &[(&str, T)], name: &str) -> Option<T> {
+fn find_by_name<T: Copy>(all: &[(&str, T)], name: &str) -> Option<T> {
     all.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
 }
--- a/tests/fault_shim/src/state.rs
+++ b/tests/fault_shim/src/state.rs
@@ -1,4 +1,4 @@
-//! The process's plan with its draws: decides whether a call fails.
+//! The process's plan and random numbers: decides whether a call fails.
 
 use std::cell::Cell;
 use std::ffi::CString;
@@ -14,32 +14,33 @@
 
 struct State {
     rules: Vec<Rule>,
-    /// How many calls each rule has seen.
-    seen: Vec<AtomicU64>,
+    /// The number of calls that each rule has applied to.
+    calls: Vec<AtomicU64>,
     counts: Counts,
     seed: u64,
     draws: AtomicU64,
     switch: Option<CString>,
-    /// The earliest time that was seen.
-    began_ms: AtomicU64,
+    /// The earliest time read from the monotonic clock.
+    started_ms: AtomicU64,
 }
 
 static STATE: OnceLock<State> = OnceLock::new();
 
 thread_local! {
-    /// This thread is deciding about a call: what it calls meanwhile is not the program's.
-    static DECIDES: Cell<bool> = const { Cell::new(false) };
+    /// Whether this thread is deciding about a call: calls that it makes meanwhile are the shim's, not the
+    /// program's.
+    static IN_SHIM: Cell<bool> = const { Cell::new(false) };
 }
 
-/// What befalls a call on this descriptor (-1 where there is none), if anything does.
+/// Returns the fault to inject into a call on this descriptor (-1 if it has none), if any.
 pub fn fault(call: Call, descriptor: c_int) -> Option<Fault> {
-    // A thread that ends has no such value any more, and makes no call of the program's.
-    if DECIDES.try_with(|decides| decides.replace(true)).unwrap_or(true) {
+    // The thread-local value is gone while a thread ends; such a thread makes no more calls for the program.
+    if IN_SHIM.try_with(|in_shim| in_shim.replace(true)).unwrap_or(true) {
         return None;
     }
     let state = STATE.get_or_init(State::from_environment);
     let fault = state.fault(call, descriptor);
-    let _ = DECIDES.try_with(|decides| decides.set(false));
+    let _ = IN_SHIM.try_with(|in_shim| in_shim.set(false));
     fault
 }
 
@@ -53,11 +54,11 @@
 impl State {
     fn from_environment() -> Self {
         let plan = std::env::var("MAGPIETALLY_FAULTS").unwrap_or_default();
-        let plan = if commanded() { plan } else { String::new() };
+        let plan = if applies_to_process() { plan } else { String::new() };
         let rules = match plan::parse(&plan) {
             Ok(rules) => rules,
             Err(rule) => {
-                // A test with a plan that can't be read must not pass for one whose faults did no harm.
+                // An invalid plan must not let a test pass as if its faults had been injected.
                 eprintln!("fault shim: can't read the rule {rule:?}");
                 std::process::abort();
             }
@@ -65,55 +66,55 @@
         let seed = std::env::var("MAGPIETALLY_FAULTS_SEED").ok().and_then(|seed| seed.parse().ok());
         let switch = std::env::var("MAGPIETALLY_FAULTS_SWITCH").ok();
         Self {
-            seen: rules.iter().map(|_| AtomicU64::new(0)).collect(),
+            calls: rules.iter().map(|_| AtomicU64::new(0)).collect(),
             counts: Counts::new(rules.len(), std::env::var("MAGPIETALLY_FAULTS_COUNTS").ok()),
             rules,
             seed: seed.unwrap_or(1),
             draws: AtomicU64::new(0),
             switch: switch.and_then(|path| CString::new(path).ok()),
-            began_ms: AtomicU64::new(now_ms()),
+            started_ms: AtomicU64::new(now_ms()),
         }
     }
 
     fn fault(&self, call: Call, descriptor: c_int) -> Option<Fault> {
-        (0..self.rules.len()).find_map(|number| self.by_rule(number, call, descriptor))
+        (0..self.rules.len()).find_map(|number| self.fault_of_rule(number, call, descriptor))
     }
 
-    fn by_rule(&self, number: usize, call: Call, descriptor: c_int) -> Option<Fault> {
+    fn fault_of_rule(&self, number: usize, call: Call, descriptor: c_int) -> Option<Fault> {
         let rule = &self.rules[number];
         if rule.call != call || rule.on.is_some_and(|kind| !is_of_kind(descriptor, kind)) {
             return None;
         }
         let age = self.age_ms();
-        if age < rule.from_ms || age - rule.from_ms >= rule.for_ms || !self.switched_on() {
+        if age < rule.from_ms || age - rule.from_ms >= rule.for_ms || !self.is_switched_on() {
             return None;
         }
-        let seen = self.seen[number].fetch_add(1, Ordering::Relaxed);
-        if seen >= rule.first {
+        let earlier_calls = self.calls[number].fetch_add(1, Ordering::Relaxed);
+        if earlier_calls >= rule.first {
             return None;
         }
-        if seen > 0 && self.draw() >= rule.probability {
+        if earlier_calls > 0 && self.draw() >= rule.probability {
             return None;
         }
         self.counts.add(number);
         Some(rule.fault)
     }
 
-    /// How old the process is by the clock that it sees. Another preloaded library may put a clock of its own in the place of the
-    /// kernel's once the process runs, which then begins anew.
+    /// The age of the process by its monotonic clock. Another preloaded library may replace that clock while
+    /// the process runs, so the clock may restart; the earliest time read counts as the start.
     fn age_ms(&self) -> u64 {
         let now = now_ms();
-        let began = self.began_ms.fetch_min(now, Ordering::Relaxed).min(now);
-        now - began
+        let started = self.started_ms.fetch_min(now, Ordering::Relaxed).min(now);
+        now - started
     }
 
-    fn switched_on(&self) -> bool {
+    fn is_switched_on(&self) -> bool {
         let Some(path) = &self.switch else { return true };
-        // SAFETY: the path is a C string that lives through the call.
+        // SAFETY: the path is a C string that is valid during the call.
         unsafe { libc::syscall(libc::SYS_access, path.as_ptr(), libc::F_OK) == 0 }
     }
 
-    /// The next number from 0 to 1, by SplitMix64.
+    /// The next random number from 0 to 1 (SplitMix64).
     fn draw(&self) -> f64 {
         const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
         let step = self.draws.fetch_add(1, Ordering::Relaxed).wrapping_add(1);
@@ -125,38 +126,38 @@
     }
 }
 
-/// Is this process one that the plan is for?
-fn commanded() -> bool {
+/// Returns whether the plan applies to this process.
+fn applies_to_process() -> bool {
     let only = std::env::var("MAGPIETALLY_FAULTS_COMMAND").ok();
     only.is_none_or(|command| std::env::args().nth(1) == Some(command))
 }
 
-/// Descriptors up to this number are known by how they came to be.
-const KNOWN: usize = 4096;
+/// The number of descriptors whose origin is tracked, from 0 up.
+const TRACKED_DESCRIPTORS: usize = 4096;
 const UNKNOWN: u8 = 0;
 const DIALLED: u8 = 1;
 const ACCEPTED: u8 = 2;
 
-static ORIGINS: [AtomicU8; KNOWN] = [const { AtomicU8::new(UNKNOWN) }; KNOWN];
+static ORIGINS: [AtomicU8; TRACKED_DESCRIPTORS] = [const { AtomicU8::new(UNKNOWN) }; TRACKED_DESCRIPTORS];
 
 fn set_origin(descriptor: c_int, origin: u8) {
-    if let Some(known) = usize::try_from(descriptor).ok().and_then(|number| ORIGINS.get(number)) {
-        known.store(origin, Ordering::Relaxed);
+    if let Some(tracked) = usize::try_from(descriptor).ok().and_then(|number| ORIGINS.get(number)) {
+        tracked.store(origin, Ordering::Relaxed);
     }
 }
 
-/// A socket was connected.
-pub fn dialled(descriptor: c_int) {
+/// Records that this process called `connect` on a socket.
+pub fn mark_dialled(descriptor: c_int) {
     set_origin(descriptor, DIALLED);
 }
 
-/// A socket was accepted.
-pub fn accepted(descriptor: c_int) {
+/// Records that a socket was accepted.
+pub fn mark_accepted(descriptor: c_int) {
     set_origin(descriptor, ACCEPTED);
 }
 
-/// A descriptor is closed.
-pub fn closed(descriptor: c_int) {
+/// Forgets the origin of a closed descriptor.
+pub fn clear_origin(descriptor: c_int) {
     set_origin(descriptor, UNKNOWN);
 }
 
@@ -173,11 +174,11 @@
     }
 }
 
-/// A socket's family of addresses.
+/// A socket's address family.
 fn domain(descriptor: c_int) -> Option<c_int> {
     let mut domain: c_int = 0;
     let mut size = size_of::<c_int>() as libc::socklen_t;
-    // SAFETY: both places live through the call, and the size is that of the first.
+    // SAFETY: both pointers are valid during the call, and the size is that of the value.
     let read = unsafe {
         let (level, option) = (libc::SOL_SOCKET, libc::SO_DOMAIN);
         libc::syscall(libc::SYS_getsockopt, descriptor, level, option, &raw mut domain, &raw mut size)
@@ -185,15 +186,15 @@
     (read == 0).then_some(domain)
 }
 
-/// The type in a descriptor's mode.
+/// The file type in a descriptor's mode.
 fn file_type(descriptor: c_int) -> Option<libc::mode_t> {
-    let mut about = MaybeUninit::<libc::stat>::zeroed();
+    let mut status = MaybeUninit::<libc::stat>::zeroed();
     // SAFETY: the buffer is large enough for what is written to it, and all-zero bytes are a valid `stat`.
     let mode = unsafe {
-        if libc::syscall(libc::SYS_fstat, descriptor, about.as_mut_ptr()) != 0 {
+        if libc::syscall(libc::SYS_fstat, descriptor, status.as_mut_ptr()) != 0 {
             return None;
         }
-        about.assume_init().st_mode
+        status.assume_init().st_mode
     };
     Some(mode & libc::S_IFMT)
 }
--- a/tests/peers/faults.rs
+++ b/tests/peers/faults.rs
@@ -5,7 +5,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
 
-/// The path of the shim's library, built on first use. No test target links it, as it would replace that test's own calls.
+/// The path of the shim's library, built on first use. No test target links it, as it would replace that
+/// test's own calls.
 pub fn shim() -> &'static Path {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     SHIM.get_or_init(|| {
@@ -20,7 +21,8 @@
     })
 }
 
-/// The faults injected into one or more nodes: a plan (its syntax: `tests/fault_shim/src/plan.rs`), a seed, and a switch.
+/// The faults injected into one or more nodes: a plan (its syntax: `tests/fault_shim/src/plan.rs`), a seed,
+/// and a switch.
 pub struct Faults {
     plan: String,
     seed: u64,
--- a/tests/peers/host_delay.rs
+++ b/tests/peers/host_delay.rs
@@ -1,5 +1,6 @@
-//! Delays caused by the test host: threads that are scheduled late, and processor time that the hypervisor gives to other
-//! guests (steal). Tests that assert a time allow for these, and for next to nothing on a quiet host.
+//! Delays caused by the test host: threads that are scheduled late, and processor time that the hypervisor
+//! gives to other guests (steal). Tests that assert a time allow for these, and for next to nothing on a
+//! quiet host.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/tests/peers/load.rs
+++ b/tests/peers/load.rs
@@ -20,11 +20,12 @@
 const LATE_ATTEMPT: Duration = Duration::from_millis(100);
 /// How far the remaining time sent with an attempt may exceed the client's own.
 const REMAINING_SLACK: Duration = Duration::from_millis(150);
-/// Delays that the host explains are tolerated for at most one attempt in this number; more are attributed to the node.
+/// Delays that the host explains are tolerated for at most one attempt in this number; more are attributed to
+/// the node.
 const ATTEMPTS_PER_TOLERATED_DELAY: usize = 10;
 
-/// A node's close may cross a request on its way: the client then sees the end of the connection within this time. A
-/// request that the node has read is held for longer or forwarded.
+/// A node's close may cross a request on its way: the client then sees the end of the connection within this
+/// time. A request that the node has read is held for longer or forwarded.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(2);
 
 /// An attempt as a server received it.
@@ -200,7 +201,8 @@
 }
 
 impl Report {
-    /// Asserts that there were no violations and that at least this fraction of the requests not abandoned was served.
+    /// Asserts that there were no violations and that at least this fraction of the requests not abandoned
+    /// was served.
     pub fn assert_no_violations(&self, min_served: f64) {
         let shown = self.violations.iter().take(5).collect::<Vec<_>>();
         assert!(
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -53,8 +53,8 @@
     path
 }
 
-/// Writes an operators' file with a ledger of this durability (`promise`) below `directory`, which is created if
-/// missing; returns the file's path.
+/// Writes an operators' file with a ledger of this durability (`promise`) below `directory`, which is created
+/// if missing; returns the file's path.
 pub fn ledger_file(directory: &Path, promise: &str) -> String {
     std::fs::create_dir_all(directory).expect("a directory");
     let file = directory.join("operators.toml").display().to_string();
@@ -250,8 +250,8 @@
     let _ = out.shutdown(std::net::Shutdown::Both);
 }
 
-/// An address that refuses connections as long as the socket lives: the socket is bound, so that no other test gets the
-/// port, and does not listen.
+/// An address that refuses connections as long as the socket lives: the socket is bound, so that no other
+/// test gets the port, and does not listen.
 pub fn refusing_address() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
@@ -259,8 +259,8 @@
     (socket, at)
 }
 
-/// A listener whose backlog is full: new connections stay pending until the returned streams are dropped and the
-/// listener accepts.
+/// A listener whose backlog is full: new connections stay pending until the returned streams are dropped and
+/// the listener accepts.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
@@ -474,8 +474,8 @@
     assert!(Command::new("mkfifo").arg(at).status().expect("mkfifo runs").success());
 }
 
-/// Runs the program with limited memory and this configuration file; returns its exit code and standard error. It must
-/// exit by itself.
+/// Runs the program with limited memory and this configuration file; returns its exit code and standard
+/// error. It must exit by itself.
 pub fn run_with_memory_limit(args: &[&str], config: &str) -> (Option<i32>, String) {
     let program = env!("CARGO_BIN_EXE_magpietally");
     let mut child = Command::new("sh")
@@ -511,8 +511,8 @@
 }
 
 impl Node {
-    /// Starts a node that inherits its listening socket as descriptor 3, with `BALANCER_FD` set to `fd`, and waits until
-    /// it listens.
+    /// Starts a node that inherits its listening socket as descriptor 3, with `BALANCER_FD` set to `fd`, and
+    /// waits until it listens.
     pub fn with_inherited_socket(config: &Value, listener: &TcpListener, fd: &str) -> Self {
         Self::start(inheriting_command(config, listener, fd))
     }
@@ -575,7 +575,8 @@
         node
     }
 
-    /// Like [`Node::with_args`], but waits only until the node listens: it may need other nodes to become ready.
+    /// Like [`Node::with_args`], but waits only until the node listens: it may need other nodes to become
+    /// ready.
     pub fn listening_with_args(config: &Value, args: &[&str]) -> Self {
         let (mut command, file) = command(config, None);
         command.args(args);
--- a/tests/peers/queue.rs
+++ b/tests/peers/queue.rs
@@ -1,4 +1,5 @@
-//! A discovery service shared by a fleet: it serves calls one after another and sheds those that would wait too long.
+//! A discovery service shared by a fleet: it serves calls one after another and sheds those that would wait
+//! too long.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,8 +21,8 @@
     pub work: Duration,
     /// A call that would wait longer is shed at once.
     pub max_wait: Duration,
-    /// Service time of a call that is shed, as a fraction of `work`. It is spent at once, so queued calls wait
-    /// that much longer.
+    /// Service time of a call that is shed, as a fraction of `work`. It is spent at once, so queued calls
+    /// wait that much longer.
     pub shed_cost: f64,
 }
 
@@ -59,7 +60,8 @@
 impl QueuedDiscovery {
     /// Starts the service with an empty list of version 0.
     pub fn new(nodes: usize, capacity: Capacity) -> Self {
-        // Bound but not listening: the ports stay reserved while the service is down, and calls are refused then.
+        // Bound but not listening: the ports stay reserved while the service is down, and calls are refused
+        // then.
         let ports: Vec<Socket> =
             (0..nodes).map(|_| bind("127.0.0.1:0".parse().expect("an address"))).collect();
         let at = |port: &Socket| port.local_addr().expect("bound").as_socket().expect("an IP address");
@@ -174,7 +176,8 @@
         Some(())
     }
 
-    /// Enqueues a call. Returns when it is due to be served and the shed work until then; `None` if it is shed.
+    /// Enqueues a call. Returns when it is due to be served and the shed work until then; `None` if it is
+    /// shed.
     fn enqueue(&self, node: usize) -> Option<(Instant, Duration)> {
         self.with(|s| {
             let received_at = Instant::now();
--- a/tests/peers/three_nodes.rs
+++ b/tests/peers/three_nodes.rs
@@ -22,8 +22,8 @@
     format!("PUT /v1/fleet/policy HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{document}")
 }
 
-/// Writes the fleet file of a node, with its store below `directory`, and returns the file's path. Each test process uses
-/// a loopback address of its own for each of its fleets, so that the ports are free.
+/// Writes the fleet file of a node, with its store below `directory`, and returns the file's path. Each test
+/// process uses a loopback address of its own for each of its fleets, so that the ports are free.
 pub fn file(directory: &Path, fleet: u8, node: usize) -> String {
     let store = directory.join(format!("store-{node}"));
     std::fs::create_dir_all(&store).expect("a directory");
