--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback sockets, between scripted peers.
+//! One node between scripted clients, servers and discovery on loopback sockets.
 
 mod peers;
 
@@ -9,8 +9,10 @@
 use peers::*;
 use serde_json::{json, Value};
 
-/// Servers that answer the first attempt of every request in one way, and serve further ones.
-fn twice(first: impl Fn() -> Reply + Send + Sync + Clone + 'static) -> [ScriptedServer; 2] {
+/// Two servers that reply to the first attempt of each request with `first` and serve later attempts.
+fn servers_with_first_reply(
+    first: impl Fn() -> Reply + Send + Sync + Clone + 'static,
+) -> [ScriptedServer; 2] {
     let tried = std::sync::Arc::new(Mutex::new(BTreeSet::new()));
     [(); 2].map(|()| {
         let (tried, first) = (tried.clone(), first.clone());
@@ -25,34 +27,35 @@
     })
 }
 
-/// Asks once in a class and gives the status, and how many attempts reached servers.
-fn outcome(
+/// Sends one request of a class; returns the response's status and the number of attempts that reached
+/// servers.
+fn status_and_attempts(
     class: &str,
     cells: [u64; 2],
     first: impl Fn() -> Reply + Send + Sync + Clone + 'static,
 ) -> (u16, usize) {
-    let first_never_ran = matches!(first(), Reply::Respond(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
+    let first_proves_it_never_ran = matches!(first(), Reply::Respond(bytes) if bytes.windows(13).any(|w| w == b"X-Turned-Away")
         && !bytes.starts_with(b"HTTP/1.1 404"));
-    let servers = twice(first);
+    let servers = servers_with_first_reply(first);
     let hosts: Vec<Value> =
         (0..2).map(|n| host(&format!("s{n}"), servers[n].address, "active", cells[n])).collect();
     let registry = Registry::new(&hosts);
     let node = Node::ready(&config(registry.address));
-    let heard = Client::to(&node).exchange(&request(class, "t1", 15_000));
-    if heard.status() == 200 {
-        assert_eq!(heard.body, b"served");
+    let received = Client::to(&node).exchange(&request(class, "t1", 15_000));
+    if received.status() == 200 {
+        assert_eq!(received.body, b"served");
     }
     let seen = servers.each_ref().map(|s| s.requests().len());
     if class == "pay" && cells[0] != cells[1] && !matches!(seen, [0, _] | [_, 0]) {
-        assert!(first_never_ran, "a keyed request left its cell: {seen:?}");
+        assert!(first_proves_it_never_ran, "a keyed request left its cell: {seen:?}");
     }
-    (heard.status(), seen.iter().sum())
+    (received.status(), seen.iter().sum())
 }
 
-/// What proves that the request never ran is repeated in every class; anything else only where a repeat does
-/// no harm.
+/// An outcome that proves that the request never ran is retried in every class; any other only if a retry
+/// does no harm.
 #[test]
-fn outcomes_that_may_have_run_are_repeated_only_where_that_is_harmless() {
+fn requests_that_may_have_run_are_retried_only_if_a_retry_is_harmless() {
     let away = "X-Turned-Away: 1\r\n";
     let may_have_run: [fn() -> Reply; 9] = [
         || Reply::Respond(response(500, "", "")),
@@ -61,7 +64,7 @@
         || Reply::RespondAndClose(Vec::new()),
         || Reply::RespondAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ncut".to_vec()),
         || Reply::RespondAndClose(b"HTP/banana\r\n\r\n".to_vec()),
-        // Ended by the close alone: nobody can tell whether it is whole.
+        // Delimited by the close alone: cannot be told from a truncated response.
         || Reply::RespondAndClose(b"HTTP/1.1 200 OK\r\n\r\nspoilt".to_vec()),
         || {
             Reply::Respond(
@@ -76,23 +79,27 @@
         },
     ];
     for (n, first) in may_have_run.into_iter().enumerate() {
-        assert_eq!(outcome("look", [1, 1], first), (200, 2), "safe, case {n}");
-        assert_eq!(outcome("pay", [1, 1], first), (200, 2), "keyed, one cell, case {n}");
-        // Alone in its cell, a server that is up gets the repeat itself; no other may.
-        assert_eq!(outcome("pay", [1, 2], first), (200, 2), "keyed, two cells, case {n}");
-        assert_eq!(outcome("slip", [1, 1], first), (502, 1), "unsafe, case {n}");
+        assert_eq!(status_and_attempts("look", [1, 1], first), (200, 2), "safe, case {n}");
+        assert_eq!(status_and_attempts("pay", [1, 1], first), (200, 2), "keyed, one cell, case {n}");
+        // The only server of its cell receives the retry itself; no server of another cell may.
+        assert_eq!(status_and_attempts("pay", [1, 2], first), (200, 2), "keyed, two cells, case {n}");
+        assert_eq!(status_and_attempts("slip", [1, 1], first), (502, 1), "unsafe, case {n}");
     }
     for status in [503, 504] {
         for class in ["look", "pay", "slip"] {
             let first = move || Reply::Respond(response(status, away, ""));
-            assert_eq!(outcome(class, [1, 2], first), (200, 2), "{class} turned away with {status}");
+            assert_eq!(
+                status_and_attempts(class, [1, 2], first),
+                (200, 2),
+                "{class} turned away with {status}"
+            );
         }
     }
 }
 
-/// A refused connection never ran: the request goes to the other server, also an unsafe one.
+/// A request whose connection was refused never ran: it goes to the other server, even if unsafe.
 #[test]
-fn a_refused_connection_costs_no_request() {
+fn a_refused_connection_fails_no_request() {
     let (_refuses, dead) = refusing_address();
     let good = ScriptedServer::healthy("good");
     let registry = Registry::new(&[host("s0", dead, "active", 1), host("s1", good.address, "active", 2)]);
@@ -104,9 +111,9 @@
     assert_eq!(good.requests().len(), 4);
 }
 
-/// Request and answer go through unchanged, and each request on a kept connection gets one answer.
+/// Requests and responses are forwarded unchanged, and each request on a kept connection gets one response.
 #[test]
-fn bytes_pass_unchanged_and_each_request_has_one_answer() {
+fn bytes_are_forwarded_unchanged_and_each_request_has_one_response() {
     let server = ScriptedServer::new(|m| {
         Reply::Respond(response(200, "", &format!("for {}", m.header("x-txn").unwrap_or("?"))))
     });
@@ -115,8 +122,8 @@
     let mut client = Client::to(&node);
     for n in 0..5 {
         let_connection_idle();
-        let heard = client.exchange(&request("pay", &format!("t{n}"), 15_000));
-        assert_eq!((heard.status(), heard.body), (200, format!("for t{n}").into_bytes()));
+        let received = client.exchange(&request("pay", &format!("t{n}"), 15_000));
+        assert_eq!((received.status(), received.body), (200, format!("for t{n}").into_bytes()));
     }
     let seen = server.requests();
     assert_eq!(seen.len(), 5);
@@ -128,38 +135,39 @@
         let left: u64 = m.header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time left");
         assert!((1..15_000).contains(&left), "{left}");
     }
-    // One connection serves them all, the one used last.
+    // All use one connection: the most recently used idle one.
     assert!(seen.iter().all(|m| m.conn == seen[0].conn));
 }
 
-/// A server that never answers: the client has its answer when its time is up, and it is no refusal.
+/// If a server never responds, the client gets a response at its deadline, with a status other than a
+/// rejection's.
 #[test]
-fn a_silent_server_does_not_hold_the_answer_past_the_deadline() {
+fn a_silent_server_does_not_delay_the_response_past_the_deadline() {
     let server = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
-    let asked = Instant::now();
-    let heard = Client::to(&node).exchange(&request("slip", "t1", 1500));
-    assert!(asked.elapsed() < Duration::from_millis(4000), "{:?}", asked.elapsed());
-    assert_eq!(heard.status(), 502);
+    let sent = Instant::now();
+    let received = Client::to(&node).exchange(&request("slip", "t1", 1500));
+    assert!(sent.elapsed() < Duration::from_millis(4000), "{:?}", sent.elapsed());
+    assert_eq!(received.status(), 502);
     assert_eq!(server.requests().len(), 1);
     wait_until("the attempt's connection is closed", || server.open_connections() == 0);
 }
 
-/// A refusal comes at once and says when to come back.
+/// A rejection is sent at once and says when to retry.
 #[test]
-fn a_refusal_carries_the_modules_span() {
+fn a_rejection_says_when_to_retry() {
     let registry = Registry::new(&[]);
     let node = Node::ready(&config(registry.address));
-    let heard = Client::to(&node).exchange(&request("slip", "t1", 15_000));
-    assert_eq!(heard.status(), 503);
-    let span: f64 = heard.header("retry-after").and_then(|v| v.parse().ok()).expect("a span");
+    let received = Client::to(&node).exchange(&request("slip", "t1", 15_000));
+    assert_eq!(received.status(), 503);
+    let span: f64 = received.header("retry-after").and_then(|v| v.parse().ok()).expect("a span");
     assert!(span > 0.0 && span <= 2.0, "{span}");
 }
 
-/// From the line that tells of it, a server that drains or is gone gets nothing new.
+/// From the discovery line that announces it, a server that drains or is gone receives no new requests.
 #[test]
-fn a_drain_holds_from_the_line_that_tells_it() {
+fn a_drain_takes_effect_with_the_line_that_announces_it() {
     let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let (at_a, at_b) = (a.address, b.address);
     let both = [host("s0", at_a, "active", 1), host("s1", at_b, "active", 1)];
@@ -168,29 +176,29 @@
         let node = Node::ready(&config(registry.address));
         let mut client = Client::to(&node);
         let mut ask = |n: usize| {
-            let heard = client.exchange(&request("look", &format!("t{n}"), 15_000));
-            assert_eq!(heard.status(), 200);
-            heard.body
+            let received = client.exchange(&request("look", &format!("t{n}"), 15_000));
+            assert_eq!(received.status(), 200);
+            received.body
         };
         let first: BTreeSet<Vec<u8>> = (0..4).map(&mut ask).collect();
         assert_eq!(first.len(), 2, "both have turns");
         registry.publish(2, &both[1..], &[host("s0", at_a, health, 1)]);
-        // The line is read when the turns stop going to both.
+        // The line has been read once the rotation stops using both.
         wait_until("the drain is known", || ask(0) == b"b" && ask(0) == b"b");
         assert!((0..10).all(|n| ask(n) == b"b"));
     }
 }
 
-/// A send that waits for its connection is not written to a server that drains meanwhile.
+/// An attempt that waits for its connection is not written to a server that starts to drain meanwhile.
 #[test]
-fn a_drain_reaches_sends_that_wait_for_a_connection() {
+fn a_drain_applies_to_attempts_that_wait_for_a_connection() {
     let (full, fillers) = full_listener();
     let at_full = full.local_addr().expect("bound");
     let registry = Registry::new(&[host("s0", at_full, "active", 1)]);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(50_000.0);
     config["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
-    // Those that ask whether the list is known give up soon.
+    // The requests that poll for the new list give up soon.
     config["settings"]["Classes"][0]["Slo"] = json!(800.0);
     let node = Node::ready(&config);
     let mut client = Client::to(&node);
@@ -199,7 +207,7 @@
     let good = ScriptedServer::healthy("good");
     let hosts = [host("s1", good.address, "active", 1)];
     registry.publish(2, &hosts, &[host("s0", at_full, "left", 1), hosts[0].clone()]);
-    // Known once others are served by the new one.
+    // The list is known once other requests are served by the new server.
     wait_until("the list is known", || {
         Client::to(&node).exchange(&request("look", "t2", 500)).status() == 200
     });
@@ -209,9 +217,10 @@
     assert!(late.requests().is_empty(), "{:?}", late.requests());
 }
 
-/// Discovery goes down: the list is kept, and calls are made with pauses between them; back up, its news count.
+/// While discovery is down the list is kept, and calls are made with pauses between them; once it is back,
+/// its updates apply.
 #[test]
-fn discovery_lost_and_back() {
+fn the_list_survives_an_outage_of_discovery() {
     let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
@@ -222,22 +231,22 @@
         assert_eq!(Client::to(&node).exchange(&request("look", "t1", 15_000)).body, b"a");
         std::thread::sleep(Duration::from_millis(50));
     }
-    let storm = registry.calls().len() - calls;
-    // Each is followed by a pause of 200 ms at the least.
-    let most = 2 + start.elapsed().as_millis() as usize / 200;
-    assert!(storm <= most, "{storm} calls in 3 s, {most} at the most");
+    let retries = registry.calls().len() - calls;
+    // Each call is followed by a pause of at least 200 ms.
+    let max_retries = 2 + start.elapsed().as_millis() as usize / 200;
+    assert!(retries <= max_retries, "{retries} calls in 3 s, at most {max_retries} expected");
     let hosts = [host("s1", b.address, "active", 1)];
     registry.publish(9, &hosts, &[]);
     registry.set_down(false);
     wait_until("the new list counts", || {
-        let heard = Client::to(&node).exchange(&request("look", "t2", 15_000));
-        heard.body == b"b"
+        let received = Client::to(&node).exchange(&request("look", "t2", 15_000));
+        received.body == b"b"
     });
 }
 
-/// A line that can't be read is dropped, and the whole list asked for.
+/// A malformed line is dropped, and the full list is requested.
 #[test]
-fn a_bad_line_makes_the_node_ask_for_the_whole_list() {
+fn a_malformed_line_makes_the_node_request_the_full_list() {
     let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let registry = Registry::new(&[host("s0", a.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
@@ -248,9 +257,9 @@
     assert!(node.logged("unreadable"));
 }
 
-/// A client that leaves has its attempts called off.
+/// The attempts of a client that disconnects are cancelled.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let server = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
@@ -264,22 +273,22 @@
     assert!(left.elapsed() < Duration::from_secs(15), "that was the deadline, not the close");
 }
 
-/// A kept connection that its server has closed is not written to, however late that shows: an unsafe request
-/// would fail for nothing.
+/// A kept connection that its server has closed is not written to, however late the close is noticed: an
+/// unsafe request would fail although it could have been served.
 #[test]
-fn a_stale_kept_connection_fails_nobody() {
+fn a_stale_kept_connection_fails_no_request() {
     let server = ScriptedServer::new(|_| Reply::RespondAndClose(response(200, "", "served")));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
     for n in 0..10 {
-        let heard = Client::to(&node).exchange(&request("slip", &format!("t{n}"), 15_000));
-        assert_eq!(heard.status(), 200, "request {n}");
+        let received = Client::to(&node).exchange(&request("slip", &format!("t{n}"), 15_000));
+        assert_eq!(received.status(), 200, "request {n}");
         wait_until("the server has closed", || server.open_connections() == 0);
     }
     assert_eq!(server.requests().len(), 10);
 }
 
-/// Idle connections are closed well before their server would.
+/// Idle connections are closed well before the server's keep-alive timeout.
 #[test]
 fn idle_connections_end_before_the_servers_keep_alive() {
     let server = ScriptedServer::healthy("a");
@@ -292,9 +301,10 @@
     wait_until("the node closes it", || server.open_connections() == 0);
 }
 
-/// SIGTERM: what was taken is served, connections still come for a while, then the node ends with 0.
+/// After SIGTERM accepted requests are served and new connections accepted for a while; then the node exits
+/// with 0.
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_finishes_accepted_requests() {
     let server = ScriptedServer::new(|m| {
         let long = m.header("x-txn") == Some("slow");
         Reply::RespondAfter(Duration::from_millis(if long { 1500 } else { 0 }), response(200, "", "served"))
@@ -306,7 +316,7 @@
     slow.send(&request("slip", "slow", 15_000));
     wait_until("the slow one is out", || server.requests().len() == 2);
     node.terminate();
-    // A connection that comes behind the signal is served, and so is one that was kept.
+    // A connection opened after the signal is served, and so is one that was kept.
     node.wait_stopping();
     assert_eq!(Client::to(&node).exchange(&request("slip", "after", 15_000)).status(), 200);
     assert_eq!(slow.receive().expect("what was taken is answered").status(), 200);
@@ -314,42 +324,44 @@
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// A client that is sent away as soon as a node is told to stop may have nowhere to go: others are down, or not back
-/// yet. It is served until the end is near, on the connection that it has and on new ones, and told before they close.
+/// Clients dropped as soon as a node is told to stop may have no other node: others may be down or still
+/// starting. The node serves them until shortly before its exit, on existing and new connections, and
+/// announces each close.
 #[test]
-fn sigterm_leaves_clients_their_node_until_the_end_is_near() {
+fn sigterm_keeps_serving_clients_until_shortly_before_the_exit() {
     let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
     let mut kept = Client::to(&node);
     assert_eq!(kept.exchange(&request("look", "before", 15_000)).status(), 200);
-    let told = Instant::now();
+    let terminated = Instant::now();
     node.terminate();
     wait_until("the signal has come", || {
-        let heard = Client::to(&node).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        heard.status() == 503 && heard.header("connection") == Some("close")
+        let received = Client::to(&node).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        received.status() == 503 && received.header("connection") == Some("close")
     });
     for n in 0.. {
-        let heard = kept.exchange(&request("look", &format!("t{n}"), 15_000));
-        assert_eq!(heard.status(), 200, "request {n}");
-        if heard.header("connection") == Some("close") {
+        let received = kept.exchange(&request("look", &format!("t{n}"), 15_000));
+        assert_eq!(received.status(), 200, "request {n}");
+        if received.header("connection") == Some("close") {
             break;
         }
-        if told.elapsed() < Duration::from_millis(1200) {
-            let heard = Client::to(&node).exchange(&request("look", &format!("n{n}"), 15_000));
-            assert_eq!((heard.status(), heard.header("connection")), (200, None), "new connection {n}");
+        if terminated.elapsed() < Duration::from_millis(1200) {
+            let received = Client::to(&node).exchange(&request("look", &format!("n{n}"), 15_000));
+            assert_eq!((received.status(), received.header("connection")), (200, None), "new connection {n}");
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(told.elapsed() >= Duration::from_millis(1200), "{:?}", told.elapsed());
+    assert!(terminated.elapsed() >= Duration::from_millis(1200), "{:?}", terminated.elapsed());
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Clients of a stopping node get no new connections, and one that finds none free may take the node for gone: a burst
-/// must not take the last ones. What is one too many is refused at once, with a word on when to come back.
+/// Clients of a stopping node get no new connections, and a client that finds none free may take the node for
+/// dead: a burst must not use up the last ones. A request beyond the limit is rejected at once with a
+/// `Retry-After`.
 #[test]
 fn a_stopping_node_keeps_some_connections_free() {
-    // So many that none is ever full: the module has no cause to refuse.
+    // Enough servers that none reaches its limit, which would be another reason to reject.
     let servers = [(); 6].map(|()| {
         ScriptedServer::new(|m| {
             let slow = m.header("x-txn").is_some_and(|txn| txn.starts_with("slow"));
@@ -374,8 +386,8 @@
     let mut count = 0;
     wait_until("a further one is refused", || {
         count += 1;
-        let heard = clients[6].exchange(&request("slip", &format!("more{count}"), 15_000));
-        heard.status() == 503 && heard.header("retry-after") == Some("0.750")
+        let received = clients[6].exchange(&request("slip", &format!("more{count}"), 15_000));
+        received.status() == 503 && received.header("retry-after") == Some("0.750")
     });
     for client in clients.iter_mut().take(6) {
         assert_eq!(client.receive().expect("what was taken is answered").status(), 200);
@@ -383,9 +395,9 @@
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// Where all deadlines are short SIGKILL comes soon: what can't be finished is answered before that.
+/// If all deadlines are short, SIGKILL follows soon: requests that can't be finished are answered before it.
 #[test]
-fn sigterm_ends_sooner_where_deadlines_are_short() {
+fn sigterm_exits_sooner_if_deadlines_are_short() {
     let server = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
@@ -396,40 +408,40 @@
     let mut client = Client::to(&node);
     client.send(&request("slip", "t1", 25_000));
     wait_until("the attempt is out", || server.requests().len() == 1);
-    let told = Instant::now();
+    let terminated = Instant::now();
     node.terminate();
     assert_eq!(client.receive().expect("an answer").status(), 502);
-    assert!(told.elapsed() < Duration::from_millis(2500), "{:?}", told.elapsed());
+    assert!(terminated.elapsed() < Duration::from_millis(2500), "{:?}", terminated.elapsed());
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// More connections than descriptors: idle ones make room, and the node goes on serving.
+/// With more connections than descriptors the node closes idle connections and goes on serving.
 #[test]
-fn descriptors_that_run_out_do_not_stop_the_node() {
+fn running_out_of_descriptors_does_not_stop_the_node() {
     let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    // The kernel's limit is lower than the told one: accepting fails, too.
-    for (told, real) in [(64, 256), (256, 48)] {
+    // In the second case the kernel's limit is lower than the configured one, so accepting fails too.
+    for (configured, real) in [(64, 256), (256, 48)] {
         let mut config = config(registry.address);
-        config["limits"]["sockets"] = json!(told);
+        config["limits"]["sockets"] = json!(configured);
         let mut node = Node::listening(&config, Some(real));
         node.wait_ready();
-        let mut crowd = Vec::new();
+        let mut connections = Vec::new();
         for n in 0..200 {
-            crowd.push(Client::to(&node));
+            connections.push(Client::to(&node));
             if n % 20 == 0 {
-                let heard = Client::to(&node).exchange(&request("slip", &format!("t{n}"), 20_000));
-                assert_eq!(heard.status(), 200, "told {told}, real {real}, connection {n}");
+                let received = Client::to(&node).exchange(&request("slip", &format!("t{n}"), 20_000));
+                assert_eq!(received.status(), 200, "configured {configured}, real {real}, connection {n}");
             }
         }
         assert!(node.running());
-        assert!(node.descriptors() <= told, "{} of {told}", node.descriptors());
+        assert!(node.descriptors() <= configured, "{} of {configured}", node.descriptors());
     }
 }
 
-/// What comes behind an answer is not the answer to the next request.
+/// Bytes after a response are not taken for the response to the next request.
 #[test]
-fn bytes_behind_an_answer_do_not_answer_the_next_request() {
+fn bytes_after_a_response_do_not_answer_the_next_request() {
     for chunked in [false, true] {
         let server = ScriptedServer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or("?");
@@ -448,15 +460,15 @@
         let mut client = Client::to(&node);
         for n in 0..6 {
             let txn = format!("t{n}");
-            let heard = client.exchange(&request("slip", &txn, 15_000));
-            assert_eq!((heard.status(), heard.body), (200, txn.into_bytes()));
+            let received = client.exchange(&request("slip", &txn, 15_000));
+            assert_eq!((received.status(), received.body), (200, txn.into_bytes()));
         }
     }
 }
 
-/// A request whose deadline lies beyond the end has its answer all the same.
+/// A request whose deadline lies after the node's exit still gets a response.
 #[test]
-fn sigterm_answers_what_can_not_be_finished() {
+fn sigterm_answers_requests_that_can_not_be_finished() {
     let server = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut node = Node::ready(&config(registry.address));
@@ -468,9 +480,9 @@
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// A watch that stays open and says nothing is a dead link: the node calls again.
+/// A watch that stays open without sending anything is a dead connection: the node opens a new one.
 #[test]
-fn a_silent_watch_is_given_up() {
+fn a_silent_watch_is_reopened() {
     let server = ScriptedServer::healthy("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::ready(&config(registry.address));
@@ -480,7 +492,7 @@
     assert_eq!(Client::to(&node).exchange(&request("look", "t1", 15_000)).status(), 200);
 }
 
-/// What can't be used is answered at once, without an attempt, and the connection stays of use.
+/// An invalid request is answered at once, without an attempt, and its connection remains usable.
 #[test]
 fn bad_requests_are_answered_at_once() {
     let server = ScriptedServer::healthy("a");
@@ -504,18 +516,18 @@
     ];
     for (status, words) in cases {
         let mut client = Client::to(&node);
-        let asked = Instant::now();
+        let sent = Instant::now();
         assert_eq!(client.exchange(&words).status(), status, "{words}");
-        assert!(asked.elapsed() < Duration::from_secs(10), "{words}");
+        assert!(sent.elapsed() < Duration::from_secs(10), "{words}");
         assert_eq!(server.requests().len(), 0, "{words}");
     }
-    // A connection that was answered so still serves what comes next.
+    // The connection serves the request after an invalid one.
     let mut client = Client::to(&node);
     assert_eq!(client.exchange(&request("look", "t1", 15_000).replace("/look/", "/lock/")).status(), 404);
     assert_eq!(client.exchange(&good).status(), 200);
 }
 
-/// A node starts again with an old list while discovery is down: it serves by what it has.
+/// A node that restarts with a saved list while discovery is down serves from that list.
 #[test]
 fn a_restart_with_an_old_list_serves_without_discovery() {
     let (_refuses, dead) = refusing_address();
@@ -534,7 +546,7 @@
     });
 }
 
-/// Every node sorts the servers alike, whatever the order in which it hears of them.
+/// All nodes sort the servers alike, whatever their order in the list.
 #[test]
 fn turns_do_not_depend_on_the_order_of_the_list() {
     let servers = ["a", "b", "c", "d"].map(ScriptedServer::healthy);
@@ -553,12 +565,12 @@
     assert_eq!(turns(&hosts), first);
 }
 
-/// A bad configuration ends the program with one line that names the field.
+/// The program exits on an invalid configuration with one line that names the field.
 #[test]
-fn a_bad_configuration_names_the_field() {
+fn an_invalid_configuration_names_the_field() {
     let good = config("127.0.0.1:1".parse().expect("an address"));
-    type Spoil = fn(&mut Value);
-    let cases: [(&str, Spoil); 6] = [
+    type Corrupt = fn(&mut Value);
+    let cases: [(&str, Corrupt); 6] = [
         ("listen", |c| c["listen"] = json!("nowhere")),
         ("discovery", |c| c["discovery"] = json!(null)),
         ("seed", |c| c["seed"] = json!("xyz")),
@@ -566,11 +578,11 @@
         ("limits.sockets", |c| c["limits"]["sockets"] = json!("many")),
         ("known", |c| c["known"] = json!({"seq": 1, "whole": true, "hosts": [{"host": "a"}]})),
     ];
-    for (field, spoil) in cases {
+    for (field, corrupt) in cases {
         let mut config = good.clone();
-        spoil(&mut config);
-        let (code, words) = run(&config);
+        corrupt(&mut config);
+        let (code, stderr) = run(&config);
         assert!(code.is_some_and(|c| c != 0), "{field}: {code:?}");
-        assert!(words.contains(field) && words.trim().lines().count() == 1, "{field}: {words}");
+        assert!(stderr.contains(field) && stderr.trim().lines().count() == 1, "{field}: {stderr}");
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,16 +1,17 @@
-//! The program under settings of other deployments, under spoilt ones, and under such as change while it runs.
+//! The program under the settings of another deployment, under invalid settings, and under changes while it
+//! runs.
 
 mod peers;
 
 use peers::*;
 use serde_json::{json, Value};
 
-/// What is wrong in the configuration outside the settings' numbers: one line that names the file and the field, or the
-/// variable.
+/// A field that is missing or has the wrong type or value (numbers aside) is reported in one line that names
+/// the file and the field.
 #[test]
-fn what_is_missing_or_of_another_kind_is_named() {
+fn missing_and_invalid_fields_are_named() {
     let good = config("127.0.0.1:1".parse().expect("an address"));
-    let gone = |pointer: &str| {
+    let without = |pointer: &str| {
         let mut config = good.clone();
         let (parent, key) = pointer.rsplit_once('/').expect("a path");
         config.pointer_mut(parent).expect("it is there").as_object_mut().expect("an object").remove(key);
@@ -26,22 +27,22 @@
     let cases = [
         (json!([]), "object expected"),
         (json!("x"), "object expected"),
-        (gone("/name"), "name is missing"),
+        (without("/name"), "name is missing"),
         (with("/name", json!(7)), "name: text expected"),
-        (gone("/listen"), "listen is missing"),
+        (without("/listen"), "listen is missing"),
         (with("/listen", json!("here")), "listen: IP address and port expected, not \"here\""),
         (with("/discovery", Value::Null), "discovery is missing"),
         (with("/discovery", json!({})), "discovery: text expected"),
-        (gone("/seed"), "seed is missing"),
+        (without("/seed"), "seed is missing"),
         (with("/seed", json!("0x1")), "seed: hex digits expected, not \"0x1\""),
         (with("/limits", json!([1])), "limits: object expected"),
         (with("/limits/sockets", json!("256")), "limits.sockets: whole number expected"),
         (with("/known", json!({"seq": 1, "whole": true})), "known: missing field `hosts`"),
-        (gone("/settings"), "settings is missing"),
+        (without("/settings"), "settings is missing"),
         (with("/settings", json!("none")), "settings: object expected"),
-        (gone("/settings/Limits"), "settings.Limits is missing"),
-        (gone("/settings/Contract/Fall"), "settings.Contract.Fall is missing"),
-        (gone("/settings/Classes/2/Slo"), "settings.Classes[2].Slo is missing"),
+        (without("/settings/Limits"), "settings.Limits is missing"),
+        (without("/settings/Contract/Fall"), "settings.Contract.Fall is missing"),
+        (without("/settings/Classes/2/Slo"), "settings.Classes[2].Slo is missing"),
         (with("/settings/Classes/2", json!(1)), "settings.Classes[2]: object expected"),
         (with("/settings/Weights", json!("heavy")), "settings.Weights: heavy is unknown"),
         (
@@ -58,19 +59,19 @@
         (of("a\nb"), "settings.Customers[0].Name: \"a\\nb\" can't be the value of a header"),
         (of(" a"), "settings.Customers[0].Name: \" a\" can't be the value of a header"),
     ];
-    for (config, words) in cases {
+    for (config, expected) in cases {
         let file = unused_path("kinds.json").display().to_string();
         std::fs::write(&file, config.to_string()).expect("a file");
-        let (code, told) = run_with_memory_limit(&["node"], &file);
-        assert_eq!(code, Some(1), "{words}: {told}");
-        let begins = format!("magpietally: BALANCER_CONFIG: {file}: {words}");
-        assert!(told.starts_with(&begins) && told.lines().count() == 1, "{words}: {told}");
+        let (code, stderr) = run_with_memory_limit(&["node"], &file);
+        assert_eq!(code, Some(1), "{expected}: {stderr}");
+        let prefix = format!("magpietally: BALANCER_CONFIG: {file}: {expected}");
+        assert!(stderr.starts_with(&prefix) && stderr.lines().count() == 1, "{expected}: {stderr}");
     }
 }
 
-/// A site with names, numbers and effects of its own: five classes, whose methods follow from their effects alone.
+/// A deployment with other classes: the methods that each of the five accepts follow from its effect alone.
 #[test]
-fn classes_of_another_site_are_served_by_their_own_effects() {
+fn classes_of_another_deployment_are_served_by_their_effects() {
     let server = ScriptedServer::healthy("done");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
@@ -98,8 +99,8 @@
     for (class, effect) in
         [("trace", 's'), ("quote.v2~x", 's'), ("hand-in", 'u'), ("pay:duty", 'k'), ("look", 'u')]
     {
-        let wanted = if effect == 's' { (200, 400) } else { (400, 200) };
-        assert_eq!((ask("GET", class, key), ask("POST", class, key)), wanted, "{class}");
+        let statuses = if effect == 's' { (200, 400) } else { (400, 200) };
+        assert_eq!((ask("GET", class, key), ask("POST", class, key)), statuses, "{class}");
         if effect == 'k' {
             assert_eq!(ask("POST", class, ""), 400, "{class} without its key");
         }
@@ -107,14 +108,15 @@
     assert_eq!(ask("GET", "lookup", ""), 404, "no class of this site");
 }
 
-/// A reload moves discovery. All else that the file says otherwise is named in the log, and holds from the next start on.
+/// A reload applies a new discovery address. Any other change is named in the log and takes effect at the
+/// next start.
 #[test]
-fn a_reload_takes_over_discovery_and_names_what_it_leaves() {
+fn a_reload_applies_discovery_and_logs_other_changes() {
     let (a, b) = (ScriptedServer::healthy("a"), ScriptedServer::healthy("b"));
     let list = |at| [host("s0", at, "active", 1)];
     let (old, new) = (Registry::new(&list(a.address)), Registry::new(&list(b.address)));
-    let told = config(old.address);
-    let mut node = Node::ready(&told);
+    let node_config = config(old.address);
+    let mut node = Node::ready(&node_config);
     let ask = |node: &Node, class: &str, id: &str| Client::to(node).exchange(&request(class, id, 15_000));
     assert_eq!(ask(&node, "look", "t1").body, b"a");
     let mut other = config(new.address);
@@ -126,7 +128,7 @@
     wait_until("discovery has moved", || ask(&node, "look", "t2").body == b"b");
     assert_eq!(ask(&node, "glance", "t3").status(), 404, "the classes are those of the start");
     assert_eq!(ask(&node, "pay", "t4").status(), 200, "and their effects");
-    // What only a start needs, and discovery itself, is no difference.
+    // Fields used only at a start, and discovery itself, do not count as changes.
     let mut same = config(old.address);
     (same["seed"], same["known"]) = (json!("77"), json!({"seq": 9, "whole": true, "hosts": []}));
     (same["limits"]["sockets"], same["limits"]["memory_mb"]) = (json!(256), json!(192));
@@ -136,7 +138,7 @@
     node.reload(&same.to_string());
     wait_until("it says so", || node.logged("limits.sockets is another in the file"));
     assert!(!node.logged("seed is another") && !node.logged("known is another"));
-    // One that can't be good changes nothing, discovery's address included.
+    // An invalid configuration changes nothing, not even discovery's address.
     let mut bad = other.clone();
     bad["settings"]["Classes"][0]["Slo"] = json!(-1.0);
     node.reload(&bad.to_string());
@@ -148,16 +150,17 @@
     assert_eq!(node.exit_code(), Some(0));
 }
 
-/// One client that claims to wait for ten minutes, and one refusal, must not make repeats of all others of its class.
+/// A client that claims ten minutes of remaining time, followed by a rejection, must not make the node treat
+/// all other requests of the class as retries and reject them.
 #[test]
-fn who_claims_more_time_than_its_class_has_turns_nobody_else_away() {
+fn a_client_that_claims_more_time_than_its_class_allows_gets_no_others_rejected() {
     let server = ScriptedServer::healthy("done");
     let hosts = [host("s0", server.address, "active", 1)];
     let registry = Registry::new(&hosts);
-    let mut told = config(registry.address);
-    let class = &mut told["settings"]["Classes"][2];
+    let mut node_config = config(registry.address);
+    let class = &mut node_config["settings"]["Classes"][2];
     (class["LateValue"], class["Slo"], class["Deadline"]) = (json!(0.0), json!(4000.0), json!(20_000.0));
-    let node = Node::ready(&told);
+    let node = Node::ready(&node_config);
     let ask = |id: &str, left| Client::to(&node).exchange(&request("slip", id, left)).status();
     assert_eq!(ask("claims", 600_000), 200);
     registry.publish(2, &[], &[host("s0", server.address, "left", 1)]);
