--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, at each stage of their requests, and what is left of them.
+//! Clients that disconnect at each stage of a request: nothing of the request may remain.
 
 mod peers;
 
@@ -7,14 +7,14 @@
 use peers::*;
 use serde_json::json;
 
-/// Leaves with half a head, half a body, while held, while connecting, and while at a server. Afterwards no id is open, no
-/// descriptor is held, nothing half read went out, and no server has lost its turns.
+/// Clients disconnect with a partial head, a partial body, or during an attempt. Afterwards no id is in use,
+/// no descriptor is open, no partial request was forwarded, and no server has lost turns of the rotation.
 #[test]
-fn clients_that_leave_at_any_stage_leave_nothing_behind() {
+fn disconnects_at_any_stage_leave_nothing_behind() {
     let servers = ["a", "b"].map(|name| {
         ScriptedServer::new(move |m| {
-            let stays = m.header("x-txn").is_some_and(|t| t.starts_with("leaves"));
-            if stays {
+            let hangs = m.header("x-txn").is_some_and(|t| t.starts_with("leaves"));
+            if hangs {
                 Reply::NoResponse
             } else {
                 Reply::Respond(response(200, "", name))
@@ -23,9 +23,9 @@
     });
     let hosts = [0, 1].map(|n| host(&format!("s{n}"), servers[n].address, "active", 1));
     let registry = Registry::new(&hosts);
-    let mut told = config(registry.address);
-    told["settings"]["Limits"]["Probes"] = json!(false);
-    let node = Node::ready(&told);
+    let mut node_config = config(registry.address);
+    node_config["settings"]["Limits"]["Probes"] = json!(false);
+    let node = Node::ready(&node_config);
     let ask = |id: &str| Client::to(&node).exchange(&request("slip", id, 15_000));
     for n in 0..4 {
         assert_eq!(ask(&format!("before{n}")).status(), 200);
@@ -50,7 +50,7 @@
             .collect();
         wait_until("all are at the servers", || seen() == before + 6);
         drop(clients);
-        // Each id is free again, or the next round would not come to the servers.
+        // Each id is free again, else the next round would not reach the servers.
         wait_until("their attempts have ended", || {
             servers.iter().map(ScriptedServer::open_connections).sum::<usize>() <= 2
         });
@@ -64,17 +64,17 @@
     assert_eq!(turns, [10, 10], "nobody lost turns for a client's leaving");
 }
 
-/// Leaves while its request is held, as there is nobody to send it to, and while its connection is coming up: it is not sent
-/// when that would be possible.
+/// Clients disconnect while their request is queued because there is no server, and while its connection is
+/// being established: it is not sent once that becomes possible.
 #[test]
-fn what_its_client_left_is_not_sent_later() {
+fn a_request_of_a_disconnected_client_is_not_sent_later() {
     let (full, fillers) = full_listener();
     let at = full.local_addr().expect("bound");
     let registry = Registry::new(&[]);
-    let mut told = config(registry.address);
-    told["settings"]["Limits"]["ConnectTimeout"] = json!(20_000.0);
-    told["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
-    let node = Node::ready(&told);
+    let mut node_config = config(registry.address);
+    node_config["settings"]["Limits"]["ConnectTimeout"] = json!(20_000.0);
+    node_config["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
+    let node = Node::ready(&node_config);
     let mut held = Client::to(&node);
     held.send(&request("slip", "held", 60_000));
     std::thread::sleep(Duration::from_millis(100));
@@ -83,7 +83,7 @@
     registry.publish(2, &hosts, &hosts);
     let mut connects = Client::to(&node);
     connects.send(&request("slip", "connects", 60_000));
-    // Its connection can't come up; by now it is waited for.
+    // The connection can't be established; by now the attempt waits for it.
     std::thread::sleep(Duration::from_millis(400));
     let during = node.descriptors();
     drop(connects);
