--- a/tests/fault_soak.rs
+++ b/tests/fault_soak.rs
@@ -1,5 +1,6 @@
-//! A soak: nodes under random system-call faults, signals in series, crowds, and an end by SIGTERM and SIGKILL, with clients that
-//! use their connections until the kill. Each seed draws its own. `MAGPIETALLY_SOAK_SEEDS=FIRST..END` runs others.
+//! A soak test: nodes under random system-call faults, repeated signals, many idle connections, and a
+//! shutdown by SIGTERM and SIGKILL, with clients that use their connections until the kill. Each seed draws
+//! one scenario; `MAGPIETALLY_SOAK_SEEDS=FIRST..END` selects other seeds.
 
 mod peers;
 
@@ -16,19 +17,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// The seeds that are played where none are named.
+/// The default seeds.
 const SEEDS: Range<u64> = 0..16;
-/// How many are played at once.
-const AT_ONCE: usize = 4;
-/// How long SIGKILL comes after SIGTERM, at the earliest: the longest deadline, 3 s at most, and 0.7 s.
+/// The number of scenarios that run at once.
+const CONCURRENCY: usize = 4;
+/// The shortest time from SIGTERM to SIGKILL: the longest deadline, 3 s at most, and 0.7 s.
 const KILLED_AFTER: Duration = Duration::from_millis(3700);
-/// How long a run goes on before SIGTERM.
-const SERVES: Duration = Duration::from_millis(1500);
-/// Idle connections of a crowd: more than the node may hold.
-const CROWD: usize = 150;
+/// The time from the start of a run to SIGTERM.
+const TERMINATED_AFTER: Duration = Duration::from_millis(1500);
+/// The number of idle connections of some scenarios: more than the node may hold.
+const IDLE_CONNECTIONS: usize = 150;
 
-/// Faults of single calls, at any time.
-const OF_SOCKETS: [&str; 34] = [
+/// Faults of socket calls; most get a random probability or time span.
+const SOCKET_FAULTS: [&str; 34] = [
     "recv:EINTR",
     "recv:short=40",
     "recv:short=1",
@@ -64,8 +65,8 @@
     "recv:EHOSTUNREACH",
     "writev:EHOSTUNREACH",
 ];
-/// Faults of what the node needs beside: signals, files, the wall clock. Each holds as it stands.
-const OF_THE_REST: [&str; 8] = [
+/// Faults of signals, files and the wall clock, as complete rules.
+const OTHER_FAULTS: [&str; 8] = [
     "read:EINTR:0.5:on=local",
     "recv:EINTR:0.5:on=local",
     "send:EPIPE:0.5:on=local",
@@ -76,9 +77,10 @@
     "sync:EIO:0.1",
 ];
 
-/// A fault that comes now and then, or at each call of a moment. Waits are interrupted at nearly each: a wait that ends so is the
-/// only one of which a node can't see that it came to nothing, and takes a signal each time.
-fn often(fault: &str, random: &mut Pcg64) -> String {
+/// A rule that injects the fault now and then, or into every call of a short period. In such a period only
+/// nearly every `epoll_wait` is interrupted: a node can't tell that an interrupted wait achieved nothing, and
+/// each real one takes a signal.
+fn random_rule(fault: &str, random: &mut Pcg64) -> String {
     if random.random_bool(0.3) {
         let (from, span) = (random.random_range(300..1500), random.random_range(30..300));
         let probability = if fault.starts_with("epoll_wait") { 0.9 } else { 1.0 };
@@ -88,66 +90,67 @@
     format!("{fault}:{probability}")
 }
 
-/// What one seed plays.
-struct Story {
+/// The scenario of one seed.
+struct Scenario {
     seed: u64,
     plan: String,
     load: Load,
-    crowd: bool,
+    idle_connections: bool,
     ledger: bool,
-    /// SIGHUPs, at so many milliseconds.
+    /// When SIGHUPs are sent, in milliseconds since the start.
     reloads: Vec<u64>,
-    /// SIGTERM comes again so long after the first.
-    told_again: Option<Duration>,
+    /// The time from the first SIGTERM to a second one, if any.
+    second_sigterm: Option<Duration>,
 }
 
-impl Story {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut rules = Vec::new();
         for _ in 0..random.random_range(2..7) {
-            let fault = OF_SOCKETS[random.random_range(0..OF_SOCKETS.len())];
+            let fault = SOCKET_FAULTS[random.random_range(0..SOCKET_FAULTS.len())];
             let complete = fault.matches(':').count() > 1;
-            rules.push(if complete { fault.to_string() } else { often(fault, &mut random) });
+            rules.push(if complete { fault.to_string() } else { random_rule(fault, &mut random) });
         }
         for _ in 0..random.random_range(0..3) {
-            rules.push(OF_THE_REST[random.random_range(0..OF_THE_REST.len())].to_string());
+            rules.push(OTHER_FAULTS[random.random_range(0..OTHER_FAULTS.len())].to_string());
         }
         let load = Load {
             clients: random.random_range(8..24),
-            span: SERVES + KILLED_AFTER,
+            span: TERMINATED_AFTER + KILLED_AFTER,
             reuse: [1, 3, usize::MAX][random.random_range(0..3)],
             deadline: Duration::from_millis(random.random_range(500..2500)),
             abandon_every: [0, 5, 11][random.random_range(0..3)],
             pause: Duration::from_millis(random.random_range(2..20)),
             node_ends: true,
         };
-        let told_again = random.random_bool(0.5).then(|| Duration::from_millis(random.random_range(0..2000)));
+        let second_sigterm =
+            random.random_bool(0.5).then(|| Duration::from_millis(random.random_range(0..2000)));
         let mut reloads: Vec<u64> =
             (0..random.random_range(0..4)).map(|_| random.random_range(100..1400)).collect();
         reloads.sort_unstable();
-        let (crowd, ledger) = (random.random_bool(0.25), random.random_bool(0.3));
-        Self { seed, plan: rules.join(";"), load, crowd, ledger, reloads, told_again }
+        let (idle_connections, ledger) = (random.random_bool(0.25), random.random_bool(0.3));
+        Self { seed, plan: rules.join(";"), load, idle_connections, ledger, reloads, second_sigterm }
     }
 
-    /// Plays it; what was wrong, if anything was.
-    fn play(&self) -> Result<(), String> {
+    /// Runs the scenario; an error describes what went wrong.
+    fn run(&self) -> Result<(), String> {
         let servers = Servers::new(4, Duration::from_millis(8));
         let registry = Registry::new(&servers.hosts());
-        let told = config(registry.address);
+        let node_config = config(registry.address);
         let faults = Faults::new(&self.plan, self.seed);
         let operators = self.operators();
         let args: Vec<&str> = operators.iter().flat_map(|file| ["--operators", file.as_str()]).collect();
-        let mut node = Node::with_faults(&told, &faults, &args);
+        let mut node = Node::with_faults(&node_config, &faults, &args);
         let (address, load) = (node.address, self.load);
         let report = std::thread::scope(|scope| {
             let clients = scope.spawn(|| load.run(address, &servers));
-            let crowd = if self.crowd { CROWD } else { 0 };
-            let _idle: Vec<_> = (0..crowd).filter_map(|_| TcpStream::connect(address).ok()).collect();
-            self.signal(&mut node, &told.to_string())?;
+            let count = if self.idle_connections { IDLE_CONNECTIONS } else { 0 };
+            let _idle: Vec<_> = (0..count).filter_map(|_| TcpStream::connect(address).ok()).collect();
+            self.signal(&mut node, &node_config.to_string())?;
             clients.join().map_err(|_| "a client panicked".to_string())
         })?;
-        self.judge(&report)
+        self.check(&report)
     }
 
     /// Sends the signals; the node has ended when this returns.
@@ -157,20 +160,20 @@
             std::thread::sleep(Duration::from_millis(*at).saturating_sub(began.elapsed()));
             node.reload(config);
         }
-        std::thread::sleep(SERVES.saturating_sub(began.elapsed()));
+        std::thread::sleep(TERMINATED_AFTER.saturating_sub(began.elapsed()));
         if !node.running() {
             return Err("the node ended before it was told to".into());
         }
-        let told = Instant::now();
+        let terminated = Instant::now();
         node.terminate();
-        if let Some(again) = self.told_again {
-            std::thread::sleep(again);
+        if let Some(delay) = self.second_sigterm {
+            std::thread::sleep(delay);
             if node.running() {
                 node.terminate();
             }
         }
-        // Not while the machine itself may have held the node up.
-        while told.elapsed() < KILLED_AFTER + host_delay.max_delay() {
+        // Allows for delays that the host may have caused.
+        while terminated.elapsed() < KILLED_AFTER + host_delay.max_delay() {
             if let Some(status) = node.exit_status() {
                 let in_order = status.code() == Some(0);
                 return if in_order { Ok(()) } else { Err(format!("the node ended with {status}")) };
@@ -185,21 +188,22 @@
         self.ledger.then(|| ledger_file(&unused_path(&format!("soak-{}", self.seed)), "process-crash"))
     }
 
-    fn judge(&self, report: &Report) -> Result<(), String> {
+    fn check(&self, report: &Report) -> Result<(), String> {
         if !report.violations.is_empty() {
             let shown: Vec<_> = report.violations.iter().take(4).collect();
             return Err(format!("{} broken, as {shown:?}", report.violations.len()));
         }
-        // A crowd takes the connections of others, and a ledger whose disk fails refuses: both are no loss.
-        let least = if self.crowd || self.ledger { 10 } else { 100 };
-        if report.served < least {
+        // Idle connections take those of other clients, and a ledger whose disk fails causes rejections:
+        // neither is an error.
+        let min_served = if self.idle_connections || self.ledger { 10 } else { 100 };
+        if report.served < min_served {
             return Err("hardly anything was served".into());
         }
         Ok(())
     }
 }
 
-/// The seeds to be played.
+/// The seeds to run.
 fn seeds() -> Range<u64> {
     let Ok(named) = std::env::var("MAGPIETALLY_SOAK_SEEDS") else { return SEEDS };
     let (first, end) = named.split_once("..").expect("FIRST..END");
@@ -212,15 +216,18 @@
     let next = AtomicU64::new(seeds.start);
     let failures = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..AT_ONCE {
+        for _ in 0..CONCURRENCY {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::SeqCst);
                 if !seeds.contains(&seed) {
                     return;
                 }
-                let story = Story::new(seed);
-                if let Err(words) = story.play() {
-                    failures.lock().expect("no panic").push(format!("seed {seed}, {}: {words}", story.plan));
+                let scenario = Scenario::new(seed);
+                if let Err(words) = scenario.run() {
+                    failures
+                        .lock()
+                        .expect("no panic")
+                        .push(format!("seed {seed}, {}: {words}", scenario.plan));
                 }
             });
         }
--- a/tests/faults_disk.rs
+++ b/tests/faults_disk.rs
@@ -1,4 +1,4 @@
-//! Nodes whose disk or wall clock fails: the configuration's file, the ledger, the fleet's store, membership.
+//! Failing disks and stepped wall clocks: the configuration file, the ledger, the fleet's store.
 
 mod peers;
 
@@ -13,22 +13,21 @@
 };
 use serde_json::json;
 
-/// An hour, in milliseconds.
 const HOUR_MS: i64 = 3_600_000;
 
-/// A new configuration is followed within 4 s of its signal, also where its file could not be read at first.
+/// A new configuration takes effect within 4 s of its signal, even if its file can't be read at first.
 #[test]
-fn a_configuration_that_can_not_be_read_for_a_moment_is_read_again() {
+fn an_unreadable_configuration_is_read_again() {
     let server = ScriptedServer::healthy("a");
     let hosts = [host("s0", server.address, "active", 1)];
     let (old, new) = (Registry::new(&hosts), Registry::new(&hosts));
-    let mut told = config(old.address);
+    let mut node_config = config(old.address);
     let faults = Faults::switched_off("open:EIO:1;open:EMFILE:1", 3);
-    let node = Node::with_faults(&told, &faults, &[]);
-    told["discovery"] = json!(new.address.to_string());
+    let node = Node::with_faults(&node_config, &faults, &[]);
+    node_config["discovery"] = json!(new.address.to_string());
     faults.switch(true);
     let signalled = Instant::now();
-    node.reload(&told.to_string());
+    node.reload(&node_config.to_string());
     wait_until("the file could not be read", || faults.counts().first().is_some_and(|count| *count >= 3));
     faults.switch(false);
     wait_until("the new service is called", || !new.calls().is_empty());
@@ -36,12 +35,12 @@
     assert_eq!(Client::to(&node).exchange(&request("look", "t1", 5000)).status(), 200);
 }
 
-/// While the disk fails what needs an intent is refused, and everything else served; after it all is served, and what the ledger
-/// holds is whole, also after a SIGKILL.
+/// While the disk fails, requests that need an intent are rejected and all others served; afterwards all are
+/// served, and the ledger is intact, also after a SIGKILL.
 #[test]
-fn a_ledgers_disk_that_fails_for_a_while_costs_refusals_and_no_record() {
-    let place = unused_path("faults-ledger");
-    let operators = ledger_file(&place, "power-loss");
+fn a_transient_failure_of_the_ledgers_disk_causes_rejections_and_loses_no_record() {
+    let directory = unused_path("faults-ledger");
+    let operators = ledger_file(&directory, "power-loss");
     let servers = Servers::new(2, Duration::from_millis(5));
     let registry = Registry::new(&servers.hosts());
     let plan = "write:ENOSPC:0.2:on=file;write:short=7:0.3:on=file;sync:EIO:0.2";
@@ -49,7 +48,7 @@
     let mut node = Node::with_faults(&config(registry.address), &faults, &["--operators", &operators]);
     let load = Load { clients: 8, span: Duration::from_millis(1500), ..Load::default() };
     faults.switch(true);
-    // Behind a write that failed the ledger pauses for seconds, in which it syncs nothing.
+    // After a failed write the ledger pauses for seconds, during which it syncs nothing.
     wait_until("each fault has come", || {
         load.run(node.address, &servers).assert_no_violations(0.3);
         faults.all_injected()
@@ -60,24 +59,24 @@
     });
     load.run(node.address, &servers).assert_no_violations(0.99);
     node.kill();
-    let ledger = place.join("ledger").display().to_string();
+    let ledger = directory.join("ledger").display().to_string();
     let verified = magpietally(&["ledger", "verify", &ledger]);
     assert_eq!(verified.status.code(), Some(0), "{}", text(&verified.stdout));
     let node = Node::with_args(&config(registry.address), &["--operators", &operators]);
     load.run(node.address, &servers).assert_no_violations(0.99);
 }
 
-/// A ledger's directory may fail for a moment at the start.
+/// The ledger's directory may fail transiently at the start.
 #[test]
 fn a_ledger_begins_once_its_disk_works() {
-    let place = unused_path("faults-ledger-start");
-    let operators = ledger_file(&place, "power-loss");
+    let directory = unused_path("faults-ledger-start");
+    let operators = ledger_file(&directory, "power-loss");
     let servers = Servers::new(1, Duration::ZERO);
     let registry = Registry::new(&servers.hosts());
     for plan in
         ["open:EIO:1:first=5", "write:ENOSPC:1:first=3:on=file", "sync:EIO:1:first=3", "rename:EIO:1:first=2"]
     {
-        let _ = std::fs::remove_dir_all(place.join("ledger"));
+        let _ = std::fs::remove_dir_all(directory.join("ledger"));
         let faults = Faults::new(plan, 5);
         let node = Node::with_faults(&config(registry.address), &faults, &["--operators", &operators]);
         faults.assert_injected();
@@ -85,18 +84,19 @@
     }
 }
 
-/// What was out when a node died is not sent again, whatever its next life's wall clock says.
+/// Requests in progress when a node was killed are not sent again, whatever the wall clock says after its
+/// restart.
 #[test]
-fn a_stepped_wall_clock_opens_no_key_and_no_id() {
-    let place = unused_path("faults-clock");
-    let operators = ledger_file(&place, "power-loss");
+fn a_stepped_wall_clock_releases_no_key_and_no_id() {
+    let directory = unused_path("faults-clock");
+    let operators = ledger_file(&directory, "power-loss");
     let args = ["--operators", operators.as_str()];
     let silent = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("one", silent.address, "active", 0)]);
-    let mut told = config(registry.address);
-    let class = &mut told["settings"]["Classes"][1];
+    let mut node_config = config(registry.address);
+    let class = &mut node_config["settings"]["Classes"][1];
     (class["DedupScope"], class["MemorySpan"]) = ("all".into(), 3000.0.into());
-    let mut node = Node::with_args(&told, &args);
+    let mut node = Node::with_args(&node_config, &args);
     let mut clients = [Client::to(&node), Client::to(&node)];
     clients[0].send(&request("slip", "txn-1", 15_000));
     clients[1].send(&request("pay", "txn-2", 15_000));
@@ -104,12 +104,12 @@
     node.kill();
     let good = ScriptedServer::healthy("two");
     let registry = Registry::new(&[host("two", good.address, "active", 0)]);
-    told["discovery"] = registry.address.to_string().into();
-    // Past the span for which servers remember the key.
+    node_config["discovery"] = registry.address.to_string().into();
+    // Longer than the time for which servers remember the key.
     std::thread::sleep(Duration::from_secs(4));
     for step in [HOUR_MS, -HOUR_MS, -3_000] {
         let faults = Faults::new(&format!("clock:step={step}:1"), 1);
-        let node = Node::with_faults(&told, &faults, &args);
+        let node = Node::with_faults(&node_config, &faults, &args);
         let mut client = Client::to(&node);
         wait_until("it has the list", || client.exchange(&request("look", "t0", 5000)).status() == 200);
         let outcome = |class: &str, id: &str| Client::to(&node).exchange(&request(class, id, 1000));
@@ -119,23 +119,23 @@
     }
 }
 
-/// A fleet's store that doubts its disk can't go on; its node answers what it has taken, and ends.
+/// A fleet's store can't go on after a failed sync: its node answers the accepted requests and exits.
 #[test]
-fn a_doubted_fleet_store_ends_its_node_in_order() {
-    let place = unused_path("faults-fleet");
+fn a_failed_sync_of_the_fleets_store_ends_its_node_in_order() {
+    let directory = unused_path("faults-fleet");
     let server = ScriptedServer::new(|m| {
         let slow = m.header("x-txn") == Some("out");
         std::thread::sleep(Duration::from_millis(if slow { 900 } else { 5 }));
         Reply::Respond(response(200, "", "served"))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    let named = |node| three_nodes::config(&registry, node);
+    let config_of = |node| three_nodes::config(&registry, node);
     let faults = Faults::switched_off("sync:EIO:1", 3);
     let start = |node: usize| {
-        let args = ["--fleet", &three_nodes::file(&place, 0, node)];
+        let args = ["--fleet", &three_nodes::file(&directory, 0, node)];
         match node {
-            0 => Node::listening_with_faults(&named(node), &faults, &args),
-            _ => Node::listening_with_args(&named(node), &args),
+            0 => Node::listening_with_faults(&config_of(node), &faults, &args),
+            _ => Node::listening_with_args(&config_of(node), &args),
         }
     };
     let mut nodes: Vec<Node> = (0..3).map(start).collect();
@@ -144,12 +144,12 @@
     out.send(&request("slip", "out", 15_000));
     wait_until("it is out", || server.requests().iter().any(|m| m.header("x-txn") == Some("out")));
     faults.switch(true);
-    // A document that is proposed has to be written down.
+    // A proposed document has to be written to the store.
     let document = "# nothing is set\n";
     let length = document.len();
     let put =
         format!("PUT /v1/fleet/policy HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{document}");
-    wait_until("the store doubts its disk", || {
+    wait_until("the store stops after the failed sync", || {
         let _ = nodes[0].management_exchange(&put);
         nodes[0].logged("can't go on")
     });
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger with real nodes: killed again and again under load, and what they left held against the boxes' records.
+//! The ledger of real nodes: repeated kills under load, and a comparison of the ledgers with the servers'
+//! records.
 
 mod peers;
 
@@ -12,21 +13,21 @@
     text(bytes).lines().map(|l| serde_json::from_str(l).expect("an object")).collect()
 }
 
-/// A dozen SIGKILLs under load: no box ran what no ledger names, and none ran anything twice. `docs/measurements/ledger.sh`
-/// kills more than 200 times.
+/// A dozen SIGKILLs under load: no server ran a request that no ledger names, and none ran one twice.
+/// `docs/measurements/ledger.sh` kills more than 200 times.
 #[test]
-fn nodes_killed_a_dozen_times_leave_ledgers_that_agree_with_the_boxes() {
+fn nodes_killed_a_dozen_times_leave_ledgers_that_agree_with_the_servers() {
     let (kept, site) = (unused_path("kills"), unused_path("kills.toml"));
     let demo = text(&magpietally(&["site", "print", "demo"]).stdout);
-    let calm = demo.split("[[faults]]").next().expect("what is before them");
-    // Times are stretched with the course, from the demo's 20 s to 9.
+    let without_faults = demo.split("[[faults]]").next().expect("what is before them");
+    // Times scale with the run, from the demo's 20 s to 9 s.
     let kills: String = (0..12)
         .map(|n| {
             let at = 1.0 + 1.5 * f64::from(n);
             format!("[[faults]]\nkind = \"node_crash\"\npart = 0.5\nat_s = {at}\nfor_s = 0.6\n")
         })
         .collect();
-    std::fs::write(&site, format!("{calm}{kills}")).expect("a file");
+    std::fs::write(&site, format!("{without_faults}{kills}")).expect("a file");
     let (kept, site) = (kept.display().to_string(), site.display().to_string());
     let out = magpietally(&[
         "demo",
@@ -54,21 +55,21 @@
     args.push("--boxes");
     args.extend(boxes.iter().map(String::as_str));
     let out = magpietally(&args);
-    let told = lines(&out.stdout);
-    let sums = told.last().unwrap_or_else(|| panic!("{}", text(&out.stderr)));
-    let count = |name: &str| sums[name].as_u64().unwrap_or_else(|| panic!("{name}: {sums}"));
-    assert_eq!(count("other_differences"), 0, "{told:?}");
-    assert!(count("runs") > 100 && count("requests") >= count("runs"), "{sums}");
-    assert_eq!(sums["damaged"], false);
-    // Were a ledger not there, what its node sent would be missing, and be seen to be.
+    let records = lines(&out.stdout);
+    let totals = records.last().unwrap_or_else(|| panic!("{}", text(&out.stderr)));
+    let count = |name: &str| totals[name].as_u64().unwrap_or_else(|| panic!("{name}: {totals}"));
+    assert_eq!(count("other_differences"), 0, "{records:?}");
+    assert!(count("runs") > 100 && count("requests") >= count("runs"), "{totals}");
+    assert_eq!(totals["damaged"], false);
+    // Without one of the ledgers the requests that its node sent are reported as differences.
     let one = [&args[..3], &args[4..]].concat();
     let out = magpietally(&one);
-    let sums = lines(&out.stdout).pop().expect("the sums");
-    assert!(out.status.code() == Some(1) && sums["other_differences"].as_u64() > Some(50), "{sums}");
+    let totals = lines(&out.stdout).pop().expect("the sums");
+    assert!(out.status.code() == Some(1) && totals["other_differences"].as_u64() > Some(50), "{totals}");
     for ledger in &ledgers {
         let out = magpietally(&["ledger", "verify", "--json", ledger]);
         assert_eq!(out.status.code(), Some(0), "{}", text(&out.stdout));
-        // What the boxes' records settle is not unknown any more.
+        // Intents that the servers' records settle are no longer open.
         let args: Vec<&str> = ["ledger", "settle", "--json", ledger, "--boxes"]
             .into_iter()
             .chain(boxes.iter().map(String::as_str))
@@ -79,25 +80,25 @@
     }
 }
 
-/// A node is killed with a request of each class out: at its next start they are unknown, what may run once never goes out
-/// again, and what has a key only while all boxes remember it.
+/// A node is killed with a request of each class in progress. After its restart their outcomes are unknown:
+/// an unsafe request is never sent again, and a keyed one only while all servers remember its key.
 #[test]
-fn after_a_kill_what_was_out_is_unknown_and_is_not_sent_on_the_strength_of_it() {
+fn after_a_kill_requests_in_progress_are_unknown_and_not_sent_again() {
     let kept = unused_path("unknown");
     let operators = ledger_file(&kept, "power-loss");
     let ledger = kept.join("ledger").display().to_string();
     let args = ["--operators", operators.as_str()];
     let silent = ScriptedServer::new(|_| Reply::NoResponse);
     let registry = Registry::new(&[host("one", silent.address, "active", 0)]);
-    let mut told = config(registry.address);
-    let class = &mut told["settings"]["Classes"][1];
+    let mut node_config = config(registry.address);
+    let class = &mut node_config["settings"]["Classes"][1];
     (class["DedupScope"], class["MemorySpan"]) = ("all".into(), 600_000.0.into());
-    let mut node = Node::with_args(&told, &args);
+    let mut node = Node::with_args(&node_config, &args);
     let mut clients = [Client::to(&node), Client::to(&node), Client::to(&node)];
     clients[0].send(&request("slip", "txn-1", 15_000));
     clients[1].send(&request("pay", "txn-2", 15_000));
     clients[2].send(&request("look", "txn-3", 15_000));
-    wait_until("all are at the box", || silent.requests().len() >= 3);
+    wait_until("all are at the server", || silent.requests().len() >= 3);
     node.kill();
     let open = magpietally(&["ledger", "open", &ledger]);
     let open = text(&open.stdout);
@@ -107,32 +108,32 @@
 
     let good = ScriptedServer::healthy("two");
     let registry = Registry::new(&[host("two", good.address, "active", 0)]);
-    told["discovery"] = registry.address.to_string().into();
-    let mut node = Node::with_args(&told, &args);
+    node_config["discovery"] = registry.address.to_string().into();
+    let mut node = Node::with_args(&node_config, &args);
     let ask = |words: String| Client::to(&node).exchange(&words);
     wait_until("it has the list", || ask(request("look", "txn-0", 5000)).status() == 200);
     assert!(
         node.logged("2 intents of earlier lives are unknown") && node.logged("unknown: slip txn-1 at one")
     );
-    let turned = ask(request("slip", "txn-1", 5000));
-    assert_eq!((turned.status(), turned.header("x-failed-because")), (502, Some("id-may-have-run")));
+    let rejected = ask(request("slip", "txn-1", 5000));
+    assert_eq!((rejected.status(), rejected.header("x-failed-because")), (502, Some("id-may-have-run")));
     assert_eq!(ask(request("slip", "txn-4", 5000)).status(), 200, "another one is none of its business");
     assert_eq!(ask(request("pay", "txn-5", 5000)).status(), 200, "all boxes know the key for one by now");
-    let came = |id: &str| good.requests().iter().any(|m| m.header("x-txn") == Some(id));
-    assert!(!came("txn-1") && came("txn-4") && came("txn-5"));
-    let (code, words) = run_with_args(&told, &args);
+    let received = |id: &str| good.requests().iter().any(|m| m.header("x-txn") == Some(id));
+    assert!(!received("txn-1") && received("txn-4") && received("txn-5"));
+    let (code, words) = run_with_args(&node_config, &args);
     assert!(code == Some(1) && words.contains("lock: held by process"), "one node a directory: {words}");
-    // In order, so that the records after the answers are written.
+    // An orderly exit, so that the records after the responses are written.
     node.terminate();
     assert_eq!(node.exit_code(), Some(0));
-    told["name"] = "n1".into();
-    let (code, words) = run_with_args(&told, &args);
+    node_config["name"] = "n1".into();
+    let (code, words) = run_with_args(&node_config, &args);
     assert!(code == Some(1) && words.contains("this is the ledger of n0"), "a copy of another's: {words}");
-    // Only a part of the boxes would know the key.
-    (told["name"], told["settings"]["Classes"][1]["DedupScope"]) = ("n0".into(), "cell".into());
-    let node = Node::with_args(&told, &args);
-    let turned = Client::to(&node).exchange(&request("pay", "txn-6", 5000));
-    assert_eq!((turned.status(), turned.header("x-failed-because")), (502, Some("key-elsewhere")));
+    // Only some of the servers would know the key.
+    (node_config["name"], node_config["settings"]["Classes"][1]["DedupScope"]) = ("n0".into(), "cell".into());
+    let node = Node::with_args(&node_config, &args);
+    let rejected = Client::to(&node).exchange(&request("pay", "txn-6", 5000));
+    assert_eq!((rejected.status(), rejected.header("x-failed-because")), (502, Some("key-elsewhere")));
 
     let shown = text(&magpietally(&["ledger", "show", "--id", "txn-4", &ledger]).stdout);
     let words: Vec<&str> = shown.lines().filter_map(|l| l.split(' ').nth(2)).collect();
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn wrong_use_of_the_ledger_ends_with_two() {
+fn invalid_use_of_the_ledger_commands_exits_with_two() {
     let none = unused_path("none");
     std::fs::create_dir_all(&none).expect("a directory");
     let none = none.display().to_string();
