--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Nodes that know each other: five processes of the program on loopback, a fault-injecting relay between them, and
-//! kill -9, SIGSTOP and restarts. Every bound below is stated in docs/operate/membership.md.
+//! Membership of five nodes on loopback with a fault-injecting relay between them, under kill -9, SIGSTOP and
+//! restarts. Every bound below is stated in docs/operate/membership.md.
 
 mod peers;
 
@@ -10,9 +10,10 @@
 use peers::*;
 use serde_json::Value;
 
-const N: usize = 5;
-/// Within this long after a fault every live node's view agrees: a probe period to be probed, a suspicion of 9 s at most,
-/// the rejoin of who was taken for dead, a few periods to spread, and room for a busy machine.
+const NODES: usize = 5;
+/// The time after a fault within which the views of all live nodes agree: a probe period, a suspicion of 9 s
+/// at most, the rejoin of nodes declared dead, a few periods of dissemination, and an allowance for a busy
+/// machine.
 const AGREE_WITHIN: Duration = Duration::from_secs(40);
 
 struct Fleet {
@@ -30,18 +31,18 @@
         let server = ScriptedServer::healthy("a");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = config(registry.address);
-        // One front more than nodes, for a node that comes later.
-        let relay = DatagramRelay::new(N + 1, seed);
+        // One more front than nodes, for a node that joins later.
+        let relay = DatagramRelay::new(NODES + 1, seed);
         let mut fleet = Self {
             seed,
             relay,
-            nodes: (0..N).map(|_| None).collect(),
+            nodes: (0..NODES).map(|_| None).collect(),
             own: Vec::new(),
             config,
             _server: server,
             _registry: registry,
         };
-        for i in 0..N {
+        for i in 0..NODES {
             fleet.start(i, &format!("m{i}"));
         }
         fleet
@@ -60,7 +61,7 @@
             self.seed
         );
         let text = format!(
-            "listen = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nfleet_size = {N}\n",
+            "listen = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nfleet_size = {NODES}\n",
             self.relay.frontend(i),
             seeds.join(", ")
         );
@@ -91,9 +92,9 @@
         own
     }
 
-    /// Node `i`'s view: name to state, straight from its own socket, not through the relay.
+    /// Node `i`'s view as names and states, read from its own socket and not through the relay.
     fn view(&self, i: usize) -> Option<Vec<(String, String)>> {
-        let text = ask(self.own[i])?;
+        let text = query_view(self.own[i])?;
         Some(
             text.lines()
                 .skip(1)
@@ -106,12 +107,13 @@
         )
     }
 
-    /// What each of `live` prints of its view, for a miss.
+    /// The views of all `live` nodes, for an assertion's message.
     fn views(&self, live: &[usize]) -> String {
-        live.iter().map(|&i| format!("m{i}: {}\n", ask(self.own[i]).unwrap_or_default())).collect()
+        live.iter().map(|&i| format!("m{i}: {}\n", query_view(self.own[i]).unwrap_or_default())).collect()
     }
 
-    /// Whether every node of `live` takes each of `live` for alive and each of `gone` for `gone_as`.
+    /// Returns whether every `live` node sees all `live` nodes as alive and all `gone` nodes in the state
+    /// `gone_as`.
     fn agree(&self, live: &[usize], gone: &[usize], gone_as: &str) -> bool {
         live.iter().all(|&i| {
             let Some(view) = self.view(i) else { return false };
@@ -141,8 +143,8 @@
         start.elapsed()
     }
 
-    /// How many of `live` take node `j` for dead now.
-    fn dead_to(&self, live: &[usize], j: usize) -> usize {
+    /// The number of `live` nodes that see node `j` as dead.
+    fn count_seen_dead(&self, live: &[usize], j: usize) -> usize {
         live.iter()
             .filter(|&&i| {
                 self.view(i).is_some_and(|v| v.iter().any(|(n, s)| *n == format!("m{j}") && s == "dead"))
@@ -155,7 +157,8 @@
     }
 }
 
-fn ask(at: SocketAddr) -> Option<String> {
+/// Queries a member's view by datagram.
+fn query_view(at: SocketAddr) -> Option<String> {
     let socket = UdpSocket::bind("127.0.0.1:0").ok()?;
     socket.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     socket.send_to(&[0x51], at).ok()?;
@@ -164,91 +167,93 @@
     (n > 0 && buf[0] == 0x56).then(|| String::from_utf8_lossy(&buf[1..n]).into_owned())
 }
 
-const ALL: [usize; N] = [0, 1, 2, 3, 4];
+const ALL: [usize; NODES] = [0, 1, 2, 3, 4];
 
 #[test]
-fn a_fleet_agrees_after_kills_pauses_cuts_and_restarts() {
-    let mut f = Fleet::new(11);
-    f.wait_agree("the start", &ALL, &[], "dead");
+fn a_fleet_agrees_after_kills_pauses_partitions_and_restarts() {
+    let mut fleet = Fleet::new(11);
+    fleet.wait_agree("the start", &ALL, &[], "dead");
 
-    // A pause of 5 s (SIGSTOP): nobody declares it dead meanwhile, and it is alive to all after.
-    f.node(3).pause(true);
+    // A pause of 5 s (SIGSTOP): no node declares it dead meanwhile, and all see it as alive afterwards.
+    fleet.node(3).pause(true);
     let paused = Instant::now();
     while paused.elapsed() < Duration::from_secs(5) {
         assert_eq!(
-            f.dead_to(&[0, 1, 2, 4], 3),
+            fleet.count_seen_dead(&[0, 1, 2, 4], 3),
             0,
             "declared dead {:?} into a pause of 5 s",
             paused.elapsed()
         );
         std::thread::sleep(Duration::from_millis(200));
     }
-    f.node(3).pause(false);
-    f.wait_agree("after a pause of 5 s", &ALL, &[], "dead");
+    fleet.node(3).pause(false);
+    fleet.wait_agree("after a pause of 5 s", &ALL, &[], "dead");
 
-    // kill -9: dead to all others.
-    f.node(4).kill();
-    f.nodes[4] = None;
-    let took = f.wait_agree("after a kill", &[0, 1, 2, 3], &[4], "dead");
+    // kill -9: all others see the node as dead.
+    fleet.node(4).kill();
+    fleet.nodes[4] = None;
+    let took = fleet.wait_agree("after a kill", &[0, 1, 2, 3], &[4], "dead");
     eprintln!("a killed node was dead to all within {took:?}");
 
-    // A restart under the old name: alive to all again.
-    f.start(4, "m4");
-    f.wait_agree("after a restart under the old name", &ALL, &[], "dead");
+    // A restart under the old name: all see it as alive again.
+    fleet.start(4, "m4");
+    fleet.wait_agree("after a restart under the old name", &ALL, &[], "dead");
 
-    // Two and three cut apart both ways: each side sees the other dead; after the heal all agree.
-    f.relay.partition(&[0, 1], &[2, 3, 4]);
-    f.wait_agree("side one of a cut", &[0, 1], &[2, 3, 4], "dead");
-    f.wait_agree("side two of a cut", &[2, 3, 4], &[0, 1], "dead");
-    f.relay.heal();
-    f.wait_agree("after the heal", &ALL, &[], "dead");
+    // A partition into two and three nodes: each side sees the other as dead; after it heals all agree.
+    fleet.relay.partition(&[0, 1], &[2, 3, 4]);
+    fleet.wait_agree("side one of a cut", &[0, 1], &[2, 3, 4], "dead");
+    fleet.wait_agree("side two of a cut", &[2, 3, 4], &[0, 1], "dead");
+    fleet.relay.heal();
+    fleet.wait_agree("after the heal", &ALL, &[], "dead");
 
-    // A link that works one way, and 30% loss with duplicates and delay on all: no death that lasts.
-    f.relay.set_link(0, 1, DatagramLink { cut: true, ..DatagramLink::default() });
-    f.relay.set_default_link(DatagramLink {
+    // A link that works one way, and 30% loss with duplicates and delay on all links: no node stays declared
+    // dead.
+    fleet.relay.set_link(0, 1, DatagramLink { cut: true, ..DatagramLink::default() });
+    fleet.relay.set_default_link(DatagramLink {
         drop_share: 0.3,
         duplicate_share: 0.1,
         delay: Duration::from_millis(20),
         cut: false,
     });
     std::thread::sleep(Duration::from_secs(10));
-    f.relay.heal();
-    f.wait_agree("after a one-way link and 30% loss", &ALL, &[], "dead");
-    let (passed, dropped) = f.relay.counts();
+    fleet.relay.heal();
+    fleet.wait_agree("after a one-way link and 30% loss", &ALL, &[], "dead");
+    let (passed, dropped) = fleet.relay.counts();
     assert!(passed > 0 && dropped > 0, "the relay passed {passed} and dropped {dropped}");
 
-    // SIGTERM: the node leaves, and is counted out as left, not dead.
-    f.node(2).terminate();
-    f.wait_agree("after a leave", &[0, 1, 3, 4], &[2], "left");
+    // SIGTERM: the node leaves, and is seen as left, not dead.
+    fleet.node(2).terminate();
+    fleet.wait_agree("after a leave", &[0, 1, 3, 4], &[2], "left");
 }
 
 #[test]
-fn bent_datagrams_are_counted_and_a_second_node_under_a_taken_name_stops() {
-    let mut f = Fleet::new(12);
-    f.wait_agree("the start", &ALL, &[], "dead");
+fn malformed_datagrams_are_counted_and_a_second_node_with_a_name_in_use_exits() {
+    let mut fleet = Fleet::new(12);
+    fleet.wait_agree("the start", &ALL, &[], "dead");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let mut bent =
+    let mut malformed =
         vec![vec![], vec![0x53], vec![0x53, 1, 2, 3], vec![0x4c, 0xff], vec![0x99; 40], vec![0x53; 2000]];
-    bent.push(vec![0x51, 0]);
-    for d in &bent {
-        socket.send_to(d, f.own[1]).expect("sent");
+    malformed.push(vec![0x51, 0]);
+    for datagram in &malformed {
+        socket.send_to(datagram, fleet.own[1]).expect("sent");
     }
-    wait_until("the bent datagrams are counted", || {
-        ask(f.own[1]).is_some_and(|t| t.lines().last().is_some_and(|l| !l.contains(" 0 malformed")))
+    wait_until("the malformed datagrams are counted", || {
+        query_view(fleet.own[1])
+            .is_some_and(|t| t.lines().last().is_some_and(|l| !l.contains(" 0 malformed")))
     });
-    f.wait_agree("after bent datagrams", &ALL, &[], "dead");
+    fleet.wait_agree("after malformed datagrams", &ALL, &[], "dead");
 
-    // Node 4's name taken by one more process, started later at another address, through the same relay.
-    f.start(N, "m4");
+    // Another process starts later with node 4's name, at another address and through the same relay.
+    fleet.start(NODES, "m4");
     let start = Instant::now();
     let status = loop {
-        if let Some(status) = f.node(N).exit_status() {
+        if let Some(status) = fleet.node(NODES).exit_status() {
             break status;
         }
         assert!(start.elapsed() < AGREE_WITHIN, "a node under a taken name went on");
         std::thread::sleep(Duration::from_millis(100));
     };
     assert_eq!(status.code(), Some(1));
-    assert!(f.node(N).logged("the name m4 is taken by the node at"), "no clear error");
-    assert!(f.node(4).exit_status().is_none(), "the first node under the name ended");
+    assert!(fleet.node(NODES).logged("the name m4 is taken by the node at"), "no clear error");
+    assert!(fleet.node(4).exit_status().is_none(), "the first node under the name ended");
 }
