--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -624,7 +624,7 @@
             assert!(address.is_some() || still_starting, "the node does not listen, {ended:?}: {lines:#?}");
         }
         let find_management =
-            |l: &String| l.split_once(" is find_management at ").and_then(|(_, a)| a.parse().ok());
+            |l: &String| l.split_once(" is managed at ").and_then(|(_, a)| a.parse().ok());
         let management = log.lock().expect("no panic").iter().find_map(find_management);
         Self { child, file, address: address.expect("found"), management, log }
     }
