--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -1,6 +1,6 @@
-//! A fleet that decides together: seven processes of the program on loopback, the fault relays between them on UDP and
-//! TCP, clients at every node, and kill -9, SIGSTOP and cuts while the policy changes and quotas are hot. At the end the checkers read what every
-//! node wrote down before it acted.
+//! A fleet of seven nodes on loopback with fault-injecting relays for UDP and TCP between them and clients at
+//! every node, under kill -9, SIGSTOP and partitions while the policy changes and quotas are in use. At the
+//! end the checkers read the records that every node wrote before it acted.
 
 mod peers;
 
@@ -16,12 +16,12 @@
 use peers::*;
 use serde_json::{json, Value};
 
-const N: usize = 7;
-/// Three vote, the others learn.
+const NODES: usize = 7;
+/// The number of voters; the other nodes are learners.
 const VOTERS: usize = 3;
-/// Short, so that a change does not wait long for the dead; long against a busy machine's hiccups.
+/// Short, so that a change does not wait long for dead nodes; long compared with a busy machine's delays.
 const LEASE_MS: u64 = 3000;
-const ALL: [usize; N] = [0, 1, 2, 3, 4, 5, 6];
+const ALL: [usize; NODES] = [0, 1, 2, 3, 4, 5, 6];
 
 struct Fleet {
     folder: PathBuf,
@@ -30,18 +30,18 @@
     nodes: Vec<Option<Node>>,
     config: Value,
     load: Vec<(Arc<AtomicBool>, std::thread::JoinHandle<u64>)>,
-    /// Requests answered 200 so far.
+    /// The number of requests answered with 200 so far.
     served: Arc<AtomicU64>,
-    /// Nodes with a fault, and which.
-    planted: Option<(&'static [usize], &'static str)>,
-    /// A node under a limit of the shell's.
+    /// The nodes with an injected fault, and which fault.
+    injected_fault: Option<(&'static [usize], &'static str)>,
+    /// The node under a limit of the shell's `ulimit`, if any.
     limited: Option<(usize, &'static str)>,
     _server: ScriptedServer,
     _registry: Registry,
 }
 
 impl Fleet {
-    fn new(name: &str, seed: u64, planted: Option<(&'static [usize], &'static str)>) -> Self {
+    fn new(name: &str, seed: u64, injected_fault: Option<(&'static [usize], &'static str)>) -> Self {
         let server = ScriptedServer::healthy("a");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let mut config = config(registry.address);
@@ -52,18 +52,18 @@
         std::fs::write(folder.join("policy.toml"), "").expect("a file");
         let mut fleet = Self {
             folder,
-            datagrams: DatagramRelay::new(N, seed),
-            streams: StreamRelay::new(N, seed),
-            nodes: (0..N).map(|_| None).collect(),
+            datagrams: DatagramRelay::new(NODES, seed),
+            streams: StreamRelay::new(NODES, seed),
+            nodes: (0..NODES).map(|_| None).collect(),
             config,
             load: Vec::new(),
             served: Arc::default(),
-            planted,
+            injected_fault,
             limited: None,
             _server: server,
             _registry: registry,
         };
-        for i in 0..N {
+        for i in 0..NODES {
             std::fs::create_dir_all(fleet.folder.join(format!("store-{i}"))).expect("a directory");
             fleet.start(i);
         }
@@ -74,7 +74,7 @@
         self.folder.join(format!("records-{i}.jsonl"))
     }
 
-    /// Node 6 watches the document.
+    /// The policy document, which node 6 watches.
     fn file(&self, i: usize) -> String {
         let path = |p: &Path| format!("{:?}", p.display().to_string());
         let voters: Vec<String> = (0..VOTERS).map(|v| format!("\"f{v}\"")).collect();
@@ -88,10 +88,10 @@
         if i == 6 {
             text += &format!("policy_file = {}\n", path(&self.folder.join("policy.toml")));
         }
-        if let Some((_, fault)) = self.planted.filter(|(nodes, _)| nodes.contains(&i)) {
-            text += &format!("planted = \"{fault}\"\n");
+        if let Some((_, fault)) = self.injected_fault.filter(|(nodes, _)| nodes.contains(&i)) {
+            text += &format!("injected_fault = \"{fault}\"\n");
         }
-        for j in (0..N).filter(|&j| j != i) {
+        for j in (0..NODES).filter(|&j| j != i) {
             let (datagrams, streams) = (self.datagrams.frontend(j), self.streams.frontend(i, j));
             text += &format!("[peers.f{j}]\ndatagrams = \"{datagrams}\"\nstreams = \"{streams}\"\n");
         }
@@ -132,15 +132,15 @@
         }
     }
 
-    /// Replaces the document, as operators do: written beside, then renamed.
+    /// Replaces the document as operators do: writes a new file and renames it.
     fn write_policy(&self, text: &str) {
         let new = self.folder.join("policy.next");
         std::fs::write(&new, text).expect("a file");
         std::fs::rename(&new, self.folder.join("policy.toml")).expect("renamed");
     }
 
-    /// Waits until all of these say that they are ready under one version, this one or a later: a proposal that a busy node
-    /// answered too late is made again under the next number.
+    /// Waits until all of these nodes report that they are ready under one version, this one or a later: a
+    /// proposal that a busy node answered too late is repeated under the next number.
     fn wait_version(&self, least: u64, which: &[usize]) -> u64 {
         let mut found = None;
         wait_until(&format!("nodes {which:?} are ready under version {least} or later"), || {
@@ -151,8 +151,8 @@
         found.expect("found")
     }
 
-    /// A client at node `i`: one request after the other, each under an id of its own, until the end; how many it was
-    /// served.
+    /// Runs a client at node `i`: one request after another, each with an id of its own, until the end;
+    /// returns how many were served.
     fn load(&mut self, i: usize, life: u64) {
         let (stop, address) = (Arc::new(AtomicBool::new(false)), self.node(i).address);
         let (stopping, all) = (stop.clone(), self.served.clone());
@@ -162,7 +162,7 @@
                 if stopping.load(Ordering::SeqCst) {
                     break;
                 }
-                // A connection each: the node may be killed, stopped or not answer.
+                // One connection for each: the node may be killed, suspended or not answer.
                 let words = request("look", &format!("{i}-{life}-{n}"), 2000);
                 let words = words.replace("X-Txn", "x-org: punjab-clubs\r\nX-Txn");
                 let good = u64::from(ask_once(address, &words) == Some(200));
@@ -175,7 +175,7 @@
         self.load.push((stop, client));
     }
 
-    /// Cuts a node off from all others, on both transports.
+    /// Partitions a node from all others, on both transports.
     fn cut(&self, i: usize) {
         let others: Vec<usize> = ALL.into_iter().filter(|&j| j != i).collect();
         self.datagrams.partition(&[i], &others);
@@ -187,7 +187,7 @@
         self.streams.heal();
     }
 
-    /// Ends the clients; how many requests were served.
+    /// Stops the clients; returns how many requests were served.
     fn end_load(&mut self) -> u64 {
         for (stop, _) in &self.load {
             stop.store(true, Ordering::SeqCst);
@@ -195,14 +195,14 @@
         self.load.drain(..).map(|(_, client)| client.join().expect("a client ends")).sum()
     }
 
-    /// What all nodes wrote down, by checker.
+    /// The records of all nodes, by checker.
     fn all_records(&self) -> (Vec<policy_check::Record>, Vec<quota_check::Record>, Vec<log_check::Record>) {
         let (mut policy, mut quota, mut log) = (Vec::new(), Vec::new(), Vec::new());
         let mut versions = std::collections::BTreeSet::new();
         for i in ALL {
             let text = std::fs::read_to_string(self.records(i)).expect("its records");
             for line in text.lines() {
-                // A kill may cut the last line of a life; what it tells of then had no effect.
+                // A kill may truncate the last line of an incarnation; what it records had no effect then.
                 let Ok(value) = serde_json::from_str::<Value>(line) else { continue };
                 let read = |name: &str| value.get(name).cloned();
                 if let Some(record) = read("policy") {
@@ -215,7 +215,7 @@
             }
         }
         quota.sort_by_key(|r| r.at);
-        // A policy takes hold at one moment; each node says so when it learns of it.
+        // A policy takes effect at one moment; each node logs it when it learns of it.
         quota.retain(|r| match &r.what {
             quota_check::Observation::Policy(p) => versions.insert(p.version),
             _ => true,
@@ -224,7 +224,8 @@
     }
 }
 
-/// One request on a connection of its own; its answer's status, if one came within two seconds.
+/// Sends one request on a connection of its own; returns the response's status if it arrived within two
+/// seconds.
 fn ask_once(address: std::net::SocketAddr, words: &str) -> Option<u16> {
     use std::io::{Read, Write};
     let mut to = std::net::TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
@@ -238,119 +239,125 @@
 const QUOTA: &str = "[tenants.punjab-clubs]\nrate_per_s = 60.0\nburst = 60\n";
 
 #[test]
-fn a_change_takes_hold_everywhere_or_nowhere_while_nodes_die_stop_and_are_cut_off() {
-    let mut f = Fleet::new("fleet-policy", 21, None);
-    f.wait_ready(&ALL);
+fn a_change_takes_effect_everywhere_or_nowhere_while_nodes_are_killed_suspended_and_partitioned() {
+    let mut fleet = Fleet::new("fleet-policy", 21, None);
+    fleet.wait_ready(&ALL);
     for i in ALL {
-        f.load(i, 0);
+        fleet.load(i, 0);
     }
 
-    // Version 1: a quota over all seven.
-    f.write_policy(QUOTA);
-    let first = f.wait_version(1, &ALL);
+    // Version 1: a quota over all seven nodes.
+    fleet.write_policy(QUOTA);
+    let first = fleet.wait_version(1, &ALL);
 
-    // A document with a fault is refused where it was written, with line and field, and changes nothing.
-    f.write_policy(&QUOTA.replace("burst = 60", "burst = 60\ncost.refund = 2"));
+    // An invalid document is rejected by the node that watches it, with line and field, and changes nothing.
+    fleet.write_policy(&QUOTA.replace("burst = 60", "burst = 60\ncost.refund = 2"));
     wait_until("the bad document is refused", || {
-        f.node(6).logged("tenants.punjab-clubs.cost.refund: no such class")
+        fleet.node(6).logged("tenants.punjab-clubs.cost.refund: no such class")
     });
 
-    // The same over the second address of another node, where what is good would be proposed.
+    // The same via the management address of another node, which would propose a valid document.
     let put = |body: &str| {
         let words = format!(
             "PUT /v1/fleet/policy HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        f.node(2).management_exchange(&words).expect("an answer")
+        fleet.node(2).management_exchange(&words).expect("an answer")
     };
     let answer = put("[limits]\nattempts = 9\n");
     assert_eq!(answer.status(), 400);
     assert!(text(&answer.body).starts_with("line 2: limits.attempts: 9 is more"), "{}", text(&answer.body));
 
-    // A learner is killed, one is stopped, one is cut off: the change outwaits their leases and takes hold without them.
-    f.nodes[3].as_mut().expect("it runs").kill();
-    f.node(4).pause(true);
-    f.cut(5);
-    f.write_policy(&QUOTA.replace("60.0", "80.0"));
-    let second = f.wait_version(first + 1, &[0, 1, 2, 6]);
-
-    // The one that was stopped wakes, the one cut off is reached again, the dead one starts anew: none serves before it has
-    // caught up.
-    f.node(4).pause(false);
-    f.heal();
-    f.start(3);
-    f.wait_version(second, &[3, 4, 5]);
-    f.wait_ready(&ALL);
-    f.load(3, 1);
-
-    // A voter dies with a change just written; what becomes of it is the same everywhere, and the fleet goes on.
-    f.write_policy(&QUOTA.replace("60.0", "100.0"));
-    f.nodes[0].as_mut().expect("it runs").kill();
-    f.start(0);
-    f.load(0, 1);
-    f.wait_ready(&ALL);
-    // Its document may have been taken or not; a later one takes hold in any case, under the number that follows.
-    f.write_policy(&QUOTA.replace("60.0", "50.0"));
-    f.wait_version(second + 1, &ALL);
-
-    let state = || text(&f.node(4).management_call("GET", "/v1/fleet").body);
+    // One learner is killed, one suspended, one partitioned: the change waits for their leases to expire and
+    // takes effect without them.
+    fleet.nodes[3].as_mut().expect("it runs").kill();
+    fleet.node(4).pause(true);
+    fleet.cut(5);
+    fleet.write_policy(&QUOTA.replace("60.0", "80.0"));
+    let second = fleet.wait_version(first + 1, &[0, 1, 2, 6]);
+
+    // The suspended node resumes, the partitioned one is reachable again, the killed one restarts: none
+    // serves before it has caught up.
+    fleet.node(4).pause(false);
+    fleet.heal();
+    fleet.start(3);
+    fleet.wait_version(second, &[3, 4, 5]);
+    fleet.wait_ready(&ALL);
+    fleet.load(3, 1);
+
+    // A voter is killed with a change just written: its outcome is the same on all nodes, and the fleet goes
+    // on.
+    fleet.write_policy(&QUOTA.replace("60.0", "100.0"));
+    fleet.nodes[0].as_mut().expect("it runs").kill();
+    fleet.start(0);
+    fleet.load(0, 1);
+    fleet.wait_ready(&ALL);
+    // Its document may have been accepted or not; a later one takes effect in any case, under the following
+    // version.
+    fleet.write_policy(&QUOTA.replace("60.0", "50.0"));
+    fleet.wait_version(second + 1, &ALL);
+
+    let state = || text(&fleet.node(4).management_call("GET", "/v1/fleet").body);
     wait_until("all seven hold a lease", || state().contains("7 members hold a lease"));
     assert!(state().contains("under version"), "{}", state());
-    let served = f.end_load();
+    let served = fleet.end_load();
     assert!(served > 100, "{served} requests served: the records say little");
-    let (policy, quota, log) = f.all_records();
+    let (policy, quota, log) = fleet.all_records();
     let decided = policy.iter().filter(|r| matches!(r.what, policy_check::Event::Decided { .. })).count();
     assert!(decided > 100, "{decided} decisions on record");
     assert_eq!(policy_check::check(&policy), []);
     assert_eq!(quota_check::check(&quota), []);
     assert_eq!(log_check::check(&log), []);
-    assert!(log.len() > N, "{} entries on record", log.len());
-    // It was the cut that node 5 noticed, not only a change that it was late for.
+    assert!(log.len() > NODES, "{} entries on record", log.len());
+    // Node 5 noticed the partition itself, not only a change that it received late.
     let lost = format!("version {first}, not ready");
-    assert!(f.node(5).logged(&lost), "node 5 held its lease through the cut");
+    assert!(fleet.node(5).logged(&lost), "node 5 held its lease through the cut");
 }
 
 #[test]
 fn a_node_that_serves_after_its_lease_is_found_by_the_checker() {
-    let mut f = Fleet::new("fleet-planted", 22, Some((&[5], "serves-after-lease")));
-    f.wait_ready(&ALL);
-    // No quota: a node that is cut off has little of one, and is to have much to answer.
-    f.write_policy("[retry]\nshare = 0.05\n");
-    let first = f.wait_version(1, &ALL);
+    let mut fleet = Fleet::new("fleet-injected_fault", 22, Some((&[5], "serves-after-lease")));
+    fleet.wait_ready(&ALL);
+    // No quota: a partitioned node has little of one, and here it should answer many requests.
+    fleet.write_policy("[retry]\nshare = 0.05\n");
+    let first = fleet.wait_version(1, &ALL);
     for i in ALL {
-        f.load(i, 0);
+        fleet.load(i, 0);
     }
-    f.cut(5);
-    f.write_policy("[retry]\nshare = 0.04\n");
-    f.wait_version(first + 1, &[0, 1, 2, 3, 4, 6]);
-    // Answers under the new version leave, and the faulty node goes on under the old one.
+    fleet.cut(5);
+    fleet.write_policy("[retry]\nshare = 0.04\n");
+    fleet.wait_version(first + 1, &[0, 1, 2, 3, 4, 6]);
+    // Responses are sent under the new version while the faulty node goes on under the old one.
     let mut found = Vec::new();
     wait_until("the checker finds going back", || {
-        found = policy_check::check(&f.all_records().0);
+        found = policy_check::check(&fleet.all_records().0);
         found.iter().any(|breach| breach.rule == policy_check::Rule::NoGoingBack)
     });
-    f.end_load();
-    let (_, _, log) = f.all_records();
+    fleet.end_load();
+    let (_, _, log) = fleet.all_records();
     assert_eq!(log_check::check(&log), [], "the log is not what is at fault");
 }
 
-/// Demand moves from one node to another, again and again: each is asked until it has served so many, ten seconds at most.
-fn move_demand(f: &mut Fleet, rate: f64, most: u64) -> Vec<quota_check::Violation> {
-    f.wait_ready(&ALL);
-    f.write_policy(&format!("[tenants.punjab-clubs]\nrate_per_s = {rate:.1}\nburst = 400\n"));
-    f.wait_version(1, &ALL);
-    for (life, node) in [1, 4, 2].into_iter().enumerate() {
-        let before = f.served.load(Ordering::SeqCst);
+/// Moves the demand from one node to another, repeatedly: each receives requests until it has served the
+/// given number, for ten seconds at most.
+fn move_demand(fleet: &mut Fleet, rate: f64, max_served: u64) -> Vec<quota_check::Violation> {
+    fleet.wait_ready(&ALL);
+    fleet.write_policy(&format!("[tenants.punjab-clubs]\nrate_per_s = {rate:.1}\nburst = 400\n"));
+    fleet.wait_version(1, &ALL);
+    for (round, node) in [1, 4, 2].into_iter().enumerate() {
+        let before = fleet.served.load(Ordering::SeqCst);
         for client in 0..4 {
-            f.load(node, (10 * life + client) as u64);
+            fleet.load(node, (10 * round + client) as u64);
         }
         let start = Instant::now();
-        while f.served.load(Ordering::SeqCst) < before + most && start.elapsed() < Duration::from_secs(10) {
+        while fleet.served.load(Ordering::SeqCst) < before + max_served
+            && start.elapsed() < Duration::from_secs(10)
+        {
             std::thread::sleep(Duration::from_millis(20));
         }
-        f.end_load();
+        fleet.end_load();
     }
-    let (_, quota, _) = f.all_records();
+    let (_, quota, _) = fleet.all_records();
     let admitted =
         quota.iter().filter(|r| matches!(r.what, quota_check::Observation::Admitted { .. })).count();
     assert!(admitted > 100, "{admitted} requests admitted: the records say little");
@@ -361,8 +368,9 @@
 fn no_quota_is_exceeded_when_demand_moves_and_a_fleet_that_moves_tokens_with_it_is_found() {
     let mut sound = Fleet::new("fleet-quota", 23, None);
     assert_eq!(move_demand(&mut sound, 50.0, 100), []);
-    let mut faulty = Fleet::new("fleet-quota-planted", 24, Some((&ALL, "level-moves")));
-    // So slow a rate that a busy machine, too, spends what moved before the quota could have filled again.
+    let mut faulty = Fleet::new("fleet-quota-injected_fault", 24, Some((&ALL, "level-moves")));
+    // The rate is so low that even a busy machine spends the moved tokens before the quota could have
+    // refilled.
     let found = move_demand(&mut faulty, 5.0, 250);
     let over =
         |fault: &quota_check::Violation| matches!(fault, quota_check::Violation::WindowExceeded { .. });
@@ -371,31 +379,32 @@
 
 #[test]
 fn a_voter_whose_disk_is_full_says_so_and_the_fleet_decides_on_through_loss_and_a_one_way_link() {
-    let mut f = Fleet::new("fleet-full", 25, None);
-    f.wait_ready(&ALL);
-    f.write_policy("[retry]\nshare = 0.05\n");
-    let first = f.wait_version(1, &ALL);
-    // A voter starts anew under a limit on every file's size that its records of the log soon reach.
-    f.nodes[1].as_mut().expect("it runs").kill();
-    f.limited = Some((1, "-f 8"));
-    f.start(1);
-    wait_until("the full disk is told", || f.node(1).logged("the store refuses: no space left"));
-    // A tenth of the datagrams lost, some doubled and late, and a link between two voters that works one way.
-    f.datagrams.set_default_link(DatagramLink {
+    let mut fleet = Fleet::new("fleet-full", 25, None);
+    fleet.wait_ready(&ALL);
+    fleet.write_policy("[retry]\nshare = 0.05\n");
+    let first = fleet.wait_version(1, &ALL);
+    // A voter restarts under a limit of the file size that its log soon reaches.
+    fleet.nodes[1].as_mut().expect("it runs").kill();
+    fleet.limited = Some((1, "-f 8"));
+    fleet.start(1);
+    wait_until("the full disk is told", || fleet.node(1).logged("the store refuses: no space left"));
+    // A tenth of the datagrams is lost, some are duplicated and delayed, and a link between two voters works
+    // one way.
+    fleet.datagrams.set_default_link(DatagramLink {
         drop_share: 0.1,
         duplicate_share: 0.1,
         delay: Duration::from_millis(5),
         cut: false,
     });
-    f.datagrams.set_link(0, 2, DatagramLink { cut: true, ..DatagramLink::default() });
+    fleet.datagrams.set_link(0, 2, DatagramLink { cut: true, ..DatagramLink::default() });
     let mut version = first;
     for share in [0.04, 0.03] {
-        f.write_policy(&format!("[retry]\nshare = {share}\n"));
-        version = f.wait_version(version + 1, &[0, 2, 3, 4, 5, 6]);
+        fleet.write_policy(&format!("[retry]\nshare = {share}\n"));
+        version = fleet.wait_version(version + 1, &[0, 2, 3, 4, 5, 6]);
     }
-    f.heal();
-    let (policy, _, log) = f.all_records();
+    fleet.heal();
+    let (policy, _, log) = fleet.all_records();
     assert_eq!(policy_check::check(&policy), []);
     assert_eq!(log_check::check(&log), []);
-    assert!(f.nodes[1].as_mut().is_some_and(Node::running), "a full disk ended the node");
+    assert!(fleet.nodes[1].as_mut().is_some_and(Node::running), "a full disk ended the node");
 }
