--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -623,8 +623,7 @@
             let still_starting = ended.is_none() && started.elapsed() < WAIT_TIMEOUT;
             assert!(address.is_some() || still_starting, "the node does not listen, {ended:?}: {lines:#?}");
         }
-        let find_management =
-            |l: &String| l.split_once(" is managed at ").and_then(|(_, a)| a.parse().ok());
+        let find_management = |l: &String| l.split_once(" is managed at ").and_then(|(_, a)| a.parse().ok());
         let management = log.lock().expect("no panic").iter().find_map(find_management);
         Self { child, file, address: address.expect("found"), management, log }
     }
