--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -89,7 +89,7 @@
             text += &format!("policy_file = {}\n", path(&self.folder.join("policy.toml")));
         }
         if let Some((_, fault)) = self.injected_fault.filter(|(nodes, _)| nodes.contains(&i)) {
-            text += &format!("injected_fault = \"{fault}\"\n");
+            text += &format!("planted = \"{fault}\"\n");
         }
         for j in (0..NODES).filter(|&j| j != i) {
             let (datagrams, streams) = (self.datagrams.frontend(j), self.streams.frontend(i, j));
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_node_that_serves_after_its_lease_is_found_by_the_checker() {
-    let mut fleet = Fleet::new("fleet-injected_fault", 22, Some((&[5], "serves-after-lease")));
+    let mut fleet = Fleet::new("fleet-planted", 22, Some((&[5], "serves-after-lease")));
     fleet.wait_ready(&ALL);
     // No quota: a partitioned node has little of one, and here it should answer many requests.
     fleet.write_policy("[retry]\nshare = 0.05\n");
@@ -368,7 +368,7 @@
 fn no_quota_is_exceeded_when_demand_moves_and_a_fleet_that_moves_tokens_with_it_is_found() {
     let mut sound = Fleet::new("fleet-quota", 23, None);
     assert_eq!(move_demand(&mut sound, 50.0, 100), []);
-    let mut faulty = Fleet::new("fleet-quota-injected_fault", 24, Some((&ALL, "level-moves")));
+    let mut faulty = Fleet::new("fleet-quota-planted", 24, Some((&ALL, "level-moves")));
     // The rate is so low that even a busy machine spends the moved tokens before the quota could have
     // refilled.
     let found = move_demand(&mut faulty, 5.0, 250);
